--- a/crates/cassiafold/src/serve.rs
+++ b/crates/cassiafold/src/serve.rs
@@ -10,12 +10,12 @@
 use cassiafold_adapter::settings::PlatformSettings;
 use cassiafold_adapter::{PlatformSite, callers, read_settings, settings_path};
 use cassiafold_event::emit;
-use cassiafold_jobs::desk::Desk;
+use cassiafold_jobs::api::JobApi;
+use cassiafold_jobs::coalescing::WakeupCoalescing;
+use cassiafold_jobs::desired_state::{self, DesiredState, DesiredStateSender};
 use cassiafold_jobs::event::JobsEvent;
-use cassiafold_jobs::gathering::Gathering;
 use cassiafold_jobs::metrics::JobsMetrics;
 use cassiafold_jobs::owner::{self, OwnerSettings};
-use cassiafold_jobs::view::{self, View, ViewSender};
 use cassiafold_platform::StoreMetrics;
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::Full;
@@ -56,21 +56,21 @@
 /// Pause after a connection could not be accepted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-type PlatformDesk = Arc<Desk<PlatformSite>>;
+type PlatformDesk = Arc<JobApi<PlatformSite>>;
 
 /// Runs an entry instance until SIGTERM.
 pub fn run() -> Result<ExitCode> {
     let settings = read_settings(settings_path())?;
-    let gathering = Gathering::default();
-    let waiting = gathering.clone();
+    let coalescing = WakeupCoalescing::default();
+    let waiting = coalescing.clone();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .on_thread_park(move || waiting.wait())
         .build()?;
-    runtime.block_on(serve(settings, gathering))
+    runtime.block_on(serve(settings, coalescing))
 }
 
-async fn serve(settings: PlatformSettings, gathering: Gathering) -> Result<ExitCode> {
+async fn serve(settings: PlatformSettings, coalescing: WakeupCoalescing) -> Result<ExitCode> {
     let mut terminate = signal(SignalKind::terminate())?;
     let reload = signal(SignalKind::hangup())?;
     let callers = TcpListener::bind(settings.callers_address).await?;
@@ -81,15 +81,25 @@
     let metrics = JobsMetrics::default();
     metrics.register(&mut registry);
     let site = PlatformSite::new(&settings, store_metrics);
-    let (sender, views) = ViewSender::new();
-    let desk = Arc::new(Desk::new(site.clone(), views.clone(), sender.clone(), metrics.clone()));
+    let (sender, desired_states) = DesiredStateSender::new();
+    let api = Arc::new(JobApi::new(
+        site.clone(),
+        desired_states.clone(),
+        sender.clone(),
+        metrics.clone(),
+    ));
     let stop = CancellationToken::new();
     emit!(JobsEvent::NodeStarted, instance = settings.instance, zone = settings.zone);
 
-    tokio::spawn(view::follow(site.clone(), sender));
+    tokio::spawn(desired_state::follow(site.clone(), sender));
     tokio::spawn(report_reloads(reload));
-    tokio::spawn(serve_metrics(settings.metrics_address, registry, views.clone(), metrics.clone()));
-    tokio::spawn(answer_readiness(readiness, desk.clone(), stop.clone()));
+    tokio::spawn(serve_metrics(
+        settings.metrics_address,
+        registry,
+        desired_states.clone(),
+        metrics.clone(),
+    ));
+    tokio::spawn(answer_readiness(readiness, api.clone(), stop.clone()));
     let owner_settings = OwnerSettings {
         instance: settings.instance.clone(),
         lease_ttl: OWNER_LEASE.max(settings.lease_ttl_min),
@@ -97,11 +107,11 @@
         claim_delay: claim_delay(&settings),
         scheduler: settings.scheduler,
         metrics: metrics.clone(),
-        gathering,
+        coalescing,
     };
-    let owner = tokio::spawn(owner::campaign(site, owner_settings, views, stop.clone()));
+    let owner = tokio::spawn(owner::campaign(site, owner_settings, desired_states, stop.clone()));
     let closing = CancellationToken::new();
-    let serving = tokio::spawn(serve_callers(callers, desk, closing.clone()));
+    let serving = tokio::spawn(serve_callers(callers, api, closing.clone()));
     terminate.recv().await;
     stop.cancel();
     // The ownership is given back while callers are still sent here.
@@ -132,7 +142,7 @@
     }
 }
 
-async fn serve_callers(listener: TcpListener, desk: PlatformDesk, closing: CancellationToken) {
+async fn serve_callers(listener: TcpListener, api: PlatformDesk, closing: CancellationToken) {
     let graceful = GracefulShutdown::new();
     loop {
         let accepted = tokio::select! {
@@ -140,7 +150,7 @@
             () = closing.cancelled() => break,
         };
         match accepted {
-            Ok((stream, _)) => serve_caller(stream, desk.clone(), &graceful),
+            Ok((stream, _)) => serve_caller(stream, api.clone(), &graceful),
             Err(error) => {
                 emit!(JobsEvent::ConnectionNotAccepted, error = error);
                 sleep(ACCEPT_RETRY).await;
@@ -150,11 +160,11 @@
     graceful.shutdown().await;
 }
 
-fn serve_caller(stream: TcpStream, desk: PlatformDesk, graceful: &GracefulShutdown) {
+fn serve_caller(stream: TcpStream, api: PlatformDesk, graceful: &GracefulShutdown) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
-        let desk = desk.clone();
-        async move { Ok::<_, Infallible>(callers::answer(&desk, request).await) }
+        let api = api.clone();
+        async move { Ok::<_, Infallible>(callers::answer(&api, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -170,7 +180,7 @@
 async fn serve_metrics(
     address: SocketAddr,
     registry: Registry,
-    views: watch::Receiver<Arc<View>>,
+    desired_states: watch::Receiver<Arc<DesiredState>>,
     metrics: JobsMetrics,
 ) {
     let listener = match TcpListener::bind(address).await {
@@ -187,10 +197,12 @@
                 continue;
             }
         };
-        let (registry, views, metrics) = (registry.clone(), views.clone(), metrics.clone());
+        let (registry, desired_states, metrics) =
+            (registry.clone(), desired_states.clone(), metrics.clone());
         let service = service_fn(move |_: Request<Incoming>| {
-            let version = views.borrow().config.as_ref().map_or(0, |config| config.version);
-            metrics.note_config(version);
+            let version =
+                desired_states.borrow().config.as_ref().map_or(0, |config| config.version);
+            metrics.set_config_version(version);
             std::future::ready(Ok::<_, Infallible>(metrics_page(&registry)))
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -212,7 +224,7 @@
 }
 
 /// Answers readiness checks: 200 while this instance can serve callers.
-async fn answer_readiness(listener: TcpListener, desk: PlatformDesk, stop: CancellationToken) {
+async fn answer_readiness(listener: TcpListener, api: PlatformDesk, stop: CancellationToken) {
     loop {
         let (stream, _) = match listener.accept().await {
             Ok(accepted) => accepted,
@@ -222,9 +234,9 @@
                 continue;
             }
         };
-        let (desk, stop) = (desk.clone(), stop.clone());
+        let (api, stop) = (api.clone(), stop.clone());
         let service = service_fn(move |request: Request<Incoming>| {
-            let is_ready = desk.is_ready(VIEW_AGE_MAX) && !stop.is_cancelled();
+            let is_ready = api.is_ready(VIEW_AGE_MAX) && !stop.is_cancelled();
             std::future::ready(Ok::<_, Infallible>(readiness(&request, is_ready)))
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
--- a/crates/jobs/src/desk.rs
+++ b/crates/jobs/src/api.rs
@@ -23,17 +23,19 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-use self::admission::Admitted;
-pub use self::answer::{Call, Cancelled, Counted, Denial, Looked, Submitted, Target};
+use self::admission::AuthorizedCall;
+pub use self::answer::{
+    Call, CancelResponse, CountResponse, Denial, JobStateResponse, SubmitResponse, Target,
+};
 use crate::cluster::ClusterConfig;
+use crate::desired_state::{DesiredState, DesiredStateSender};
 use crate::event::JobsEvent;
 use crate::metrics::JobsMetrics;
+use crate::platform_clients::{Formats, PlatformClients};
 use crate::record::{
     JobRecord, JobState, StateRecord, WAITING_KEY, WaitingRecord, cancel_key, job_key, state_key,
 };
-use crate::site::{Formats, Site};
 use crate::spec::{JobId, JobSpec};
-use crate::view::{View, ViewSender};
 use std::sync::Arc;
 
 /// Time after which a caller may come back when the store does not answer.
@@ -56,10 +58,10 @@
 
 /// Serves callers at one entry instance.
 #[derive(Debug)]
-pub struct Desk<S: Site> {
-    site: S,
-    views: watch::Receiver<Arc<View>>,
-    sender: ViewSender,
+pub struct JobApi<S: PlatformClients> {
+    platform: S,
+    desired_states: watch::Receiver<Arc<DesiredState>>,
+    sender: DesiredStateSender,
     metrics: JobsMetrics,
     /// Whether the store is being asked whether it answers.
     is_silent: Arc<AtomicBool>,
@@ -69,17 +71,17 @@
     config_read: Mutex<Moment>,
 }
 
-impl<S: Site> Desk<S> {
+impl<S: PlatformClients> JobApi<S> {
     /// A desk that follows the operator's view.
     pub fn new(
-        site: S,
-        views: watch::Receiver<Arc<View>>,
-        sender: ViewSender,
+        platform: S,
+        desired_states: watch::Receiver<Arc<DesiredState>>,
+        sender: DesiredStateSender,
         metrics: JobsMetrics,
     ) -> Self {
         Self {
-            site,
-            views,
+            platform,
+            desired_states,
             sender,
             metrics,
             is_silent: Arc::default(),
@@ -92,9 +94,9 @@
     /// Whether this instance can serve callers: it has a configuration, and the store has
     /// answered within `age_max`.
     pub fn is_ready(&self, age_max: Duration) -> bool {
-        let view = self.views.borrow().clone();
-        let age = since_boot().saturating_sub(view.confirmed);
-        view.config.is_some() && age < age_max && !self.is_store_silent()
+        let desired_state = self.desired_states.borrow().clone();
+        let age = since_boot().saturating_sub(desired_state.confirmed);
+        desired_state.config.is_some() && age < age_max && !self.is_store_silent()
     }
 
     /// Whether the store did not answer a call, and has not answered a read since.
@@ -107,60 +109,60 @@
         let is_lost =
             matches!(result, Err(StoreError::OutcomeUnknown(_) | StoreError::Unavailable(_)));
         if is_lost && !self.is_silent.swap(true, Ordering::Relaxed) {
-            tokio::spawn(wait_for_store(self.site.store().clone(), self.is_silent.clone()));
+            tokio::spawn(wait_for_store(self.platform.store().clone(), self.is_silent.clone()));
         }
         result
     }
 
     /// Largest body that callers may send.
     pub fn body_bytes_max(&self) -> Option<usize> {
-        self.views.borrow().config.as_ref().and_then(|config| config.body_bytes_max)
+        self.desired_states.borrow().config.as_ref().and_then(|config| config.body_bytes_max)
     }
 
-    fn note_call(&self, kind: &'static str, call: &Call, outcome: &'static str, taken: Duration) {
-        let admitted = self.admit(call).ok();
-        let queue = admitted.as_ref().map(|admitted| &admitted.queue.id);
-        let team = admitted.as_ref().and_then(|admitted| admitted.team.as_ref());
-        self.metrics.note_call(kind, queue, team, outcome, taken);
+    fn record_call(&self, kind: &'static str, call: &Call, outcome: &'static str, taken: Duration) {
+        let authorized = self.authorize(call).ok();
+        let queue = authorized.as_ref().map(|authorized| &authorized.queue.id);
+        let team = authorized.as_ref().and_then(|authorized| authorized.team.as_ref());
+        self.metrics.record_call(kind, queue, team, outcome, taken);
     }
 
     /// Accepts a job, if the caller may submit it and the store takes it.
-    pub async fn submit(&self, call: &Call, spec: JobSpec) -> Submitted {
+    pub async fn submit(&self, call: &Call, spec: JobSpec) -> SubmitResponse {
         let began = Instant::now();
         let answer = self.submit_once(call, spec).await;
-        self.note_call("submit", call, answer.name(), began.elapsed());
+        self.record_call("submit", call, answer.name(), began.elapsed());
         answer
     }
 
-    async fn submit_once(&self, call: &Call, spec: JobSpec) -> Submitted {
+    async fn submit_once(&self, call: &Call, spec: JobSpec) -> SubmitResponse {
         let deadline = call.deadline - ANSWER_MARGIN;
         let mut unanswered = 0;
         loop {
-            let admitted = match self.admit_current(call).await {
-                Ok(admitted) => admitted,
+            let authorized = match self.authorize_fresh(call).await {
+                Ok(authorized) => authorized,
                 Err(denial) => return denied(denial, unanswered > 0),
             };
-            let Target::Job(id) = admitted.target else {
-                return Submitted::Denied(Denial::NoJob);
+            let Target::Job(id) = authorized.target else {
+                return SubmitResponse::Denied(Denial::NoJob);
             };
             if unanswered == 0 && self.is_store_silent() {
                 return refuse(id, "the store does not answer");
             }
             let patience = FIRST_ATTEMPT * (1 << unanswered);
-            let attempt = timeout(patience, self.store_job(&admitted, id, &spec)).await;
+            let attempt = timeout(patience, self.store_job(&authorized, id, &spec)).await;
             let lost = || Err(StoreError::OutcomeUnknown("no answer yet".into()));
             match self.heard(attempt.unwrap_or_else(|_| lost())) {
                 Ok(Stored::Created) => {
                     emit!(
                         JobsEvent::JobAccepted,
                         job = format_args!("{id:016x}"),
-                        queue = admitted.queue.id,
-                        team = admitted.team.as_deref().unwrap_or("-"),
-                        config_revision = admitted.config_revision
+                        queue = authorized.queue.id,
+                        team = authorized.team.as_deref().unwrap_or("-"),
+                        config_revision = authorized.config_revision
                     );
-                    return Submitted::Accepted;
+                    return SubmitResponse::Accepted;
                 }
-                Ok(Stored::Present) => return Submitted::Accepted,
+                Ok(Stored::Present) => return SubmitResponse::Accepted,
                 Ok(Stored::ConfigChanged) => continue,
                 Err(StoreError::Unavailable(reason)) if unanswered == 0 => {
                     return refuse(id, &reason);
@@ -172,7 +174,7 @@
                 }
             }
             if unanswered >= ATTEMPTS_MAX || Instant::now() + ATTEMPT_GAP >= deadline {
-                return Submitted::Unknown;
+                return SubmitResponse::Unknown;
             }
             sleep(ATTEMPT_GAP).await;
         }
@@ -180,14 +182,14 @@
 
     async fn store_job(
         &self,
-        admitted: &Admitted,
+        authorized: &AuthorizedCall,
         id: JobId,
         spec: &JobSpec,
     ) -> Result<Stored, StoreError> {
         let record = JobRecord {
-            queue: admitted.queue.id.clone(),
-            service: admitted.queue.service.clone(),
-            team: admitted.team.clone(),
+            queue: authorized.queue.id.clone(),
+            service: authorized.queue.service.clone(),
+            team: authorized.team.clone(),
             spec: spec.clone(),
         };
         let bytes =
@@ -195,9 +197,9 @@
         let key = job_key(id);
         let transaction = Transaction::default()
             .expect(key.clone(), Compare::Absent)
-            .expect(S::Formats::CONFIG_KEY, Compare::Revision(admitted.config_revision))
+            .expect(S::Formats::CONFIG_KEY, Compare::Revision(authorized.config_revision))
             .put(key.clone(), bytes, None);
-        match self.site.store().commit(transaction).await? {
+        match self.platform.store().commit(transaction).await? {
             TransactionOutcome::Written(_) => Ok(Stored::Created),
             TransactionOutcome::Conflict(records) => {
                 if records.iter().any(|record| record.key == key) {
@@ -210,33 +212,35 @@
     }
 
     /// Stores the cancel of a job.
-    pub async fn cancel(&self, call: &Call) -> Cancelled {
+    pub async fn cancel(&self, call: &Call) -> CancelResponse {
         let began = Instant::now();
         let answer = self.cancel_once(call).await;
-        self.note_call("cancel", call, answer.name(), began.elapsed());
+        self.record_call("cancel", call, answer.name(), began.elapsed());
         answer
     }
 
-    async fn cancel_once(&self, call: &Call) -> Cancelled {
-        let admitted = match self.admit_current(call).await {
-            Ok(admitted) => admitted,
-            Err(denial) => return Cancelled::Denied(denial),
+    async fn cancel_once(&self, call: &Call) -> CancelResponse {
+        let authorized = match self.authorize_fresh(call).await {
+            Ok(authorized) => authorized,
+            Err(denial) => return CancelResponse::Denied(denial),
+        };
+        let Target::Job(id) = authorized.target else {
+            return CancelResponse::Denied(Denial::NoJob);
         };
-        let Target::Job(id) = admitted.target else { return Cancelled::Denied(Denial::NoJob) };
         let deadline = call.deadline - ANSWER_MARGIN;
         loop {
             if self.is_store_silent() {
-                return Cancelled::Unknown;
+                return CancelResponse::Unknown;
             }
-            match self.heard(self.store_cancel(id, admitted.team.as_ref()).await) {
+            match self.heard(self.store_cancel(id, authorized.team.as_ref()).await) {
                 Ok(true) => {
                     emit!(JobsEvent::JobCancelled, job = format_args!("{id:016x}"));
-                    return Cancelled::Accepted;
+                    return CancelResponse::Accepted;
                 }
-                Ok(false) => return Cancelled::NoSuchJob,
+                Ok(false) => return CancelResponse::NoSuchJob,
                 Err(error) if Instant::now() + ATTEMPT_GAP >= deadline => {
                     emit!(JobsEvent::StateUnknown, job = format_args!("{id:016x}"), error = error);
-                    return Cancelled::Unknown;
+                    return CancelResponse::Unknown;
                 }
                 Err(_) => sleep(ATTEMPT_GAP).await,
             }
@@ -244,42 +248,44 @@
     }
 
     async fn store_cancel(&self, id: JobId, team: Option<&TeamId>) -> Result<bool, StoreError> {
-        let Some(record) = self.site.store().get(&job_key(id)).await? else { return Ok(false) };
+        let Some(record) = self.platform.store().get(&job_key(id)).await? else { return Ok(false) };
         if !owns(&record, team) {
             return Ok(false);
         }
         let transaction = Transaction::default()
             .expect(record.key.clone(), Compare::Revision(record.revision))
             .put(cancel_key(id), Vec::new(), None);
-        let outcome = self.site.store().commit(transaction).await?;
+        let outcome = self.platform.store().commit(transaction).await?;
         Ok(matches!(outcome, TransactionOutcome::Written(_)))
     }
 
     /// State of a job.
-    pub async fn look(&self, call: &Call) -> Looked {
+    pub async fn job_state(&self, call: &Call) -> JobStateResponse {
         let began = Instant::now();
-        let answer = self.look_once(call).await;
-        self.note_call("look", call, answer.name(), began.elapsed());
+        let answer = self.job_state_once(call).await;
+        self.record_call("look", call, answer.name(), began.elapsed());
         answer
     }
 
-    async fn look_once(&self, call: &Call) -> Looked {
-        let admitted = match self.admit_current(call).await {
-            Ok(admitted) => admitted,
-            Err(denial) => return Looked::Denied(denial),
+    async fn job_state_once(&self, call: &Call) -> JobStateResponse {
+        let authorized = match self.authorize_fresh(call).await {
+            Ok(authorized) => authorized,
+            Err(denial) => return JobStateResponse::Denied(denial),
+        };
+        let Target::Job(id) = authorized.target else {
+            return JobStateResponse::Denied(Denial::NoJob);
         };
-        let Target::Job(id) = admitted.target else { return Looked::Denied(Denial::NoJob) };
         let deadline = call.deadline - ANSWER_MARGIN;
         loop {
             if self.final_state(id).is_none() && self.is_store_silent() {
-                return Looked::Unknown;
+                return JobStateResponse::Unknown;
             }
-            match self.heard(self.read_state(id, admitted.team.as_ref()).await) {
-                Ok(Some(state)) => return Looked::State(state),
-                Ok(None) => return Looked::NoSuchJob,
+            match self.heard(self.read_state(id, authorized.team.as_ref()).await) {
+                Ok(Some(state)) => return JobStateResponse::State(state),
+                Ok(None) => return JobStateResponse::NoSuchJob,
                 Err(error) if Instant::now() + ATTEMPT_GAP >= deadline => {
                     emit!(JobsEvent::StateUnknown, job = format_args!("{id:016x}"), error = error);
-                    return Looked::Unknown;
+                    return JobStateResponse::Unknown;
                 }
                 Err(_) => sleep(ATTEMPT_GAP).await,
             }
@@ -294,13 +300,13 @@
         if let Some((state, of_team)) = self.final_state(id) {
             return Ok(may_see(of_team.as_ref(), team).then_some(state));
         }
-        if let Some(record) = self.site.store().get(&state_key(id)).await? {
+        if let Some(record) = self.platform.store().get(&state_key(id)).await? {
             let state = StateRecord::try_from(&record.value[..])
                 .map_err(|error| StoreError::Malformed(error.to_string().into()))?;
             self.keep_final(id, &state);
             return Ok(may_see(state.team.as_ref(), team).then_some(state.state));
         }
-        let record = self.site.store().get(&job_key(id)).await?;
+        let record = self.platform.store().get(&job_key(id)).await?;
         Ok(record.filter(|record| owns(record, team)).map(|_| JobState::Queued))
     }
 
@@ -321,12 +327,12 @@
 
     /// What a call's path names, if the call is allowed.
     pub async fn target(&self, call: &Call) -> Result<Target, Denial> {
-        self.admit_current(call).await.map(|admitted| admitted.target)
+        self.authorize_fresh(call).await.map(|authorized| authorized.target)
     }
 
     /// The configuration in force.
     pub fn config(&self) -> Option<Arc<ClusterConfig>> {
-        self.views.borrow().config.clone()
+        self.desired_states.borrow().config.clone()
     }
 }
 
@@ -342,9 +348,9 @@
 }
 
 /// Refuses a job of which nothing was sent to the store.
-fn refuse(id: JobId, reason: &str) -> Submitted {
+fn refuse(id: JobId, reason: &str) -> SubmitResponse {
     emit!(JobsEvent::JobRefused, job = format_args!("{id:016x}"), reason = reason);
-    Submitted::Refused(STORE_RETRY_AFTER)
+    SubmitResponse::Refused(STORE_RETRY_AFTER)
 }
 
 enum Stored {
@@ -353,10 +359,10 @@
     ConfigChanged,
 }
 
-fn denied(denial: Denial, may_be_stored: bool) -> Submitted {
+fn denied(denial: Denial, may_be_stored: bool) -> SubmitResponse {
     match may_be_stored {
-        true => Submitted::Unknown,
-        false => Submitted::Denied(denial),
+        true => SubmitResponse::Unknown,
+        false => SubmitResponse::Denied(denial),
     }
 }
 
--- a/crates/jobs/src/desk/admission.rs
+++ b/crates/jobs/src/api/admission.rs
@@ -8,10 +8,10 @@
 use cassiafold_platform::{Record, Revision, Store, StoreError, since_boot};
 use tokio::time::timeout;
 
-use super::{Call, Denial, Desk, Target};
+use super::{Call, Denial, JobApi, Target};
 use crate::cluster::Queue;
 use crate::event::JobsEvent;
-use crate::site::{Formats, OperatorItem, Site};
+use crate::platform_clients::{Formats, OperatorItem, PlatformClients};
 use crate::spec::JobId;
 
 /// A configuration that the store has not confirmed for this long may be out of date. The store
@@ -21,31 +21,31 @@
 const CONFIG_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A call that is allowed.
-pub(super) struct Admitted {
+pub(super) struct AuthorizedCall {
     pub(super) queue: Queue,
     pub(super) team: Option<TeamId>,
     pub(super) target: Target,
     pub(super) config_revision: Revision,
 }
 
-impl<S: Site> Desk<S> {
+impl<S: PlatformClients> JobApi<S> {
     /// Decides about a call. A configuration that may be out of date is read first.
     ///
     /// Answers the fault of a watch that has fallen silent beside a store that answers.
-    pub(super) async fn admit_current(&self, call: &Call) -> Result<Admitted, Denial> {
+    pub(super) async fn authorize_fresh(&self, call: &Call) -> Result<AuthorizedCall, Denial> {
         if self.is_config_current() {
-            return self.admit(call);
+            return self.authorize(call);
         }
         match self.read_config().await {
-            Ok(()) => self.admit(call),
+            Ok(()) => self.authorize(call),
             // What is cut off serves what it can, but calls nothing unknown.
-            Err(_) => self.admit(call).map_err(|_| Denial::Outdated),
+            Err(_) => self.authorize(call).map_err(|_| Denial::Outdated),
         }
     }
 
     fn is_config_current(&self) -> bool {
         let read = *self.config_read.lock().unwrap_or_else(PoisonError::into_inner);
-        let confirmed = self.views.borrow().confirmed.max(read);
+        let confirmed = self.desired_states.borrow().confirmed.max(read);
         since_boot().saturating_sub(confirmed) < CONFIG_AGE_MAX
     }
 
@@ -54,7 +54,7 @@
             return Err(StoreError::Unavailable("the store does not answer".into()));
         }
         let asked = since_boot();
-        let reading = timeout(CONFIG_TIMEOUT, self.site.store().get(S::Formats::CONFIG_KEY));
+        let reading = timeout(CONFIG_TIMEOUT, self.platform.store().get(S::Formats::CONFIG_KEY));
         let lost = || Err(StoreError::OutcomeUnknown("no answer yet".into()));
         let record = self.heard(reading.await.unwrap_or_else(|_| lost()))?;
         self.adopt(record.as_slice());
@@ -63,25 +63,25 @@
     }
 
     /// Decides about a call by the configuration that is known.
-    pub(super) fn admit(&self, call: &Call) -> Result<Admitted, Denial> {
-        let view = self.views.borrow().clone();
-        let config = view.config.as_ref().ok_or(Denial::NoConfig)?;
+    pub(super) fn authorize(&self, call: &Call) -> Result<AuthorizedCall, Denial> {
+        let desired_state = self.desired_states.borrow().clone();
+        let config = desired_state.config.as_ref().ok_or(Denial::NoConfig)?;
         let (queue, rest) = config.route(&call.host, &call.path).ok_or(Denial::NoQueue)?;
         let team = call.key.as_ref().and_then(|key| config.keys.get(key)).cloned();
         if team.is_none() && !queue.is_public {
             return Err(Denial::UnknownKey);
         }
         let target = target(rest).ok_or(Denial::NoJob)?;
-        let config_revision = view.config_revision;
-        Ok(Admitted { queue: queue.clone(), team, target, config_revision })
+        let config_revision = desired_state.config_revision;
+        Ok(AuthorizedCall { queue: queue.clone(), team, target, config_revision })
     }
 
     /// Takes over the configuration among records.
     pub(super) fn adopt(&self, records: &[Record]) {
         for record in records.iter().filter(|record| *record.key == *S::Formats::CONFIG_KEY) {
-            match self.site.formats().operator_item(record) {
+            match self.platform.formats().operator_item(record) {
                 Ok(OperatorItem::Config(config)) => {
-                    self.sender.adopt_config(*config, record.revision);
+                    self.sender.apply_config(*config, record.revision);
                 }
                 Ok(_) => {}
                 Err(error) => {
--- a/crates/jobs/src/desk/answer.rs
+++ b/crates/jobs/src/api/answer.rs
@@ -38,7 +38,7 @@
 
 /// Answer to a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Submitted {
+pub enum SubmitResponse {
     /// The job is stored.
     Accepted,
     /// The job is not stored and never will be; the caller may come back after this time.
@@ -49,7 +49,7 @@
     Denied(Denial),
 }
 
-impl Submitted {
+impl SubmitResponse {
     /// Name of the outcome, for metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
@@ -63,7 +63,7 @@
 
 /// Answer to a cancel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cancelled {
+pub enum CancelResponse {
     /// The cancel is stored.
     Accepted,
     /// No such job exists.
@@ -74,7 +74,7 @@
     Denied(Denial),
 }
 
-impl Cancelled {
+impl CancelResponse {
     /// Name of the outcome, for metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
@@ -88,7 +88,7 @@
 
 /// Answer to a question about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Looked {
+pub enum JobStateResponse {
     /// State of the job.
     State(JobState),
     /// No such job exists.
@@ -99,7 +99,7 @@
     Denied(Denial),
 }
 
-impl Looked {
+impl JobStateResponse {
     /// Name of the outcome, for metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
@@ -113,7 +113,7 @@
 
 /// Answer to a question about a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Counted {
+pub enum CountResponse {
     /// Jobs that wait.
     Waiting(u32),
     /// The store did not answer.
@@ -122,7 +122,7 @@
     Denied(Denial),
 }
 
-impl Counted {
+impl CountResponse {
     /// Name of the outcome, for metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
--- a/crates/jobs/src/desk/count.rs
+++ b/crates/jobs/src/api/count.rs
@@ -7,40 +7,40 @@
 use cassiafold_platform::{Store, StoreError, since_boot};
 use tokio::time::Instant;
 
-use super::{Call, Counted, Desk};
+use super::{Call, CountResponse, JobApi};
 use crate::cluster::QueueId;
 use crate::event::JobsEvent;
+use crate::platform_clients::PlatformClients;
 use crate::record::{WAITING_KEY, WaitingRecord};
-use crate::site::Site;
 
 /// How long a count of waiting jobs is used again.
 const WAITING_AGE_MAX: Duration = Duration::from_millis(400);
 /// Counts older than this are not shown. An owner counts each second; clocks of instances differ.
 const COUNT_AGE_MAX: Duration = Duration::from_millis(4_000);
 
-impl<S: Site> Desk<S> {
+impl<S: PlatformClients> JobApi<S> {
     /// Number of a queue's jobs that wait.
-    pub async fn count(&self, call: &Call) -> Counted {
+    pub async fn waiting_jobs(&self, call: &Call) -> CountResponse {
         let began = Instant::now();
         let answer = self.count_once(call).await;
-        self.note_call("count", call, answer.name(), began.elapsed());
+        self.record_call("count", call, answer.name(), began.elapsed());
         answer
     }
 
-    async fn count_once(&self, call: &Call) -> Counted {
-        let admitted = match self.admit_current(call).await {
-            Ok(admitted) => admitted,
-            Err(denial) => return Counted::Denied(denial),
+    async fn count_once(&self, call: &Call) -> CountResponse {
+        let authorized = match self.authorize_fresh(call).await {
+            Ok(authorized) => authorized,
+            Err(denial) => return CountResponse::Denied(denial),
         };
         match self.waiting().await {
             Ok(waiting) if is_outdated(&waiting, unix_now()) => {
-                emit!(JobsEvent::CountOutdated, queue = admitted.queue.id);
-                Counted::Unknown
+                emit!(JobsEvent::CountOutdated, queue = authorized.queue.id);
+                CountResponse::Unknown
             }
-            Ok(waiting) => Counted::Waiting(count_of(&waiting, &admitted.queue.id)),
+            Ok(waiting) => CountResponse::Waiting(count_of(&waiting, &authorized.queue.id)),
             Err(error) => {
-                emit!(JobsEvent::StateUnknown, queue = admitted.queue.id, error = error);
-                Counted::Unknown
+                emit!(JobsEvent::StateUnknown, queue = authorized.queue.id, error = error);
+                CountResponse::Unknown
             }
         }
     }
@@ -53,7 +53,7 @@
         {
             return Ok(record);
         }
-        let record = match self.site.store().get(WAITING_KEY).await? {
+        let record = match self.platform.store().get(WAITING_KEY).await? {
             None => WaitingRecord::default(),
             Some(record) => serde_json::from_slice(&record.value)
                 .map_err(|error| StoreError::Malformed(error.to_string().into()))?,
--- a/crates/jobs/src/arrivals.rs
+++ b/crates/jobs/src/arrivals.rs
@@ -79,7 +79,7 @@
 }
 
 impl Recent {
-    fn note(&mut self, work: Work, now: Moment) {
+    fn record(&mut self, work: Work, now: Moment) {
         let first = first_bin(now, 2 * RATE_BINS);
         while self.bins.front().is_some_and(|bin| bin.number < first) {
             self.bins.pop_front();
@@ -131,8 +131,8 @@
 
 impl Arrivals {
     /// Notes a job with its estimated work.
-    pub fn note(&mut self, service: &ServiceId, work: Work, now: Moment) {
-        self.services.entry(service.clone()).or_default().note(work, now);
+    pub fn record(&mut self, service: &ServiceId, work: Work, now: Moment) {
+        self.services.entry(service.clone()).or_default().record(work, now);
     }
 
     /// Rate at which work arrives for a service, in cores.
@@ -146,7 +146,7 @@
     /// Answers the load pattern of demand that rises for some seconds: machines that are ordered
     /// by the present rate come too late for it. A rise counts as far as it exceeds what chance
     /// brings in numbers of jobs.
-    pub fn rate_ahead(&self, service: &str, lead: Duration, now: Moment) -> f64 {
+    pub fn predicted_rate(&self, service: &str, lead: Duration, now: Moment) -> f64 {
         let Some(recent) = self.services.get(service) else { return 0.0 };
         let counts = recent.counts(now);
         let windows = lead.as_secs_f64() / window().as_secs_f64();
--- a/crates/jobs/src/balance.rs
+++ b/crates/jobs/src/balance.rs
@@ -12,7 +12,7 @@
 /// Time within which waiting work should be done, in seconds.
 const BACKLOG_TIME_S: f64 = 1.5;
 /// Machines that a service keeps beyond its need.
-pub const KEPT_MACHINES: usize = 1;
+pub const SURPLUS_MACHINES: usize = 1;
 
 /// What a service asks of its machines, in cores.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -59,16 +59,16 @@
 /// Answers the load pattern of demand that dips for a moment within a turn: machines that would
 /// be wanted back at once stay.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct RecentNeed {
+pub struct PeakNeed {
     seen: VecDeque<(Moment, usize)>,
     /// Whether demand has been seen to fall.
     has_fallen: bool,
 }
 
-impl RecentNeed {
+impl PeakNeed {
     /// Notes a need and returns the greatest one that still counts; while demand falls, fewer of
     /// the earlier ones do.
-    pub fn note(&mut self, needed: usize, is_falling: bool, now: Moment) -> usize {
+    pub fn record(&mut self, needed: usize, is_falling: bool, now: Moment) -> usize {
         self.seen.push_back((now, needed));
         while self.seen.front().is_some_and(|(at, _)| now >= *at + NEED_MEMORY) {
             self.seen.pop_front();
@@ -164,7 +164,7 @@
 }
 
 fn has_surplus(pool: &Pool) -> bool {
-    !pool.is_spare && !pool.idle.is_empty() && pool.machines > pool.needed + KEPT_MACHINES
+    !pool.is_spare && !pool.idle.is_empty() && pool.machines > pool.needed + SURPLUS_MACHINES
 }
 
 fn most_idle(pools: &BTreeMap<ServiceId, Pool>) -> Option<ServiceId> {
--- a/crates/jobs/src/edges.rs
+++ b/crates/jobs/src/clients.rs
@@ -24,7 +24,7 @@
 
 /// A look at what runs on a worker, which also extends the lease of all that runs there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LookRequest {
+pub struct PollRequest {
     /// The owner's token.
     pub token: FencingToken,
     /// Number up to which ended runs are stored and may be forgotten.
@@ -37,20 +37,20 @@
 
 /// Answer to a look.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct PollResponse {
     /// The worker's clock.
     pub clock: Duration,
     /// Start of the worker's life in Unix time.
-    pub born_unix: Option<Duration>,
+    pub started_unix: Option<Duration>,
     /// What runs.
-    pub running: Vec<RunningRow>,
+    pub running: Vec<RunningRun>,
     /// What has ended and was not acknowledged, in order of number.
-    pub ended: Vec<EndedRow>,
+    pub ended: Vec<EndedRun>,
 }
 
 /// A run in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunningRow {
+pub struct RunningRun {
     /// The task.
     pub task: TaskId,
     /// The run.
@@ -61,12 +61,12 @@
     pub percent: u8,
     /// Tail latency in milliseconds of a task that serves users, else the processor time in use
     /// in thousandths of a core.
-    pub reading: u32,
+    pub load_metric: u32,
 }
 
 /// A run that has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndedRow {
+pub struct EndedRun {
     /// Number of the end, which rises within the worker's life.
     pub number: u64,
     /// The task.
@@ -106,7 +106,7 @@
     /// Number of the run.
     pub run: RunNumber,
     /// Text of the job.
-    pub text: Arc<str>,
+    pub payload: Arc<str>,
     /// Checkpoint to resume from.
     pub checkpoint: Option<Arc<str>>,
     /// Until when everything on the worker may run, on the worker's clock.
@@ -117,7 +117,7 @@
 
 /// Answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderOutcome {
+pub enum CommandOutcome {
     /// It was carried out.
     Accepted,
     /// Nothing was done, for this reason.
@@ -151,7 +151,7 @@
 
 /// Why a look brought nothing.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum LookError {
+pub enum PollError {
     /// Another life answers at this address.
     #[error("another worker answers at this address")]
     OtherLife,
@@ -164,20 +164,20 @@
 }
 
 /// Calls to workers.
-pub trait Workers: Clone + Send + Sync + 'static {
+pub trait WorkerClient: Clone + Send + Sync + 'static {
     /// Looks at what runs on a worker.
-    fn look(
+    fn poll(
         &self,
         worker: &WorkerAddress,
-        request: LookRequest,
-    ) -> impl Future<Output = Result<Look, LookError>> + Send;
+        request: PollRequest,
+    ) -> impl Future<Output = Result<PollResponse, PollError>> + Send;
 
     /// Starts tasks; the outcomes come in the order of the requests, one for each.
     fn start(
         &self,
         worker: &WorkerAddress,
         requests: Vec<StartRequest>,
-    ) -> impl Future<Output = Vec<OrderOutcome>> + Send;
+    ) -> impl Future<Output = Vec<CommandOutcome>> + Send;
 
     /// Stops a run.
     fn stop(
@@ -186,17 +186,17 @@
         task: TaskId,
         run: RunNumber,
         token: FencingToken,
-    ) -> impl Future<Output = OrderOutcome> + Send;
+    ) -> impl Future<Output = CommandOutcome> + Send;
 
     /// Lets a run work at a share of its speed, in percent.
-    fn pace(
+    fn throttle(
         &self,
         worker: &WorkerAddress,
         task: TaskId,
         run: RunNumber,
         percent: u8,
         token: FencingToken,
-    ) -> impl Future<Output = OrderOutcome> + Send;
+    ) -> impl Future<Output = CommandOutcome> + Send;
 
     /// Forgets the connections to a worker that is gone.
     fn forget(&self, worker: &WorkerAddress);
@@ -208,26 +208,26 @@
     /// The worker.
     pub worker: WorkerId,
     /// Proof for the worker.
-    pub text: Arc<str>,
+    pub proof: Arc<str>,
 }
 
 /// Answer of the placement policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Advice {
+pub struct PolicyResponse {
     /// Workers that may run the step.
     pub tickets: Vec<Ticket>,
     /// How long the tickets are valid.
-    pub valid: Duration,
+    pub valid_for: Duration,
 }
 
 /// Questions to the placement policy.
-pub trait Advisor: Clone + Send + Sync + 'static {
+pub trait PolicyClient: Clone + Send + Sync + 'static {
     /// Asks which of some workers may run a step; `None` where no answer came.
-    fn advise(
+    fn request_tickets(
         &self,
         step: StepId,
         workers: Vec<WorkerId>,
-    ) -> impl Future<Output = Option<Advice>> + Send;
+    ) -> impl Future<Output = Option<PolicyResponse>> + Send;
 }
 
 /// Answer to an order to a machine.
@@ -246,7 +246,7 @@
 }
 
 /// Calls to the machines of the fleet.
-pub trait Machines: Clone + Send + Sync + 'static {
+pub trait MachineClient: Clone + Send + Sync + 'static {
     /// Lists all machines; `None` where no answer came.
     fn list(&self) -> impl Future<Output = Option<Vec<Machine>>> + Send;
 
--- a/crates/jobs/src/cluster.rs
+++ b/crates/jobs/src/cluster.rs
@@ -62,24 +62,24 @@
     /// How often a task may fail before its job fails.
     pub attempts_max: u32,
     /// Factor on the longest chain of work that a job may take.
-    pub stretch: f64,
+    pub critical_path_factor: f64,
     /// Time that a job may take beyond that.
     pub latency_objective: Duration,
     /// Whether callers need no key.
     pub is_public: bool,
     /// How tickets for its steps are had, where only some workers may run them.
-    pub advice: Option<AdvicePolicy>,
+    pub placement_policy: Option<PlacementPolicy>,
 }
 
 /// How a queue's placement policy answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AdvicePolicy {
+pub struct PlacementPolicy {
     /// Time that one question takes.
     pub base: Duration,
     /// Time that each worker in a question adds.
     pub per_worker: Duration,
     /// How long a ticket is valid.
-    pub valid: Duration,
+    pub valid_for: Duration,
 }
 
 /// A service: a pool of machines and the workers on them.
@@ -122,7 +122,7 @@
     /// Its id.
     pub id: WorkerId,
     /// Start of its present life in Unix time, where it says so.
-    pub born_unix: Option<Duration>,
+    pub started_unix: Option<Duration>,
     /// Service that it belongs to.
     pub service: ServiceId,
     /// Address at which it takes orders.
@@ -132,7 +132,7 @@
     /// Its kind and its rack, as labels.
     pub labels: Arc<[Arc<str>]>,
     /// Its resources.
-    pub room: Resources,
+    pub capacity: Resources,
     /// Whether it is about to leave.
     pub is_draining: bool,
 }
@@ -173,7 +173,7 @@
     /// Its kind and its rack, as labels.
     pub labels: Vec<Arc<str>>,
     /// Its resources.
-    pub room: Resources,
+    pub capacity: Resources,
 }
 
 /// The operator's request to maintain machines.
@@ -184,7 +184,7 @@
     /// The machines.
     pub machines: Vec<InstanceId>,
     /// Time within which each machine shall have been maintained.
-    pub term: Duration,
+    pub time_limit: Duration,
     /// Most machines that may be maintained at once.
-    pub at_once_max: usize,
+    pub concurrent_max: usize,
 }
--- a/crates/jobs/src/gathering.rs
+++ b/crates/jobs/src/coalescing.rs
@@ -9,30 +9,30 @@
 /// Messages a second from which on news gathers.
 const BUSY_MESSAGES_PER_S: f64 = 500.0;
 /// Time for which news gathers.
-const GATHER_TIME: Duration = Duration::from_millis(4);
+const COALESCING_DELAY: Duration = Duration::from_millis(4);
 /// Time over which messages are counted.
 const COUNT_TIME: Duration = Duration::from_millis(50);
 
 /// The time for which news gathers, shared by the owner's loop, which knows the load, and by the
 /// runtime, which waits. Clones share it.
 #[derive(Debug, Clone, Default)]
-pub struct Gathering {
-    gather_us: Arc<AtomicU64>,
+pub struct WakeupCoalescing {
+    delay_us: Arc<AtomicU64>,
 }
 
-impl Gathering {
+impl WakeupCoalescing {
     /// Lets news gather if the process is busy. The runtime of one thread calls it before it waits
     /// for its sockets: nothing else is to be done then.
     pub fn wait(&self) {
-        let gather_us = self.gather_us.load(Ordering::Relaxed);
-        if gather_us > 0 {
-            std::thread::sleep(Duration::from_micros(gather_us));
+        let delay_us = self.delay_us.load(Ordering::Relaxed);
+        if delay_us > 0 {
+            std::thread::sleep(Duration::from_micros(delay_us));
         }
     }
 
     fn set(&self, time: Duration) {
-        let gather_us = u64::try_from(time.as_micros()).unwrap_or(0);
-        self.gather_us.store(gather_us, Ordering::Relaxed);
+        let delay_us = u64::try_from(time.as_micros()).unwrap_or(0);
+        self.delay_us.store(delay_us, Ordering::Relaxed);
     }
 }
 
@@ -41,24 +41,24 @@
 /// Answers the load pattern of hundreds of workers that answer at any moment: a process that wakes
 /// for each answer spends its time on waking. What comes within a few milliseconds is taken in
 /// together.
-pub fn gather_time(messages_per_s: f64) -> Duration {
-    if messages_per_s < BUSY_MESSAGES_PER_S { Duration::ZERO } else { GATHER_TIME }
+pub fn coalescing_delay(messages_per_s: f64) -> Duration {
+    if messages_per_s < BUSY_MESSAGES_PER_S { Duration::ZERO } else { COALESCING_DELAY }
 }
 
 /// Counts messages and sets the time for which news gathers; none any more once it is dropped.
 #[derive(Debug)]
 pub(crate) struct MessageRate {
-    gathering: Gathering,
+    coalescing: WakeupCoalescing,
     since: Moment,
     messages: u32,
 }
 
 impl MessageRate {
-    pub(crate) fn new(gathering: Gathering, now: Moment) -> Self {
-        Self { gathering, since: now, messages: 0 }
+    pub(crate) fn new(coalescing: WakeupCoalescing, now: Moment) -> Self {
+        Self { coalescing, since: now, messages: 0 }
     }
 
-    pub(crate) fn note_message(&mut self) {
+    pub(crate) fn count_message(&mut self) {
         self.messages += 1;
     }
 
@@ -67,7 +67,7 @@
         if length < COUNT_TIME {
             return;
         }
-        self.gathering.set(gather_time(f64::from(self.messages) / length.as_secs_f64()));
+        self.coalescing.set(coalescing_delay(f64::from(self.messages) / length.as_secs_f64()));
         self.since = now;
         self.messages = 0;
     }
@@ -75,6 +75,6 @@
 
 impl Drop for MessageRate {
     fn drop(&mut self) {
-        self.gathering.set(Duration::ZERO);
+        self.coalescing.set(Duration::ZERO);
     }
 }
--- a/crates/jobs/src/delay.rs
+++ b/crates/jobs/src/delay.rs
@@ -9,23 +9,23 @@
     /// The store has not yet been told that the job begins.
     Store,
     /// It is not known what an earlier owner has started.
-    FormerOwner,
+    PreviousOwner,
     /// Too little time has passed since a run failed or was refused.
     Retry,
     /// The team has as much running as it may.
     Limit,
     /// No worker has room, or none may run the task.
-    Room,
+    Capacity,
 }
 
 /// Time for which a job had ready tasks that waited, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Delays {
     store: Duration,
-    former_owner: Duration,
+    previous_owner: Duration,
     retry: Duration,
     limit: Duration,
-    room: Duration,
+    capacity: Duration,
 }
 
 impl Delays {
@@ -33,10 +33,10 @@
     pub fn add(&mut self, cause: DelayCause, time: Duration) {
         let sum = match cause {
             DelayCause::Store => &mut self.store,
-            DelayCause::FormerOwner => &mut self.former_owner,
+            DelayCause::PreviousOwner => &mut self.previous_owner,
             DelayCause::Retry => &mut self.retry,
             DelayCause::Limit => &mut self.limit,
-            DelayCause::Room => &mut self.room,
+            DelayCause::Capacity => &mut self.capacity,
         };
         *sum += time;
     }
@@ -44,9 +44,9 @@
 
 impl fmt::Display for Delays {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { store, former_owner, retry, limit, room } = self;
+        let Self { store, previous_owner, retry, limit, capacity } = self;
         let ms = Duration::as_millis;
-        write!(f, "store={} former_owner={} ", ms(store), ms(former_owner))?;
-        write!(f, "retry={} limit={} room={}", ms(retry), ms(limit), ms(room))
+        write!(f, "store={} former_owner={} ", ms(store), ms(previous_owner))?;
+        write!(f, "retry={} limit={} room={}", ms(retry), ms(limit), ms(capacity))
     }
 }
--- a/crates/jobs/src/view.rs
+++ b/crates/jobs/src/desired_state.rs
@@ -12,15 +12,15 @@
 
 use crate::cluster::{ClusterConfig, Wave};
 use crate::event::JobsEvent;
-use crate::outage::Outage;
-use crate::site::{Formats, OperatorItem, Site};
+use crate::outage::OutageLog;
+use crate::platform_clients::{Formats, OperatorItem, PlatformClients};
 
 /// Time between two attempts to reach the store.
 const RETRY: Duration = Duration::from_millis(150);
 
 /// What the operator wants, as of one revision.
 #[derive(Debug, Clone, Default)]
-pub struct View {
+pub struct DesiredState {
     /// The configuration; `None` before the first one is known.
     pub config: Option<Arc<ClusterConfig>>,
     /// Revision of the configuration's key.
@@ -35,72 +35,73 @@
 
 /// Publishes the view, and takes in configurations that are found elsewhere.
 #[derive(Debug, Clone)]
-pub struct ViewSender(watch::Sender<Arc<View>>);
+pub struct DesiredStateSender(watch::Sender<Arc<DesiredState>>);
 
-impl ViewSender {
+impl DesiredStateSender {
     /// A sender with an empty view, and a first receiver.
-    pub fn new() -> (Self, watch::Receiver<Arc<View>>) {
+    pub fn new() -> (Self, watch::Receiver<Arc<DesiredState>>) {
         let (sender, receiver) = watch::channel(Arc::default());
         (Self(sender), receiver)
     }
 
     /// Takes over a configuration unless a newer one is in force.
-    pub fn adopt_config(&self, config: ClusterConfig, revision: Revision) {
-        self.0.send_if_modified(|view| {
-            let held = view.config.as_ref().map_or(0, |held| held.version);
-            if revision <= view.config_revision || config.version < held {
+    pub fn apply_config(&self, config: ClusterConfig, revision: Revision) {
+        self.0.send_if_modified(|desired_state| {
+            let held = desired_state.config.as_ref().map_or(0, |held| held.version);
+            if revision <= desired_state.config_revision || config.version < held {
                 return false;
             }
             emit!(JobsEvent::ConfigInForce, version = config.version, revision = revision);
-            let mut next = View::clone(view);
+            let mut next = DesiredState::clone(desired_state);
             next.config = Some(Arc::new(config));
             next.config_revision = revision;
-            *view = Arc::new(next);
+            *desired_state = Arc::new(next);
             true
         });
     }
 
-    fn change(&self, change: impl FnOnce(&mut View)) {
-        self.0.send_modify(|view| {
-            let mut next = View::clone(view);
+    fn change(&self, change: impl FnOnce(&mut DesiredState)) {
+        self.0.send_modify(|desired_state| {
+            let mut next = DesiredState::clone(desired_state);
             change(&mut next);
-            *view = Arc::new(next);
+            *desired_state = Arc::new(next);
         });
     }
 }
 
 /// Follows the operator's keys until it is dropped.
-pub async fn follow<S: Site>(site: S, sender: ViewSender) {
+pub async fn follow<S: PlatformClients>(platform: S, sender: DesiredStateSender) {
     let mut items: BTreeMap<Arc<str>, OperatorItem> = BTreeMap::new();
-    let mut outage = Outage::new("operator's view");
+    let mut outage = OutageLog::new("operator's view");
     loop {
-        if let Err(error) = follow_once(&site, &sender, &mut items, &mut outage).await {
-            outage.note_failure(&error);
+        if let Err(error) = follow_once(&platform, &sender, &mut items, &mut outage).await {
+            outage.record_failure(&error);
         }
         sleep(RETRY).await;
     }
 }
 
-async fn follow_once<S: Site>(
-    site: &S,
-    sender: &ViewSender,
+async fn follow_once<S: PlatformClients>(
+    platform: &S,
+    sender: &DesiredStateSender,
     items: &mut BTreeMap<Arc<str>, OperatorItem>,
-    outage: &mut Outage,
+    outage: &mut OutageLog,
 ) -> Result<(), StoreError> {
     let asked = since_boot();
-    let snapshot = site.store().list(S::Formats::OPERATOR_PREFIX).await?;
-    outage.note_success();
+    let snapshot = platform.store().list(S::Formats::OPERATOR_PREFIX).await?;
+    outage.record_success();
     items.clear();
     for record in &snapshot.records {
-        take_in(site, sender, items, record);
+        take_in(platform, sender, items, record);
     }
     publish(sender, items, asked);
-    let mut changes = site.store().watch(S::Formats::OPERATOR_PREFIX, snapshot.revision).await?;
+    let mut changes =
+        platform.store().watch(S::Formats::OPERATOR_PREFIX, snapshot.revision).await?;
     loop {
         let asked = since_boot();
         for change in changes.next().await? {
             match &change.record {
-                Some(record) => take_in(site, sender, items, record),
+                Some(record) => take_in(platform, sender, items, record),
                 None => drop(items.remove(&change.key)),
             }
         }
@@ -108,20 +109,20 @@
     }
 }
 
-fn take_in<S: Site>(
-    site: &S,
-    sender: &ViewSender,
+fn take_in<S: PlatformClients>(
+    platform: &S,
+    sender: &DesiredStateSender,
     items: &mut BTreeMap<Arc<str>, OperatorItem>,
     record: &Record,
 ) {
-    match site.formats().operator_item(record) {
-        Ok(OperatorItem::Config(config)) => sender.adopt_config(*config, record.revision),
+    match platform.formats().operator_item(record) {
+        Ok(OperatorItem::Config(config)) => sender.apply_config(*config, record.revision),
         Ok(item) => drop(items.insert(record.key.clone(), item)),
         Err(error) => emit!(JobsEvent::ItemUnreadable, key = record.key, error = error),
     }
 }
 
-fn publish(sender: &ViewSender, items: &BTreeMap<Arc<str>, OperatorItem>, asked: Moment) {
+fn publish(sender: &DesiredStateSender, items: &BTreeMap<Arc<str>, OperatorItem>, asked: Moment) {
     let mut evacuated = HashSet::new();
     let mut waves = Vec::new();
     for item in items.values() {
@@ -131,9 +132,9 @@
             OperatorItem::Config(_) | OperatorItem::Other => {}
         }
     }
-    sender.change(|view| {
-        view.evacuated = evacuated;
-        view.waves = waves;
-        view.confirmed = asked;
+    sender.change(|desired_state| {
+        desired_state.evacuated = evacuated;
+        desired_state.waves = waves;
+        desired_state.confirmed = asked;
     });
 }
--- a/crates/jobs/src/estimate.rs
+++ b/crates/jobs/src/estimate.rs
@@ -7,20 +7,20 @@
 
 /// Run times of tasks that ended by themselves.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Durations {
+pub struct RunTimeRatio {
     estimated_s: f64,
     taken_s: f64,
 }
 
-impl Default for Durations {
+impl Default for RunTimeRatio {
     fn default() -> Self {
         Self { estimated_s: 1.0, taken_s: 1.0 }
     }
 }
 
-impl Durations {
+impl RunTimeRatio {
     /// Notes a run that took `taken` where `estimated` was given.
-    pub fn note(&mut self, estimated: Duration, taken: Duration) {
+    pub fn record(&mut self, estimated: Duration, taken: Duration) {
         self.estimated_s += WEIGHT * (estimated.as_secs_f64() - self.estimated_s);
         self.taken_s += WEIGHT * (taken.as_secs_f64() - self.taken_s);
     }
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -25,18 +25,18 @@
     /// Revision at which it was accepted.
     pub accepted_revision: Revision,
     /// When the owner first saw it.
-    pub seen: Moment,
+    pub first_seen: Moment,
     /// What it has come to.
     pub state: JobState,
     /// Whether a worker has begun some task.
     pub has_started: bool,
     /// Whether the store says that tasks may have been started. None is before it does, so that
     /// a later owner can tell which jobs nobody has touched.
-    pub is_announced: bool,
+    pub is_start_stored: bool,
     /// Whether nothing of it can have been started before this tenure.
-    pub is_untouched: bool,
+    pub has_no_prior_runs: bool,
     /// Whether its team had sent more than its weight allows when the job came.
-    pub beyond_weight: bool,
+    pub exceeds_share: bool,
     /// What its ready tasks have waited for.
     pub delays: Delays,
     /// Repetitions that were due and have not ended.
@@ -53,9 +53,9 @@
     /// Its steps.
     pub steps: Vec<Step>,
     /// Longest chain of estimated run times of all its steps.
-    pub chain: Duration,
+    pub critical_path: Duration,
     /// Longest such chain of the steps that are not done.
-    pub chain_left: Duration,
+    pub critical_path_left: Duration,
     /// Estimated work that is not done, in core-seconds.
     pub work_left: f64,
 }
@@ -79,7 +79,7 @@
     /// Whether it is done.
     pub is_done: bool,
     /// Workers on which a run of it is ordered, in progress or being stopped.
-    pub copies: Vec<WorkerSlot>,
+    pub active_runs: Vec<WorkerSlot>,
     /// Number of its last run.
     pub last_run: RunNumber,
     /// Runs that failed.
@@ -87,9 +87,9 @@
     /// Last checkpoint.
     pub checkpoint: Option<Arc<str>>,
     /// Workers to avoid, since it failed or was refused there.
-    pub avoid: Vec<WorkerSlot>,
+    pub avoided_workers: Vec<WorkerSlot>,
     /// When it may be started at the earliest.
-    pub not_before: Moment,
+    pub earliest_start: Moment,
     /// When its last run ended.
     pub last_ended: Option<Moment>,
 }
@@ -97,7 +97,7 @@
 impl Task {
     /// Whether it has neither ended nor any run in progress.
     pub fn is_waiting(&self) -> bool {
-        !self.is_done && self.copies.is_empty()
+        !self.is_done && self.active_runs.is_empty()
     }
 
     /// Whether there is anything to keep about it.
@@ -120,12 +120,12 @@
             id,
             record: Arc::new(record),
             accepted_revision,
-            seen: now,
+            first_seen: now,
             state: stored,
-            has_started: state.is_some_and(StateRecord::tells_of_a_run),
-            is_announced: stored != JobState::Queued,
-            is_untouched: stored == JobState::Queued,
-            beyond_weight: false,
+            has_started: state.is_some_and(StateRecord::has_started_task),
+            is_start_stored: stored != JobState::Queued,
+            has_no_prior_runs: stored == JobState::Queued,
+            exceeds_share: false,
             delays: Delays::default(),
             occurrences: BTreeMap::new(),
             ended: state.map(|state| state.ended.clone()).unwrap_or_default(),
@@ -138,23 +138,23 @@
     }
 
     /// Whether its tasks may start as soon as the store says so.
-    pub fn waits_for_announcement(&self) -> bool {
-        self.state == JobState::Running && !self.is_announced
+    pub fn awaits_start_write(&self) -> bool {
+        self.state == JobState::Running && !self.is_start_stored
     }
 
     /// Begins a repetition, with what the store holds of its tasks.
-    pub fn begin(
+    pub fn start_occurrence(
         &mut self,
         number: OccurrenceNumber,
         stored: Option<&StateRecord>,
-        run_base: RunNumber,
+        run_number_base: RunNumber,
         now: Moment,
     ) {
         if self.ended.contains(&number) || self.occurrences.contains_key(&number) {
             return;
         }
         let make = |step: &StepSpec| Step {
-            tasks: vec![Task { last_run: run_base, ..Task::default() }; step.tasks as usize],
+            tasks: vec![Task { last_run: run_number_base, ..Task::default() }; step.tasks as usize],
             done: 0,
             is_ready: false,
             ready_since: now,
@@ -163,8 +163,8 @@
         let mut occurrence = Occurrence {
             due: now,
             steps,
-            chain: Duration::ZERO,
-            chain_left: Duration::ZERO,
+            critical_path: Duration::ZERO,
+            critical_path_left: Duration::ZERO,
             work_left: 0.0,
         };
         let records = stored.map_or(&[][..], |state| &state.tasks);
@@ -172,12 +172,12 @@
             let Some(step) = occurrence.steps.get_mut(usize::from(row.step)) else { continue };
             let Some(task) = step.tasks.get_mut(row.index as usize) else { continue };
             task.is_done = row.done;
-            task.last_run = row.last_run.max(run_base);
+            task.last_run = row.last_run.max(run_number_base);
             task.failed_runs = row.failed_runs.clone();
             task.checkpoint = row.checkpoint.clone();
             step.done += u32::from(row.done);
         }
-        occurrence.measure(&self.record.spec.steps);
+        occurrence.update_remaining(&self.record.spec.steps);
         self.occurrences.insert(number, occurrence);
     }
 
@@ -222,9 +222,9 @@
     }
 
     /// Works out anew what is left of a repetition.
-    pub fn measure(&mut self, number: OccurrenceNumber) {
+    pub fn update_remaining(&mut self, number: OccurrenceNumber) {
         if let Some(occurrence) = self.occurrences.get_mut(&number) {
-            occurrence.measure(&self.record.spec.steps);
+            occurrence.update_remaining(&self.record.spec.steps);
         }
     }
 
@@ -241,22 +241,22 @@
     /// Runs of its tasks that are ordered, in progress or being stopped.
     ///
     /// Those of a repetition that has ended are not among them: they were ordered to end then.
-    pub fn copies(&self) -> Vec<(WorkerSlot, TaskId)> {
-        let mut copies = Vec::new();
+    pub fn active_runs(&self) -> Vec<(WorkerSlot, TaskId)> {
+        let mut active_runs = Vec::new();
         for (occurrence, contents) in &self.occurrences {
             for (step, contents) in (0..).zip(&contents.steps) {
                 let step = StepId { job: self.id, occurrence: *occurrence, step };
                 for (index, task) in (0..).zip(&contents.tasks) {
                     let task_id = TaskId { step, index };
-                    copies.extend(task.copies.iter().map(|slot| (*slot, task_id)));
+                    active_runs.extend(task.active_runs.iter().map(|slot| (*slot, task_id)));
                 }
             }
         }
-        copies
+        active_runs
     }
 
     /// The job's state as it shall lie in the store.
-    pub fn to_state(&self) -> StateRecord {
+    pub fn to_state_record(&self) -> StateRecord {
         let mut tasks = Vec::new();
         if self.is_live() {
             for (occurrence, contents) in &self.occurrences {
@@ -274,19 +274,19 @@
 
 impl Occurrence {
     /// Works out what is left of it, after tasks of its steps have ended as done.
-    pub fn measure(&mut self, specs: &[StepSpec]) {
-        self.chain = self.longest_chain(specs, true);
-        self.chain_left = self.longest_chain(specs, false);
+    pub fn update_remaining(&mut self, specs: &[StepSpec]) {
+        self.critical_path = self.longest_path(specs, true);
+        self.critical_path_left = self.longest_path(specs, false);
         let each = self.steps.iter().zip(specs).map(|(step, spec)| {
             let open = spec.tasks.saturating_sub(step.done);
-            let cores = f64::from(spec.needs.processors_milli) / 1_000.0;
+            let cores = f64::from(spec.task_resources.processors_milli) / 1_000.0;
             f64::from(open) * cores * spec.estimate.as_secs_f64()
         });
         self.work_left = each.sum();
     }
 
     /// The longest chain of estimated run times; of all steps, or of those that are not done.
-    fn longest_chain(&self, specs: &[StepSpec], with_done: bool) -> Duration {
+    fn longest_path(&self, specs: &[StepSpec], with_done: bool) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for (step, spec) in self.steps.iter().zip(specs) {
             let begins = spec.after.iter().filter_map(|earlier| ends.get(usize::from(*earlier)));
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,25 +1,25 @@
 //! Jobs of many tasks: accepted once by any entry instance, placed on workers by one owner, and
 //! kept in the platform's store.
 
+pub mod api;
 pub mod arrivals;
 pub mod balance;
+pub mod clients;
 pub mod cluster;
+pub mod coalescing;
 pub mod delay;
-pub mod desk;
-pub mod edges;
+pub mod desired_state;
 pub mod estimate;
 pub mod event;
-pub mod gathering;
 pub mod job;
 pub mod metrics;
-pub mod order;
 pub mod outage;
 pub mod owner;
-pub mod pace;
 pub mod placement;
+pub mod platform_clients;
 pub mod record;
 pub mod scheduler;
-pub mod site;
 pub mod spec;
-pub mod view;
+pub mod step_order;
+pub mod throttle;
 pub mod worker;
--- a/crates/jobs/src/metrics.rs
+++ b/crates/jobs/src/metrics.rs
@@ -14,8 +14,8 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
+use crate::clients::{CommandOutcome, MachineOutcome, RunEnd};
 use crate::cluster::QueueId;
-use crate::edges::{MachineOutcome, OrderOutcome, RunEnd};
 
 /// Upper bound of the first bucket of durations, in seconds.
 const FIRST_BUCKET_S: f64 = 0.002;
@@ -47,9 +47,9 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Durations;
+struct DurationBuckets;
 
-impl MetricConstructor<Histogram> for Durations {
+impl MetricConstructor<Histogram> for DurationBuckets {
     fn new_metric(&self) -> Histogram {
         Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS))
     }
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone)]
 pub struct JobsMetrics {
     calls: Family<CallLabels, Counter>,
-    call_seconds: Family<OutcomeLabels, Histogram, Durations>,
+    call_seconds: Family<OutcomeLabels, Histogram, DurationBuckets>,
     orders: Family<OutcomeLabels, Counter>,
     ends: Family<OutcomeLabels, Counter>,
     tenures: Counter,
@@ -71,7 +71,7 @@
     fn default() -> Self {
         Self {
             calls: Family::default(),
-            call_seconds: Family::new_with_constructor(Durations),
+            call_seconds: Family::new_with_constructor(DurationBuckets),
             orders: Family::default(),
             ends: Family::default(),
             tenures: Counter::default(),
@@ -103,7 +103,7 @@
     }
 
     /// Counts a caller's request.
-    pub fn note_call(
+    pub fn record_call(
         &self,
         call: &'static str,
         queue: Option<&QueueId>,
@@ -119,18 +119,18 @@
     }
 
     /// Counts an order to a worker.
-    pub fn note_order(&self, order: &'static str, outcome: OrderOutcome) {
+    pub fn count_command(&self, order: &'static str, outcome: CommandOutcome) {
         let outcome = match outcome {
-            OrderOutcome::Accepted => "accepted",
-            OrderOutcome::Refused(_) => "refused",
-            OrderOutcome::NotSent => "not_sent",
-            OrderOutcome::Unknown => "unknown",
+            CommandOutcome::Accepted => "accepted",
+            CommandOutcome::Refused(_) => "refused",
+            CommandOutcome::NotSent => "not_sent",
+            CommandOutcome::Unknown => "unknown",
         };
         self.orders.get_or_create(&OutcomeLabels { order, outcome }).inc();
     }
 
     /// Counts an order to a machine.
-    pub fn note_machine(&self, order: &'static str, outcome: MachineOutcome) {
+    pub fn count_machine_command(&self, order: &'static str, outcome: MachineOutcome) {
         let outcome = match outcome {
             MachineOutcome::Accepted => "accepted",
             MachineOutcome::Busy => "busy",
@@ -142,13 +142,13 @@
     }
 
     /// Counts a look at a worker.
-    pub fn note_look(&self, is_answered: bool) {
+    pub fn count_poll(&self, is_answered: bool) {
         let outcome = if is_answered { "answered" } else { "failed" };
         self.orders.get_or_create(&OutcomeLabels { order: "look", outcome }).inc();
     }
 
     /// Counts the end of a run.
-    pub fn note_end(&self, end: RunEnd) {
+    pub fn count_run_end(&self, end: RunEnd) {
         let outcome = match end {
             RunEnd::Done => "done",
             RunEnd::Failed => "failed",
@@ -161,7 +161,7 @@
     }
 
     /// Notes that this instance has become the owner, or is no longer.
-    pub fn note_owner(&self, owns: bool) {
+    pub fn set_is_owner(&self, owns: bool) {
         self.owns.set(i64::from(owns));
         if owns {
             self.tenures.inc();
@@ -169,7 +169,7 @@
     }
 
     /// Notes the configuration in force.
-    pub fn note_config(&self, version: u64) {
+    pub fn set_config_version(&self, version: u64) {
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 }
--- a/crates/jobs/src/outage.rs
+++ b/crates/jobs/src/outage.rs
@@ -7,19 +7,19 @@
 
 /// Whether the store answers one of its users.
 #[derive(Debug)]
-pub struct Outage {
+pub struct OutageLog {
     user: &'static str,
     failures: u64,
 }
 
-impl Outage {
+impl OutageLog {
     /// No outage, for a user of the store.
     pub fn new(user: &'static str) -> Self {
         Self { user, failures: 0 }
     }
 
     /// Notes a failed call.
-    pub fn note_failure(&mut self, error: &StoreError) {
+    pub fn record_failure(&mut self, error: &StoreError) {
         if self.failures == 0 {
             emit!(JobsEvent::StoreLost, user = self.user, error = error);
         }
@@ -27,7 +27,7 @@
     }
 
     /// Notes a call that succeeded.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         if self.failures > 0 {
             emit!(JobsEvent::StoreRegained, user = self.user, failures = self.failures);
         }
--- a/crates/jobs/src/owner.rs
+++ b/crates/jobs/src/owner.rs
@@ -5,11 +5,11 @@
 //! Orders are given only while the lease surely holds. A later owner waits for what an earlier
 //! one may have started at workers that do not answer.
 
-mod carry;
 mod claim;
-mod follow;
+mod execute;
 mod load;
 mod usage;
+mod watch_store;
 mod write;
 
 use std::sync::Arc;
@@ -22,18 +22,18 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::AbortOnDropHandle;
 
-use self::carry::Outcome;
 use self::claim::Ownership;
-use self::follow::{Followed, Inbox, Listing, Reports};
+use self::execute::Outcome;
 use self::usage::{Usage, Work};
+use self::watch_store::{Followed, Inbox, Listing, Reports};
 use self::write::{Writer, Written};
-use crate::edges::Workers;
+use crate::clients::WorkerClient;
+use crate::coalescing::{MessageRate, WakeupCoalescing};
+use crate::desired_state::DesiredState;
 use crate::event::JobsEvent;
-use crate::gathering::{Gathering, MessageRate};
 use crate::metrics::JobsMetrics;
+use crate::platform_clients::PlatformClients;
 use crate::scheduler::{Scheduler, SchedulerSettings};
-use crate::site::Site;
-use crate::view::View;
 
 /// Time between the begins of two writes of states that nobody waits for.
 const WRITE_INTERVAL: Duration = Duration::from_millis(120);
@@ -64,26 +64,26 @@
     /// Metrics.
     pub metrics: JobsMetrics,
     /// How long the process lets news gather while it owns.
-    pub gathering: Gathering,
+    pub coalescing: WakeupCoalescing,
 }
 
 /// Claims the ownership whenever it is free and places jobs while it holds, until `stop`.
-pub async fn campaign<S: Site>(
-    site: S,
+pub async fn campaign<S: PlatformClients>(
+    platform: S,
     settings: OwnerSettings,
-    views: watch::Receiver<Arc<View>>,
+    desired_states: watch::Receiver<Arc<DesiredState>>,
     stop: CancellationToken,
 ) {
     loop {
         let claimed = tokio::select! {
-            claimed = claim::claim(&site, &settings) => claimed,
+            claimed = claim::claim(&platform, &settings) => claimed,
             () = stop.cancelled() => return,
         };
         let token = claimed.token;
         emit!(JobsEvent::OwnerBegan, token = token);
-        settings.metrics.note_owner(true);
-        let reason = place(&site, &settings, views.clone(), claimed, &stop).await;
-        settings.metrics.note_owner(false);
+        settings.metrics.set_is_owner(true);
+        let reason = place(&platform, &settings, desired_states.clone(), claimed, &stop).await;
+        settings.metrics.set_is_owner(false);
         emit!(JobsEvent::OwnerEnded, token = token, reason = reason);
     }
 }
@@ -96,8 +96,8 @@
 }
 
 /// A tenure in progress.
-struct Office<S: Site> {
-    site: S,
+struct Office<S: PlatformClients> {
+    platform: S,
     scheduler: Scheduler,
     lease: LeaseValidity,
     sender: mpsc::Sender<Message>,
@@ -111,15 +111,15 @@
     rate: MessageRate,
 }
 
-async fn place<S: Site>(
-    site: &S,
+async fn place<S: PlatformClients>(
+    platform: &S,
     settings: &OwnerSettings,
-    mut views: watch::Receiver<Arc<View>>,
+    mut desired_states: watch::Receiver<Arc<DesiredState>>,
     ownership: Ownership<S>,
     stop: &CancellationToken,
 ) -> &'static str {
     let Ownership { lease, token } = ownership;
-    let loading = load::load(site, settings.scheduler, token, &settings.instance);
+    let loading = load::load(platform, settings.scheduler, token, &settings.instance);
     let loaded = tokio::select! {
         loaded = loading => loaded,
         () = lease.ended() => return "lease ended while loading",
@@ -130,26 +130,31 @@
     };
     let (sender, mut messages) = mpsc::channel(QUEUE_LENGTH);
     let mut office = Office {
-        site: site.clone(),
+        platform: platform.clone(),
         scheduler: loaded.scheduler,
         lease: lease.validity(),
         workers: Listing::new(loaded.workers),
-        writer: Writer::new(site.clone(), token, loaded.sequences),
+        writer: Writer::new(platform.clone(), token, loaded.sequences),
         sender: sender.clone(),
         written: since_boot(),
         machines_asked: None,
         is_fenced: false,
         metrics: settings.metrics.clone(),
         usage: Usage::new(since_boot()),
-        rate: MessageRate::new(settings.gathering.clone(), since_boot()),
+        rate: MessageRate::new(settings.coalescing.clone(), since_boot()),
     };
-    let reports = Reports { site: site.clone() };
+    let reports = Reports { platform: platform.clone() };
     let _following = [
-        spawn(follow::follow(site.clone(), Inbox, loaded.inbox_revision, sender.clone())),
-        spawn(follow::follow(site.clone(), reports, loaded.workers_revision, sender)),
+        spawn(watch_store::watch_store(
+            platform.clone(),
+            Inbox,
+            loaded.inbox_revision,
+            sender.clone(),
+        )),
+        spawn(watch_store::watch_store(platform.clone(), reports, loaded.workers_revision, sender)),
     ];
-    office.take_view(&views.borrow_and_update().clone());
-    office.workers.read_first(site);
+    office.apply_desired_state(&desired_states.borrow_and_update().clone());
+    office.workers.read_first(platform);
     office.list_workers();
     let reason = loop {
         let now = since_boot();
@@ -159,9 +164,9 @@
                 Some(message) => Some(message),
                 None => break "queue closed",
             },
-            changed = views.changed() => match changed {
+            changed = desired_states.changed() => match changed {
                 Ok(()) => {
-                    office.take_view(&views.borrow_and_update().clone());
+                    office.apply_desired_state(&desired_states.borrow_and_update().clone());
                     None
                 }
                 Err(_) => break "view closed",
@@ -174,7 +179,7 @@
         if office.is_fenced {
             break "a later owner was obeyed";
         }
-        office.usage.note_pass(due, since_boot());
+        office.usage.record_pass(due, since_boot());
         office.act();
     };
     if stop.is_cancelled() {
@@ -200,14 +205,14 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-impl<S: Site> Office<S> {
-    fn take_view(&mut self, view: &View) {
+impl<S: PlatformClients> Office<S> {
+    fn apply_desired_state(&mut self, desired_state: &DesiredState) {
         let now = since_boot();
-        if let Some(config) = &view.config {
-            self.scheduler.configure(config.clone());
+        if let Some(config) = &desired_state.config {
+            self.scheduler.set_config(config.clone());
         }
-        self.scheduler.evacuate(view.evacuated.clone());
-        self.scheduler.set_waves(&view.waves, now);
+        self.scheduler.set_evacuated_zones(desired_state.evacuated.clone());
+        self.scheduler.set_waves(&desired_state.waves, now);
     }
 
     /// Takes in a message and all others that have come.
@@ -216,11 +221,11 @@
         let mut next = first;
         while let Some(message) = next.or_else(|| messages.try_recv().ok()) {
             self.take_in(message);
-            self.usage.note_message();
-            self.rate.note_message();
+            self.usage.count_message();
+            self.rate.count_message();
             next = None;
         }
-        self.usage.note(Work::TakeIn, begun);
+        self.usage.record(Work::TakeIn, begun);
     }
 
     fn take_in(&mut self, message: Message) {
@@ -238,7 +243,7 @@
                 self.scheduler.add_job(id, *record, revision, None, now);
             }
             Followed::Cancel(id) => self.scheduler.cancel(id, now),
-            Followed::Workers(change) => {
+            Followed::WorkerEntries(change) => {
                 self.workers.apply(change, now);
                 self.scheduler.set_workers(self.workers.entries(now), now);
             }
@@ -258,25 +263,25 @@
             self.scheduler.set_workers(self.workers.entries(now), now);
         }
         if self.lease.is_valid() {
-            let orders = self.scheduler.plan(unix_now(), now);
-            let planned = self.usage.note(Work::Plan, now);
-            self.carry_out(orders, now);
+            let commands = self.scheduler.plan(unix_now(), now);
+            let planned = self.usage.record(Work::Plan, now);
+            self.carry_out(commands, now);
             self.list_machines(now);
-            self.usage.note(Work::CarryOut, planned);
+            self.usage.record(Work::CarryOut, planned);
         }
         let begun = since_boot();
         self.write(now);
-        self.usage.note(Work::Write, begun);
-        for address in self.scheduler.take_lost() {
-            self.site.workers().forget(&address);
+        self.usage.record(Work::Write, begun);
+        for address in self.scheduler.take_retired_addresses() {
+            self.platform.workers().forget(&address);
         }
         self.usage.report(now, || self.scheduler.backlog(now));
     }
 
     /// Closes the connections to all workers: the next owner has its own.
     fn close(self) {
-        for address in self.scheduler.addresses() {
-            self.site.workers().forget(address);
+        for address in self.scheduler.active_addresses() {
+            self.platform.workers().forget(address);
         }
     }
 
--- a/crates/jobs/src/owner/claim.rs
+++ b/crates/jobs/src/owner/claim.rs
@@ -10,15 +10,15 @@
 use tokio::time::sleep;
 
 use super::OwnerSettings;
-use crate::edges::FencingToken;
+use crate::clients::FencingToken;
+use crate::platform_clients::PlatformClients;
 use crate::record::OWNER_KEY;
-use crate::site::Site;
 
 /// Time between two attempts to reach the store.
 const RETRY: Duration = Duration::from_millis(120);
 
 /// A claimed ownership.
-pub(super) struct Ownership<S: Site> {
+pub(super) struct Ownership<S: PlatformClients> {
     /// Lease under which it lies.
     pub(super) lease: LeaseKeeper<S::Store>,
     /// Revision at which it was claimed.
@@ -29,9 +29,12 @@
 ///
 /// It is left to stronger instances for a while however it was found free: after a power-off of
 /// all, or an outage of the store, all instances come at once.
-pub(super) async fn claim<S: Site>(site: &S, settings: &OwnerSettings) -> Ownership<S> {
+pub(super) async fn claim<S: PlatformClients>(
+    platform: &S,
+    settings: &OwnerSettings,
+) -> Ownership<S> {
     loop {
-        match try_claim(site, settings).await {
+        match try_claim(platform, settings).await {
             Ok(Some(ownership)) => return ownership,
             Ok(None) => {}
             Err(_) => sleep(RETRY).await,
@@ -39,23 +42,23 @@
     }
 }
 
-async fn try_claim<S: Site>(
-    site: &S,
+async fn try_claim<S: PlatformClients>(
+    platform: &S,
     settings: &OwnerSettings,
 ) -> Result<Option<Ownership<S>>, StoreError> {
-    let snapshot = site.store().list(OWNER_KEY).await?;
+    let snapshot = platform.store().list(OWNER_KEY).await?;
     // The key of a former process of this instance: that process is over.
     let own =
         snapshot.records.first().filter(|record| instance_of(record) == Some(&*settings.instance));
     if own.is_none() && !snapshot.records.is_empty() {
-        wait_until_free(site, snapshot.revision).await?;
+        wait_until_free(platform, snapshot.revision).await?;
     }
     let random = settings.claim_delay_max.mul_f64(rand::random());
     sleep(settings.claim_delay + random).await;
     let compare = own.map_or(Compare::Absent, |record| Compare::Revision(record.revision));
-    let lease = LeaseKeeper::start(site.store().clone(), settings.lease_ttl).await?;
+    let lease = LeaseKeeper::start(platform.store().clone(), settings.lease_ttl).await?;
     let claim: Arc<str> = format!("{} {:016x}", settings.instance, rand::random::<u64>()).into();
-    let token = write_claim(site, compare, &claim, lease.id()).await?;
+    let token = write_claim(platform, compare, &claim, lease.id()).await?;
     Ok(token.map(|token| Ownership { lease, token }))
 }
 
@@ -63,8 +66,11 @@
     std::str::from_utf8(&record.value).ok()?.split(' ').next()
 }
 
-async fn wait_until_free<S: Site>(site: &S, after: Revision) -> Result<(), StoreError> {
-    let mut changes = site.store().watch(OWNER_KEY, after).await?;
+async fn wait_until_free<S: PlatformClients>(
+    platform: &S,
+    after: Revision,
+) -> Result<(), StoreError> {
+    let mut changes = platform.store().watch(OWNER_KEY, after).await?;
     loop {
         if changes.next().await?.iter().any(|change| change.record.is_none()) {
             return Ok(());
@@ -73,8 +79,8 @@
 }
 
 /// Writes a claim; where the answer is lost the key tells whether it was written.
-async fn write_claim<S: Site>(
-    site: &S,
+async fn write_claim<S: PlatformClients>(
+    platform: &S,
     compare: Compare,
     claim: &Arc<str>,
     lease: i64,
@@ -84,11 +90,11 @@
         claim.as_bytes().to_vec(),
         Some(lease),
     );
-    match site.store().commit(transaction).await {
+    match platform.store().commit(transaction).await {
         Ok(TransactionOutcome::Written(revision)) => Ok(Some(revision)),
         Ok(TransactionOutcome::Conflict(_)) => Ok(None),
         Err(StoreError::OutcomeUnknown(_)) => {
-            let record = site.store().get(OWNER_KEY).await?;
+            let record = platform.store().get(OWNER_KEY).await?;
             let own = record.filter(|record| record.value == claim.as_bytes());
             Ok(own.map(|record| record.revision))
         }
--- /dev/null
+++ b/crates/jobs/src/owner/execute.rs
@@ -0,0 +1,240 @@
+//! Carrying out orders, each as a task of its own.
+
+use std::collections::BTreeMap;
+use std::future::Future;
+
+use cassiafold_platform::{Moment, since_boot};
+
+use super::{MACHINES_INTERVAL, Message, Office};
+use crate::clients::{
+    CommandOutcome, MachineClient, MachineOutcome, PolicyClient, PolicyResponse, PollError,
+    PollResponse, Refusal, StartRequest, WorkerClient,
+};
+use crate::cluster::Machine;
+use crate::job::WorkerSlot;
+use crate::platform_clients::PlatformClients;
+use crate::scheduler::{Command, MachineCommand, PolicyQuery};
+use crate::spec::{RunNumber, TaskId};
+
+/// What came of an order.
+pub(super) enum Outcome {
+    Poll {
+        worker: WorkerSlot,
+        is_out_of_band: bool,
+        sent: Moment,
+        result: Result<PollResponse, PollError>,
+    },
+    Starts {
+        worker: WorkerSlot,
+        starts: Vec<(TaskId, RunNumber, CommandOutcome)>,
+    },
+    Stop {
+        worker: WorkerSlot,
+        task: TaskId,
+        run: RunNumber,
+        outcome: CommandOutcome,
+    },
+    Throttle(CommandOutcome),
+    Policy {
+        query: PolicyQuery,
+        response: Option<PolicyResponse>,
+        sent: Moment,
+    },
+    Machine {
+        command: MachineCommand,
+        outcome: MachineOutcome,
+    },
+    MachineList {
+        machines: Option<Vec<Machine>>,
+        sent: Moment,
+    },
+}
+
+impl<S: PlatformClients> Office<S> {
+    /// Runs a call and sends what came of it to the loop.
+    fn run(&self, call: impl Future<Output = Outcome> + Send + 'static) {
+        let sender = self.sender.clone();
+        tokio::spawn(async move {
+            let outcome = call.await;
+            // The loop that gave the order may be over.
+            let _ = sender.send(Message::Outcome(outcome)).await;
+        });
+    }
+
+    /// Carries out orders; the starts on one worker go together.
+    pub(super) fn carry_out(&mut self, commands: Vec<Command>, now: Moment) {
+        let mut starts: BTreeMap<WorkerSlot, Vec<StartRequest>> = BTreeMap::new();
+        for command in commands {
+            match command {
+                Command::Poll { worker, is_out_of_band } => self.poll(worker, is_out_of_band, now),
+                Command::Start { worker, task, run, ticket } => {
+                    match self.scheduler.start_request(worker, task, run, ticket, now) {
+                        Some(request) => starts.entry(worker).or_default().push(request),
+                        None => {
+                            let outcome = CommandOutcome::NotSent;
+                            self.scheduler.handle_start_outcome(worker, task, run, outcome, now);
+                        }
+                    }
+                }
+                Command::Stop { worker, task, run } => self.stop(worker, task, run),
+                Command::Throttle { worker, task, run, percent } => {
+                    self.throttle(worker, task, run, percent);
+                }
+                Command::QueryPolicy(query) => self.query_policy(query),
+                Command::Machine(command) => self.command_machine(command),
+            }
+        }
+        for (worker, requests) in starts {
+            self.start(worker, requests);
+        }
+    }
+
+    fn throttle(&mut self, worker: WorkerSlot, task: TaskId, run: RunNumber, percent: u8) {
+        let (workers, token) = (self.platform.workers().clone(), self.scheduler.token());
+        let address = self.scheduler.worker(worker).address.clone();
+        self.run(async move {
+            Outcome::Throttle(workers.throttle(&address, task, run, percent, token).await)
+        });
+    }
+
+    fn query_policy(&mut self, query: PolicyQuery) {
+        let policy = self.platform.policy().clone();
+        self.run(async move {
+            let sent = since_boot();
+            let response = policy.request_tickets(query.step, query.workers.clone()).await;
+            Outcome::Policy { query, response, sent }
+        });
+    }
+
+    fn poll(&mut self, worker: WorkerSlot, is_out_of_band: bool, now: Moment) {
+        let request = self.scheduler.poll_request(worker, is_out_of_band, now);
+        let address = self.scheduler.worker(worker).address.clone();
+        let workers = self.platform.workers().clone();
+        self.run(async move {
+            let sent = since_boot();
+            let result = workers.poll(&address, request).await;
+            Outcome::Poll { worker, is_out_of_band, sent, result }
+        });
+    }
+
+    fn start(&mut self, worker: WorkerSlot, requests: Vec<StartRequest>) {
+        let address = self.scheduler.worker(worker).address.clone();
+        let (workers, lease) = (self.platform.workers().clone(), self.lease.clone());
+        self.run(async move {
+            let runs: Vec<(TaskId, RunNumber)> =
+                requests.iter().map(|request| (request.task, request.run)).collect();
+            let outcomes = match lease.is_valid() {
+                true => workers.start(&address, requests).await,
+                false => vec![CommandOutcome::NotSent; runs.len()],
+            };
+            let starts = runs.into_iter().zip(outcomes);
+            let starts = starts.map(|((task, run), outcome)| (task, run, outcome)).collect();
+            Outcome::Starts { worker, starts }
+        });
+    }
+
+    fn stop(&mut self, worker: WorkerSlot, task: TaskId, run: RunNumber) {
+        let (workers, token) = (self.platform.workers().clone(), self.scheduler.token());
+        let address = self.scheduler.worker(worker).address.clone();
+        self.run(async move {
+            let outcome = workers.stop(&address, task, run, token).await;
+            Outcome::Stop { worker, task, run, outcome }
+        });
+    }
+
+    fn command_machine(&mut self, command: MachineCommand) {
+        let (machines, token) = (self.platform.machines().clone(), self.scheduler.token());
+        let lease = self.lease.clone();
+        self.run(async move {
+            let outcome = match &command {
+                _ if !lease.is_valid() => MachineOutcome::Busy,
+                MachineCommand::Maintain { machine, wave } => {
+                    machines.maintain(machine.clone(), *wave, token).await
+                }
+                MachineCommand::Move { machine, service } => {
+                    machines.move_to(machine.clone(), service.clone(), token).await
+                }
+            };
+            Outcome::Machine { command, outcome }
+        });
+    }
+
+    /// Asks for the machines, if they are needed and the last answer is old.
+    pub(super) fn list_machines(&mut self, now: Moment) {
+        let is_due = self.machines_asked.is_none_or(|at| now >= at + MACHINES_INTERVAL)
+            || self.scheduler.take_machine_list_request();
+        if !is_due || !self.scheduler.needs_machine_list() {
+            return;
+        }
+        self.machines_asked = Some(now);
+        let machines = self.platform.machines().clone();
+        self.run(async move {
+            let sent = since_boot();
+            Outcome::MachineList { machines: machines.list().await, sent }
+        });
+    }
+
+    /// Counts what came of an order.
+    fn count(&self, outcome: &Outcome) {
+        match outcome {
+            Outcome::Poll { result, .. } => {
+                self.metrics.count_poll(result.is_ok());
+                for row in result.iter().flat_map(|poll| &poll.ended) {
+                    self.metrics.count_run_end(row.end);
+                }
+            }
+            Outcome::Starts { starts, .. } => {
+                for (_, _, outcome) in starts {
+                    self.metrics.count_command("start", *outcome);
+                }
+            }
+            Outcome::Stop { outcome, .. } => self.metrics.count_command("stop", *outcome),
+            Outcome::Throttle(outcome) => self.metrics.count_command("pace", *outcome),
+            Outcome::Machine { command: MachineCommand::Maintain { .. }, outcome } => {
+                self.metrics.count_machine_command("maintain", *outcome);
+            }
+            Outcome::Machine { command: MachineCommand::Move { .. }, outcome } => {
+                self.metrics.count_machine_command("move", *outcome);
+            }
+            Outcome::Policy { .. } | Outcome::MachineList { .. } => {}
+        }
+    }
+
+    pub(super) fn take_outcome(&mut self, outcome: Outcome, now: Moment) {
+        self.count(&outcome);
+        match outcome {
+            Outcome::Poll { worker, is_out_of_band, sent, result: Ok(poll) } => {
+                self.usage.count_poll(self.scheduler.has_only_known_ends(worker, &poll));
+                self.scheduler.handle_poll_response(worker, is_out_of_band, sent, now, poll);
+            }
+            Outcome::Poll { worker, is_out_of_band, result: Err(error), .. } => {
+                self.is_fenced |= error == PollError::Fenced;
+                self.scheduler.handle_poll_failure(worker, is_out_of_band, &error, now);
+            }
+            Outcome::Starts { worker, starts } => {
+                for (task, run, outcome) in starts {
+                    self.is_fenced |= outcome == CommandOutcome::Refused(Refusal::Fenced);
+                    self.scheduler.handle_start_outcome(worker, task, run, outcome, now);
+                }
+            }
+            Outcome::Stop { worker, task, run, outcome } => {
+                self.is_fenced |= outcome == CommandOutcome::Refused(Refusal::Fenced);
+                self.scheduler.handle_stop_outcome(worker, task, run, outcome, now);
+            }
+            Outcome::Throttle(outcome) => {
+                self.is_fenced |= outcome == CommandOutcome::Refused(Refusal::Fenced);
+            }
+            Outcome::Policy { query, response, sent } => {
+                self.scheduler.handle_policy_response(&query, response, sent, now);
+            }
+            Outcome::Machine { command, outcome } => {
+                self.scheduler.handle_machine_outcome(&command, outcome, now);
+            }
+            Outcome::MachineList { machines: Some(machines), sent } => {
+                self.scheduler.set_machines(machines, sent, now);
+            }
+            // The next list is asked for after the usual time.
+            Outcome::MachineList { machines: None, .. } => {}
+        }
+    }
+}
--- a/crates/jobs/src/owner/load.rs
+++ b/crates/jobs/src/owner/load.rs
@@ -15,16 +15,16 @@
 
 use super::unix_now;
 use super::write::Sequence;
-use crate::edges::FencingToken;
+use crate::clients::FencingToken;
 use crate::event::JobsEvent;
-use crate::outage::Outage;
+use crate::outage::OutageLog;
+use crate::platform_clients::{Formats, PlatformClients};
 use crate::record::{
-    CANCEL_PREFIX, CHAINS, INBOX_PREFIX, JOB_PREFIX, JobRecord, KnownWorker, ORDERED_KEY,
-    OWNER_KEY, OrderedRecord, SEQUENCE_KEY, STATE_PREFIX, StateRecord, WAVES_KEY, WORKERS_PREFIX,
-    WavesRecord, job_of, sequence_key,
+    CANCEL_PREFIX, COMMANDED_MACHINES_KEY, CommandedMachinesRecord, INBOX_PREFIX, JOB_PREFIX,
+    JobRecord, OWNER_KEY, SEQUENCE_KEY, STATE_PREFIX, StateRecord, WAVES_KEY, WORKERS_PREFIX,
+    WRITE_CHAINS, WavesRecord, WorkerRecord, parse_job_key, sequence_key,
 };
-use crate::scheduler::{Scheduler, SchedulerSettings, Tenure};
-use crate::site::{Formats, Site};
+use crate::scheduler::{OwnerTerm, Scheduler, SchedulerSettings};
 use crate::spec::{JobId, RunNumber};
 
 /// Time between two attempts to read the store.
@@ -46,54 +46,61 @@
 }
 
 /// Reads everything, again and again until it succeeds.
-pub(super) async fn load<S: Site>(
-    site: &S,
+pub(super) async fn load<S: PlatformClients>(
+    platform: &S,
     settings: SchedulerSettings,
     token: FencingToken,
     instance: &Arc<str>,
 ) -> Loaded {
-    let mut outage = Outage::new("load");
+    let mut outage = OutageLog::new("load");
     loop {
-        match try_load(site, settings, token, instance).await {
+        match try_load(platform, settings, token, instance).await {
             Ok(loaded) => return loaded,
-            Err(error) => outage.note_failure(&error),
+            Err(error) => outage.record_failure(&error),
         }
         sleep(RETRY).await;
     }
 }
 
-async fn try_load<S: Site>(
-    site: &S,
+async fn try_load<S: PlatformClients>(
+    platform: &S,
     settings: SchedulerSettings,
     token: FencingToken,
     instance: &Arc<str>,
 ) -> Result<Loaded, StoreError> {
-    let store = site.store();
-    let (inbox, states, sequence, known, waves, ordered, listed) = tokio::try_join!(
+    let store = platform.store();
+    let (inbox, states, sequence, known, waves, commanded_machines, listed) = tokio::try_join!(
         store.list(INBOX_PREFIX),
         store.list(STATE_PREFIX),
         store.get(SEQUENCE_KEY),
         store.list(WORKERS_PREFIX),
         store.get(WAVES_KEY),
-        store.get(ORDERED_KEY),
+        store.get(COMMANDED_MACHINES_KEY),
         store.list(S::Formats::WORKERS_PREFIX),
     )?;
-    let sequence = begin_chains(site, token, sequence).await?;
+    let sequence = begin_chains(platform, token, sequence).await?;
     let known_workers = read_workers(&known.records)?;
     let waves: WavesRecord = read_json(waves)?;
-    let ordered: OrderedRecord = read_json(ordered)?;
-    let run_base = RunNumber::try_from(sequence.tenure).unwrap_or(0) * RUNS_PER_TENURE;
+    let commanded_machines: CommandedMachinesRecord = read_json(commanded_machines)?;
+    let run_number_base = RunNumber::try_from(sequence.tenure).unwrap_or(0) * RUNS_PER_TENURE;
     let now = since_boot();
     let instance = Arc::clone(instance);
-    let tenure =
-        Tenure { token, run_base, known_workers, waves, ordered, instance, began_unix: unix_now() };
+    let tenure = OwnerTerm {
+        token,
+        run_number_base,
+        known_workers,
+        waves,
+        commanded_machines,
+        instance,
+        started_unix: unix_now(),
+    };
     let mut scheduler = Scheduler::new(settings, tenure, now);
     let states = read_states(&states.records).await;
     for (number, record) in inbox.records.iter().enumerate() {
         if number % RECORDS_AT_ONCE == 0 {
             yield_now().await;
         }
-        let Some(id) = job_of(&record.key, JOB_PREFIX) else { continue };
+        let Some(id) = parse_job_key(&record.key, JOB_PREFIX) else { continue };
         match JobRecord::try_from(&record.value[..]) {
             Ok(job) => {
                 let stored = states.get(&id);
@@ -106,13 +113,13 @@
         }
     }
     for record in &inbox.records {
-        if let Some(id) = job_of(&record.key, CANCEL_PREFIX) {
+        if let Some(id) = parse_job_key(&record.key, CANCEL_PREFIX) {
             scheduler.cancel(id, now);
         }
     }
     Ok(Loaded {
         scheduler,
-        sequences: vec![sequence; CHAINS],
+        sequences: vec![sequence; WRITE_CHAINS],
         inbox_revision: inbox.revision,
         workers: listed.records,
         workers_revision: listed.revision,
@@ -126,10 +133,10 @@
         .map_err(|error| StoreError::Malformed(error.to_string().into()))
 }
 
-fn read_workers(records: &[Record]) -> Result<Vec<KnownWorker>, StoreError> {
+fn read_workers(records: &[Record]) -> Result<Vec<WorkerRecord>, StoreError> {
     let mut workers = Vec::new();
     for record in records {
-        workers.extend(read_json::<Vec<KnownWorker>>(Some(record.clone()))?);
+        workers.extend(read_json::<Vec<WorkerRecord>>(Some(record.clone()))?);
     }
     Ok(workers)
 }
@@ -140,7 +147,7 @@
         if number % RECORDS_AT_ONCE == 0 {
             yield_now().await;
         }
-        let Some(id) = job_of(&record.key, STATE_PREFIX) else { continue };
+        let Some(id) = parse_job_key(&record.key, STATE_PREFIX) else { continue };
         match StateRecord::try_from(&record.value[..]) {
             Ok(state) => drop(states.insert(id, state)),
             Err(error) => emit!(JobsEvent::ItemUnreadable, key = record.key, error = error),
@@ -151,8 +158,8 @@
 
 /// Begins this owner's chains of writes, so that none of an earlier owner is applied any more.
 /// All begin with one transaction, and so at one revision.
-async fn begin_chains<S: Site>(
-    site: &S,
+async fn begin_chains<S: PlatformClients>(
+    platform: &S,
     token: FencingToken,
     stored: Option<Record>,
 ) -> Result<Sequence, StoreError> {
@@ -166,10 +173,10 @@
     let mut transaction = Transaction::default()
         .expect(OWNER_KEY, Compare::Revision(token))
         .expect(SEQUENCE_KEY, compare);
-    for chain in 0..CHAINS {
+    for chain in 0..WRITE_CHAINS {
         transaction = transaction.put(sequence_key(chain), next.encode()?, None);
     }
-    match site.store().commit(transaction).await? {
+    match platform.store().commit(transaction).await? {
         TransactionOutcome::Written(revision) => Ok(Sequence { revision, ..next }),
         TransactionOutcome::Conflict(_) => {
             Err(StoreError::OutcomeUnknown("another write came between".into()))
--- a/crates/jobs/src/owner/usage.rs
+++ b/crates/jobs/src/owner/usage.rs
@@ -56,32 +56,32 @@
     }
 
     /// Counts the time since `begun`, and returns the present one, at which the next work begins.
-    pub(super) fn note(&mut self, work: Work, begun: Moment) -> Moment {
+    pub(super) fn record(&mut self, work: Work, begun: Moment) -> Moment {
         let now = since_boot();
         self.spent[work as usize] += now.saturating_sub(begun);
         now
     }
 
     /// Counts a message.
-    pub(super) fn note_message(&mut self) {
+    pub(super) fn count_message(&mut self) {
         self.messages += 1;
     }
 
     /// Counts a pass that was due at `due`.
-    pub(super) fn note_pass(&mut self, due: Moment, now: Moment) {
+    pub(super) fn record_pass(&mut self, due: Moment, now: Moment) {
         self.passes += 1;
         self.late_max = self.late_max.max(now.saturating_sub(due));
     }
 
     /// Counts a write of some states that was on its way for `flight`.
-    pub(super) fn note_write(&mut self, states: usize, flight: Duration) {
+    pub(super) fn record_write(&mut self, states: usize, flight: Duration) {
         self.writes += 1;
         self.states_written += states;
         self.write_flight += flight;
     }
 
     /// Counts an answered look; `is_repeated` if it showed ends, but none that is new.
-    pub(super) fn note_look(&mut self, is_repeated: bool) {
+    pub(super) fn count_poll(&mut self, is_repeated: bool) {
         self.looks += 1;
         self.looks_repeated += u32::from(is_repeated);
     }
@@ -108,7 +108,7 @@
             looks = self.looks,
             looks_repeated = self.looks_repeated,
             jobs_live = backlog.jobs_live,
-            jobs_unannounced = backlog.jobs_unannounced,
+            jobs_unannounced = backlog.jobs_awaiting_start_write,
             jobs_unstarted = backlog.jobs_unstarted,
             tasks_waiting = backlog.tasks_waiting,
             states_unwritten = backlog.states_unwritten,
--- a/crates/jobs/src/owner/follow.rs
+++ b/crates/jobs/src/owner/watch_store.rs
@@ -12,9 +12,9 @@
 use super::Message;
 use crate::cluster::WorkerEntry;
 use crate::event::JobsEvent;
-use crate::outage::Outage;
-use crate::record::{CANCEL_PREFIX, INBOX_PREFIX, JOB_PREFIX, JobRecord, job_of};
-use crate::site::{Formats, Site};
+use crate::outage::OutageLog;
+use crate::platform_clients::{Formats, PlatformClients};
+use crate::record::{CANCEL_PREFIX, INBOX_PREFIX, JOB_PREFIX, JobRecord, parse_job_key};
 use crate::spec::JobId;
 
 /// Time between two attempts to reach the store.
@@ -33,7 +33,7 @@
     /// A job was cancelled.
     Cancel(JobId),
     /// Workers have changed.
-    Workers(WorkersChange),
+    WorkerEntries(WorkersChange),
 }
 
 /// News of the workers.
@@ -62,46 +62,46 @@
 pub(super) struct Inbox;
 
 /// Workers' reports of themselves.
-pub(super) struct Reports<S: Site> {
-    pub(super) site: S,
+pub(super) struct Reports<S: PlatformClients> {
+    pub(super) platform: S,
 }
 
 /// Sends what a feed shows after a revision, until nobody takes it any more.
-pub(super) async fn follow<S: Site, F: Feed>(
-    site: S,
+pub(super) async fn watch_store<S: PlatformClients, F: Feed>(
+    platform: S,
     feed: F,
     from: Revision,
     sender: mpsc::Sender<Message>,
 ) {
     let mut after = Some(from);
-    let mut outage = Outage::new(F::PREFIX);
+    let mut outage = OutageLog::new(F::PREFIX);
     while !sender.is_closed() {
-        if let Err(error) = follow_once(&site, &feed, &mut after, &sender, &mut outage).await {
-            outage.note_failure(&error);
+        if let Err(error) = follow_once(&platform, &feed, &mut after, &sender, &mut outage).await {
+            outage.record_failure(&error);
         }
         sleep(RETRY).await;
     }
 }
 
-async fn follow_once<S: Site, F: Feed>(
-    site: &S,
+async fn follow_once<S: PlatformClients, F: Feed>(
+    platform: &S,
     feed: &F,
     after: &mut Option<Revision>,
     sender: &mpsc::Sender<Message>,
-    outage: &mut Outage,
+    outage: &mut OutageLog,
 ) -> Result<(), StoreError> {
     let from = match after.take() {
         Some(revision) => revision,
         None => {
-            let snapshot = site.store().list(F::PREFIX).await?;
+            let snapshot = platform.store().list(F::PREFIX).await?;
             send(feed.all(&snapshot.records), sender).await;
             snapshot.revision
         }
     };
-    let mut changes = site.store().watch(F::PREFIX, from).await?;
+    let mut changes = platform.store().watch(F::PREFIX, from).await?;
     while !sender.is_closed() {
         let news = changes.next().await?;
-        outage.note_success();
+        outage.record_success();
         send(feed.some(&news), sender).await;
         sleep(F::GAP).await;
     }
@@ -128,25 +128,25 @@
     }
 }
 
-impl<S: Site> Feed for Reports<S> {
+impl<S: PlatformClients> Feed for Reports<S> {
     const PREFIX: &'static str = S::Formats::WORKERS_PREFIX;
     const GAP: Duration = WORKERS_GAP;
 
     fn all(&self, records: &[Record]) -> Vec<Followed> {
-        vec![Followed::Workers(WorkersChange::All(read_all(&self.site, records)))]
+        vec![Followed::WorkerEntries(WorkersChange::All(read_all(&self.platform, records)))]
     }
 
     fn some(&self, changes: &[Change]) -> Vec<Followed> {
-        let some = changes.iter().map(|change| read_change(&self.site, change)).collect();
-        vec![Followed::Workers(WorkersChange::Some(some))]
+        let some = changes.iter().map(|change| read_change(&self.platform, change)).collect();
+        vec![Followed::WorkerEntries(WorkersChange::Some(some))]
     }
 }
 
 fn read_inbox(record: &Record) -> Option<Followed> {
-    if let Some(id) = job_of(&record.key, CANCEL_PREFIX) {
+    if let Some(id) = parse_job_key(&record.key, CANCEL_PREFIX) {
         return Some(Followed::Cancel(id));
     }
-    let id = job_of(&record.key, JOB_PREFIX)?;
+    let id = parse_job_key(&record.key, JOB_PREFIX)?;
     match JobRecord::try_from(&record.value[..]) {
         Ok(job) => Some(Followed::Job { id, record: Box::new(job), revision: record.revision }),
         Err(error) => {
@@ -156,19 +156,23 @@
     }
 }
 
-fn read_all<S: Site>(site: &S, records: &[Record]) -> Vec<(Arc<str>, WorkerEntry)> {
-    let read =
-        records.iter().filter_map(|record| Some((record.key.clone(), read_worker(site, record)?)));
+fn read_all<S: PlatformClients>(platform: &S, records: &[Record]) -> Vec<(Arc<str>, WorkerEntry)> {
+    let read = records
+        .iter()
+        .filter_map(|record| Some((record.key.clone(), read_worker(platform, record)?)));
     read.collect()
 }
 
-fn read_change<S: Site>(site: &S, change: &Change) -> (Arc<str>, Option<WorkerEntry>) {
-    let entry = change.record.as_ref().and_then(|record| read_worker(site, record));
+fn read_change<S: PlatformClients>(
+    platform: &S,
+    change: &Change,
+) -> (Arc<str>, Option<WorkerEntry>) {
+    let entry = change.record.as_ref().and_then(|record| read_worker(platform, record));
     (change.key.clone(), entry)
 }
 
-fn read_worker<S: Site>(site: &S, record: &Record) -> Option<WorkerEntry> {
-    match site.formats().worker_entry(record) {
+fn read_worker<S: PlatformClients>(platform: &S, record: &Record) -> Option<WorkerEntry> {
+    match platform.formats().worker_entry(record) {
         Ok(entry) => Some(entry),
         Err(error) => {
             emit!(JobsEvent::ItemUnreadable, key = record.key, error = error);
@@ -192,9 +196,9 @@
     }
 
     /// Reads the reports that the tenure began with.
-    pub(super) fn read_first<S: Site>(&mut self, site: &S) {
+    pub(super) fn read_first<S: PlatformClients>(&mut self, platform: &S) {
         let records = std::mem::take(&mut self.first);
-        self.entries = read_all(site, &records).into_iter().collect();
+        self.entries = read_all(platform, &records).into_iter().collect();
     }
 
     pub(super) fn apply(&mut self, change: WorkersChange, now: Moment) {
--- a/crates/jobs/src/owner/write.rs
+++ b/crates/jobs/src/owner/write.rs
@@ -16,11 +16,11 @@
 use tokio::time::{sleep, timeout};
 
 use super::{ENDS_WRITE_INTERVAL, Message, Office, URGENT_WRITE_INTERVAL, WRITE_INTERVAL};
-use crate::edges::FencingToken;
-use crate::outage::Outage;
+use crate::clients::FencingToken;
+use crate::outage::OutageLog;
+use crate::platform_clients::{Formats, PlatformClients};
 use crate::record::{ChainNumber, OWNER_KEY, sequence_key};
-use crate::scheduler::{Flush, Urgency};
-use crate::site::{Formats, Site};
+use crate::scheduler::{WriteBatch, WriteUrgency};
 
 /// Time between two attempts of the same write.
 const RETRY: Duration = Duration::from_millis(20);
@@ -59,7 +59,7 @@
 /// Outcome of a write.
 pub(super) enum Written {
     /// It took effect.
-    Done { flush: Box<Flush>, sequence: Sequence },
+    Done { batch: Box<WriteBatch>, sequence: Sequence },
     /// Another owner has come.
     Deposed,
 }
@@ -72,17 +72,17 @@
 }
 
 /// Writes of one owner.
-pub(super) struct Writer<S: Site> {
-    site: S,
+pub(super) struct Writer<S: PlatformClients> {
+    platform: S,
     token: FencingToken,
     chains: Vec<Chain>,
 }
 
-impl<S: Site> Writer<S> {
+impl<S: PlatformClients> Writer<S> {
     /// Writes after those that began each chain.
-    pub(super) fn new(site: S, token: FencingToken, begins: Vec<Sequence>) -> Self {
+    pub(super) fn new(platform: S, token: FencingToken, begins: Vec<Sequence>) -> Self {
         let chain = |sequence| Chain { sequence, begun: None };
-        Self { site, token, chains: begins.into_iter().map(chain).collect() }
+        Self { platform, token, chains: begins.into_iter().map(chain).collect() }
     }
 
     /// Whether any write is under way.
@@ -90,51 +90,51 @@
         self.chains.iter().any(|chain| chain.begun.is_some())
     }
 
-    fn start(&mut self, flush: Box<Flush>, sender: mpsc::Sender<Message>) {
-        let chain = &mut self.chains[flush.chain];
+    fn start(&mut self, batch: Box<WriteBatch>, sender: mpsc::Sender<Message>) {
+        let chain = &mut self.chains[batch.chain];
         chain.begun = Some(since_boot());
-        let (site, token, sequence) = (self.site.clone(), self.token, chain.sequence);
+        let (platform, token, sequence) = (self.platform.clone(), self.token, chain.sequence);
         tokio::spawn(async move {
-            let written = write(&site, token, sequence, flush).await;
+            let written = write(&platform, token, sequence, batch).await;
             // The loop that asked for the write may be over.
             let _ = sender.send(Message::Written(written)).await;
         });
     }
 
     /// Takes in that a write has taken effect, and returns how long it was on its way.
-    fn note_done(&mut self, chain: ChainNumber, sequence: Sequence) -> Duration {
+    fn record_done(&mut self, chain: ChainNumber, sequence: Sequence) -> Duration {
         let chain = &mut self.chains[chain];
         chain.sequence = sequence;
         since_boot().saturating_sub(chain.begun.take().unwrap_or_else(since_boot))
     }
 }
 
-async fn write<S: Site>(
-    site: &S,
+async fn write<S: PlatformClients>(
+    platform: &S,
     token: FencingToken,
     former: Sequence,
-    flush: Box<Flush>,
+    batch: Box<WriteBatch>,
 ) -> Written {
     let next = Sequence { number: former.number + 1, ..former };
-    let transaction = transaction(site, token, former, next, &flush);
-    let mut outage = Outage::new("owner's writes");
+    let transaction = transaction(platform, token, former, next, &batch);
+    let mut outage = OutageLog::new("owner's writes");
     let mut patience = FIRST_ATTEMPT;
     loop {
-        let attempt = timeout(patience, site.store().commit(transaction.clone())).await;
+        let attempt = timeout(patience, platform.store().commit(transaction.clone())).await;
         patience = (patience * 2).min(ATTEMPT_MAX);
         let lost = || Err(StoreError::OutcomeUnknown("no answer yet".into()));
         match attempt.unwrap_or_else(|_| lost()) {
             Ok(TransactionOutcome::Written(revision)) => {
-                outage.note_success();
-                return Written::Done { flush, sequence: Sequence { revision, ..next } };
+                outage.record_success();
+                return Written::Done { batch, sequence: Sequence { revision, ..next } };
             }
             Ok(TransactionOutcome::Conflict(records)) => {
-                return match settle(token, flush.chain, next, &records) {
-                    Some(sequence) => Written::Done { flush, sequence },
+                return match settle(token, batch.chain, next, &records) {
+                    Some(sequence) => Written::Done { batch, sequence },
                     None => Written::Deposed,
                 };
             }
-            Err(error) => outage.note_failure(&error),
+            Err(error) => outage.record_failure(&error),
         }
         sleep(RETRY).await;
     }
@@ -154,62 +154,62 @@
     is_own.then_some(stored)
 }
 
-fn transaction<S: Site>(
-    site: &S,
+fn transaction<S: PlatformClients>(
+    platform: &S,
     token: FencingToken,
     former: Sequence,
     next: Sequence,
-    flush: &Flush,
+    batch: &WriteBatch,
 ) -> Transaction {
     let sequence = match next.encode() {
         Ok(bytes) => bytes,
         // Three numbers can always be written as JSON.
         Err(error) => unreachable!("sequence: {error}"),
     };
-    let sequence_key = sequence_key(flush.chain);
+    let sequence_key = sequence_key(batch.chain);
     let mut transaction = Transaction::default()
         .expect(OWNER_KEY, Compare::Revision(token))
         .expect(Arc::clone(&sequence_key), Compare::Revision(former.revision))
         .put(sequence_key, sequence, None);
-    for (key, value) in &flush.puts {
+    for (key, value) in &batch.puts {
         transaction = transaction.put(Arc::clone(key), value.clone(), None);
     }
-    for (number, is_complete) in &flush.waves {
-        let (key, value) = site.formats().wave_status(*number, *is_complete);
+    for (number, is_complete) in &batch.waves {
+        let (key, value) = platform.formats().wave_status(*number, *is_complete);
         transaction = transaction.put(key, value, None);
     }
-    for key in &flush.removals {
+    for key in &batch.deletions {
         transaction = transaction.delete(Arc::clone(key));
     }
     transaction
 }
 
-impl<S: Site> Office<S> {
+impl<S: PlatformClients> Office<S> {
     /// Starts the writes that are due.
     pub(super) fn write(&mut self, now: Moment) {
         if !self.scheduler.may_write(now) {
             return;
         }
-        let interval = match self.scheduler.flush_urgency() {
-            Urgency::Now => URGENT_WRITE_INTERVAL,
-            Urgency::Ends => ENDS_WRITE_INTERVAL,
-            Urgency::None => WRITE_INTERVAL,
+        let interval = match self.scheduler.write_urgency() {
+            WriteUrgency::High => URGENT_WRITE_INTERVAL,
+            WriteUrgency::Normal => ENDS_WRITE_INTERVAL,
+            WriteUrgency::Low => WRITE_INTERVAL,
         };
         if now.saturating_sub(self.written) < interval {
             return;
         }
         self.written = now;
-        while let Some(flush) = self.scheduler.take_flush(now) {
-            self.writer.start(Box::new(flush), self.sender.clone());
+        while let Some(batch) = self.scheduler.next_write_batch(now) {
+            self.writer.start(Box::new(batch), self.sender.clone());
         }
     }
 
     pub(super) fn take_written(&mut self, written: Written) {
         match written {
-            Written::Done { flush, sequence } => {
-                let flight = self.writer.note_done(flush.chain, sequence);
-                self.usage.note_write(flush.states(), flight);
-                self.scheduler.note_flushed(&flush, since_boot());
+            Written::Done { batch, sequence } => {
+                let flight = self.writer.record_done(batch.chain, sequence);
+                self.usage.record_write(batch.states(), flight);
+                self.scheduler.handle_write_committed(&batch, since_boot());
             }
             Written::Deposed => self.is_fenced = true,
         }
--- a/crates/jobs/src/placement.rs
+++ b/crates/jobs/src/placement.rs
@@ -11,7 +11,7 @@
     /// The worker.
     pub slot: WorkerSlot,
     /// All its resources.
-    pub room: Resources,
+    pub capacity: Resources,
     /// What is free of them.
     pub free: Resources,
     /// Its labels, of which the second names its rack.
@@ -32,7 +32,7 @@
 
 /// What a task asks for.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Demand {
+pub struct TaskRequirements {
     /// Resources that it takes from a worker's room.
     pub reserved: Resources,
     /// Label that the worker must have.
@@ -51,29 +51,29 @@
 
 impl Candidate {
     /// Whether a task may be started there now.
-    fn admits(&self, demand: &Demand) -> bool {
-        demand.reserved.fits(&self.free) && self.qualifies(demand)
+    fn admits(&self, requirements: &TaskRequirements) -> bool {
+        requirements.reserved.fits(&self.free) && self.qualifies(requirements)
     }
 
     /// Whether a task may run there at all, once there is room.
-    fn qualifies(&self, demand: &Demand) -> bool {
-        let labelled = demand.label.as_ref().is_none_or(|label| self.labels.contains(label));
-        let apart = demand.per_worker_max.is_none_or(|most| self.same_step < most);
+    fn qualifies(&self, requirements: &TaskRequirements) -> bool {
+        let labelled = requirements.label.as_ref().is_none_or(|label| self.labels.contains(label));
+        let apart = requirements.per_worker_max.is_none_or(|most| self.same_step < most);
         labelled && apart
     }
 
     /// Rank of the worker for a task; the lowest is taken.
-    fn rank(&self, demand: &Demand, avoid: &[WorkerSlot]) -> Rank {
-        let data_rack = demand.data_rack.as_ref();
-        let disturbance = match (demand.serves, demand.opportunistic) {
+    fn rank(&self, requirements: &TaskRequirements, avoided_workers: &[WorkerSlot]) -> Rank {
+        let data_rack = requirements.data_rack.as_ref();
+        let disturbance = match (requirements.serves, requirements.opportunistic) {
             (true, _) => 2 * self.opportunistic + self.serving,
             (_, true) => 4 * self.serving + self.opportunistic,
             _ => 0,
         };
         Rank {
             is_suspect: self.is_suspect,
-            is_avoided: avoid.contains(&self.slot),
-            must_move_again: demand.long_running && self.is_maintenance_due,
+            is_avoided: avoided_workers.contains(&self.slot),
+            must_move_again: requirements.long_running && self.is_maintenance_due,
             far_from_data: data_rack.is_some_and(|rack| !self.labels.contains(rack)),
             disturbance,
             settles_anew: self.long_running == 0,
@@ -104,13 +104,15 @@
 /// Answers the load pattern of a wave over machines with long-running tasks, of which only a few
 /// may be away at once: a task that has to leave goes where no maintenance is due, so that it
 /// moves once.
-pub fn choose<'a>(
-    demand: &Demand,
+pub fn choose_worker<'a>(
+    requirements: &TaskRequirements,
     candidates: impl Iterator<Item = &'a Candidate>,
-    avoid: &[WorkerSlot],
+    avoided_workers: &[WorkerSlot],
 ) -> Option<WorkerSlot> {
-    let fitting = candidates.filter(|candidate| candidate.admits(demand));
-    fitting.min_by_key(|candidate| candidate.rank(demand, avoid)).map(|candidate| candidate.slot)
+    let fitting = candidates.filter(|candidate| candidate.admits(requirements));
+    fitting
+        .min_by_key(|candidate| candidate.rank(requirements, avoided_workers))
+        .map(|candidate| candidate.slot)
 }
 
 /// Demands that found no room in a pass.
@@ -118,16 +120,16 @@
 /// Answers the load pattern of hundreds of jobs that wait for a few workers: what asks for no less
 /// than another that found no room is not tried again.
 #[derive(Debug, Default)]
-pub struct Unplaced {
+pub struct UnplaceableRequirements {
     smallest: Vec<Resources>,
 }
 
-impl Unplaced {
+impl UnplaceableRequirements {
     /// Notes a demand that found no room. Only one that any worker could meet tells of others.
-    pub fn note(&mut self, demand: &Demand) {
-        if demand.label.is_none() && demand.per_worker_max.is_none() {
-            self.smallest.retain(|other| !demand.reserved.fits(other));
-            self.smallest.push(demand.reserved);
+    pub fn record(&mut self, requirements: &TaskRequirements) {
+        if requirements.label.is_none() && requirements.per_worker_max.is_none() {
+            self.smallest.retain(|other| !requirements.reserved.fits(other));
+            self.smallest.push(requirements.reserved);
         }
     }
 
@@ -146,10 +148,13 @@
 ///
 /// Answers the load pattern of a few large tasks among many small ones, which would otherwise
 /// take each bit of room as it becomes free.
-pub fn reserve(demand: &Demand, candidates: &[Candidate]) -> Option<WorkerSlot> {
+pub fn choose_reservation(
+    requirements: &TaskRequirements,
+    candidates: &[Candidate],
+) -> Option<WorkerSlot> {
     let fitting = candidates.iter().filter(|candidate| {
-        demand.reserved.fits(&candidate.room)
-            && candidate.qualifies(demand)
+        requirements.reserved.fits(&candidate.capacity)
+            && candidate.qualifies(requirements)
             && !candidate.is_suspect
     });
     fitting.max_by_key(|candidate| candidate.free.processors_milli).map(|candidate| candidate.slot)
--- a/crates/jobs/src/site.rs
+++ b/crates/jobs/src/platform_clients.rs
@@ -5,8 +5,8 @@
 use cassiafold_config::ZoneId;
 use cassiafold_platform::{Record, TransactionalStore};
 
+use crate::clients::{MachineClient, PolicyClient, WorkerClient};
 use crate::cluster::{ClusterConfig, Wave, WaveNumber, WorkerEntry};
-use crate::edges::{Advisor, Machines, Workers};
 
 /// What the operator has written under one key.
 #[derive(Debug, Clone, PartialEq)]
@@ -46,26 +46,26 @@
 }
 
 /// Everything that the platform gives.
-pub trait Site: Clone + Send + Sync + 'static {
+pub trait PlatformClients: Clone + Send + Sync + 'static {
     /// Client of the store.
     type Store: TransactionalStore;
     /// Calls to workers.
-    type Workers: Workers;
+    type WorkerClient: WorkerClient;
     /// Calls to machines.
-    type Machines: Machines;
+    type MachineClient: MachineClient;
     /// Questions to the placement policy.
-    type Advisor: Advisor;
+    type PolicyClient: PolicyClient;
     /// Formats of what others write.
     type Formats: Formats;
 
     /// The store.
     fn store(&self) -> &Self::Store;
     /// The workers.
-    fn workers(&self) -> &Self::Workers;
+    fn workers(&self) -> &Self::WorkerClient;
     /// The machines.
-    fn machines(&self) -> &Self::Machines;
+    fn machines(&self) -> &Self::MachineClient;
     /// The placement policy.
-    fn advisor(&self) -> &Self::Advisor;
+    fn policy(&self) -> &Self::PolicyClient;
     /// The formats.
     fn formats(&self) -> &Self::Formats;
 }
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -31,9 +31,9 @@
 pub type ChainNumber = usize;
 
 /// Chains of writes.
-pub const CHAINS: usize = 6;
+pub const WRITE_CHAINS: usize = 6;
 /// The chain that also carries what is not a state of a job.
-pub const FIRST_CHAIN: ChainNumber = 0;
+pub const FIRST_WRITE_CHAIN: ChainNumber = 0;
 
 /// Start of the keys of accepted jobs and of their cancels.
 pub const INBOX_PREFIX: &str = "cassiafold/in/";
@@ -52,7 +52,7 @@
 /// Key of the machines whose maintenance has begun.
 pub const WAVES_KEY: &str = "cassiafold/waves";
 /// Key of the machines that were ordered lately.
-pub const ORDERED_KEY: &str = "cassiafold/ordered";
+pub const COMMANDED_MACHINES_KEY: &str = "cassiafold/ordered";
 /// Key of the jobs that wait.
 pub const WAITING_KEY: &str = "cassiafold/waiting";
 
@@ -64,7 +64,7 @@
 const WORKER_SHARDS: WorkerShard = 64;
 
 /// The part to which a worker belongs.
-pub fn shard_of(worker: &str) -> WorkerShard {
+pub fn worker_shard(worker: &str) -> WorkerShard {
     blake3::hash(worker.as_bytes()).as_bytes()[0] % WORKER_SHARDS
 }
 
@@ -86,7 +86,7 @@
 /// Key of the number of a chain's last write.
 pub fn sequence_key(chain: ChainNumber) -> Arc<str> {
     match chain {
-        FIRST_CHAIN => SEQUENCE_KEY.into(),
+        FIRST_WRITE_CHAIN => SEQUENCE_KEY.into(),
         _ => format!("{SEQUENCE_KEY}/{chain}").into(),
     }
 }
@@ -97,7 +97,7 @@
 }
 
 /// The job whose key starts with `prefix`; `None` for another key.
-pub fn job_of(key: &str, prefix: &str) -> Option<JobId> {
+pub fn parse_job_key(key: &str, prefix: &str) -> Option<JobId> {
     JobId::from_str_radix(key.strip_prefix(prefix)?, 16).ok()
 }
 
@@ -212,11 +212,11 @@
 }
 
 /// Machines that were ordered lately, with the instance that ordered them.
-pub type OrderedRecord = BTreeMap<InstanceId, Arc<str>>;
+pub type CommandedMachinesRecord = BTreeMap<InstanceId, Arc<str>>;
 
 /// A worker that was given tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnownWorker {
+pub struct WorkerRecord {
     /// The worker.
     pub id: WorkerId,
     /// Its service.
@@ -227,7 +227,7 @@
     pub zone: ZoneId,
 }
 
-impl From<&WorkerEntry> for KnownWorker {
+impl From<&WorkerEntry> for WorkerRecord {
     fn from(entry: &WorkerEntry) -> Self {
         Self {
             id: entry.id.clone(),
@@ -303,9 +303,9 @@
     fn from(step: &StepSpec) -> Self {
         Self {
             n: step.tasks,
-            cpu_milli: step.needs.processors_milli,
-            mem_bytes: step.needs.memory_bytes,
-            acc: step.needs.accelerators,
+            cpu_milli: step.task_resources.processors_milli,
+            mem_bytes: step.task_resources.memory_bytes,
+            acc: step.task_resources.accelerators,
             est_ms: millis(step.estimate),
             after: step.after.clone(),
             checkpoints: step.checkpoints,
@@ -327,7 +327,7 @@
     fn from(wire: WireStep) -> Self {
         Self {
             tasks: wire.n,
-            needs: Resources {
+            task_resources: Resources {
                 processors_milli: wire.cpu_milli,
                 memory_bytes: wire.mem_bytes,
                 accelerators: wire.acc,
@@ -359,7 +359,7 @@
             q: self.queue.clone(),
             s: self.service.clone(),
             t: self.team.clone(),
-            x: self.spec.text.clone(),
+            x: self.spec.payload.clone(),
             st: self.spec.steps.iter().map(WireStep::from).collect(),
             at,
         };
@@ -378,14 +378,14 @@
             occurrences,
         });
         let steps = wire.st.into_iter().map(StepSpec::from).collect();
-        let spec = JobSpec { text: wire.x, steps, schedule };
+        let spec = JobSpec { payload: wire.x, steps, schedule };
         Ok(Self { queue: wire.q, service: wire.s, team: wire.t, spec })
     }
 }
 
 impl StateRecord {
     /// Whether some task has surely begun. One that was only about to be started has not.
-    pub fn tells_of_a_run(&self) -> bool {
+    pub fn has_started_task(&self) -> bool {
         let has_run = |task: &TaskRecord| {
             task.done || !task.failed_runs.is_empty() || task.checkpoint.is_some()
         };
--- a/crates/jobs/src/scheduler/backlog.rs
+++ b/crates/jobs/src/scheduler/backlog.rs
@@ -10,7 +10,7 @@
     /// Jobs that have not ended.
     pub jobs_live: usize,
     /// Jobs whose first start waits until the store says that it may come.
-    pub jobs_unannounced: usize,
+    pub jobs_awaiting_start_write: usize,
     /// Jobs of which no task has begun.
     pub jobs_unstarted: usize,
     /// Tasks that may start and have not been ordered.
@@ -28,14 +28,17 @@
 impl Scheduler {
     /// What waits now.
     pub fn backlog(&self, now: Moment) -> Backlog {
-        let mut backlog = Backlog { states_unwritten: self.dirty.len(), ..Backlog::default() };
+        let mut backlog =
+            Backlog { states_unwritten: self.unwritten_states.len(), ..Backlog::default() };
         for job in self.jobs.values().filter(|job| job.is_live()) {
             backlog.jobs_live += 1;
-            backlog.jobs_unannounced += usize::from(job.waits_for_announcement());
+            backlog.jobs_awaiting_start_write += usize::from(job.awaits_start_write());
             backlog.jobs_unstarted += usize::from(!job.has_started);
         }
-        let inherited =
-            self.dirty.keys().filter(|id| self.jobs.get(id).is_some_and(|job| !job.is_untouched));
+        let inherited = self
+            .unwritten_states
+            .keys()
+            .filter(|id| self.jobs.get(id).is_some_and(|job| !job.has_no_prior_runs));
         backlog.states_inherited = inherited.count();
         for service in self.waiting_steps.services() {
             let steps = self.waiting_steps.of(service);
@@ -44,7 +47,7 @@
         }
         for worker in self.workers.iter().filter(|worker| worker.is_usable(now)) {
             backlog.workers_usable += 1;
-            backlog.cores_free += worker.free().processors_milli / 1_000;
+            backlog.cores_free += worker.free_resources().processors_milli / 1_000;
         }
         backlog
     }
--- a/crates/jobs/src/scheduler/balance.rs
+++ b/crates/jobs/src/scheduler/balance.rs
@@ -7,11 +7,11 @@
 use cassiafold_event::emit;
 use cassiafold_platform::Moment;
 
-use super::upkeep::MachineOrder;
-use super::{Order, Scheduler};
-use crate::balance::{KEPT_MACHINES, Load, Pool, choose_moves, machines_for};
+use super::maintenance::MachineCommand;
+use super::{Command, Scheduler};
+use crate::balance::{Load, Pool, SURPLUS_MACHINES, choose_moves, machines_for};
+use crate::clients::MachineOutcome;
 use crate::cluster::{Machine, MachineState};
-use crate::edges::MachineOutcome;
 use crate::event::JobsEvent;
 use crate::spec::StepId;
 use crate::worker::Worker;
@@ -33,7 +33,7 @@
 
 impl Scheduler {
     /// Chooses the moves that are due.
-    pub(super) fn plan_moves(&mut self, now: Moment) {
+    pub(super) fn plan_machine_moves(&mut self, now: Moment) {
         if now.saturating_sub(self.balanced) < BALANCE_INTERVAL {
             return;
         }
@@ -51,30 +51,30 @@
         }
         for moved in moves {
             self.moving.insert(moved.machine.clone(), (moved.service.clone(), now));
-            if let Some(slot) = self.worker_of(&moved.machine) {
+            if let Some(slot) = self.worker_on_machine(&moved.machine) {
                 self.workers[slot].is_cordoned = true;
                 self.workers[slot].is_leaving = true;
             }
             let (machine, service) = (moved.machine, moved.service);
-            self.moves_due.push(MachineOrder::Move { machine, service });
+            self.moves_due.push(MachineCommand::Move { machine, service });
         }
     }
 
     /// Moves that may be ordered between two decisions.
     fn moves_max(&self) -> usize {
-        let orders = self.settings.machine_orders_per_s * BALANCE_INTERVAL.as_secs_f64();
-        (orders * MOVES_PART).ceil().max(1.0) as usize
+        let commands = self.settings.machine_commands_per_s * BALANCE_INTERVAL.as_secs_f64();
+        (commands * MOVES_PART).ceil().max(1.0) as usize
     }
 
     /// Orders the moves whose machines are named in the store.
-    pub(super) fn order_moves(&mut self, now: Moment, orders: &mut Vec<Order>) {
-        for order in std::mem::take(&mut self.moves_due) {
-            if self.holders.may_order(order.machine(), now) {
-                orders.push(Order::Machine(order));
-            } else if self.moving.contains_key(order.machine()) {
-                self.moves_due.push(order);
+    pub(super) fn issue_machine_moves(&mut self, now: Moment, commands: &mut Vec<Command>) {
+        for command in std::mem::take(&mut self.moves_due) {
+            if self.machine_leases.acquire(command.machine(), now) {
+                commands.push(Command::Machine(command));
+            } else if self.moving.contains_key(command.machine()) {
+                self.moves_due.push(command);
             } else {
-                self.note_machine(&order, MachineOutcome::Busy, now);
+                self.handle_machine_outcome(&command, MachineOutcome::Busy, now);
             }
         }
     }
@@ -100,7 +100,7 @@
         for machine in self.machines.iter() {
             let target = self.moving.get(&machine.id).map(|(service, _)| service);
             let Some(pool) = pools.get_mut(target.unwrap_or(&machine.service)) else { continue };
-            if machine.state == MachineState::Down || self.is_emptied(machine) {
+            if machine.state == MachineState::Down || self.is_draining(machine) {
                 continue;
             }
             pool.machines += 1;
@@ -115,15 +115,15 @@
             pool.load = load;
             let is_falling = self.arrivals.is_falling(id, now);
             let needs = self.needs.entry(id.clone()).or_default();
-            let lately = needs.note(pool.needed, is_falling, now);
-            pool.may_shrink = needs.has_fallen() && pool.machines > lately + KEPT_MACHINES;
+            let lately = needs.record(pool.needed, is_falling, now);
+            pool.may_shrink = needs.has_fallen() && pool.machines > lately + SURPLUS_MACHINES;
         }
         pools
     }
 
     /// Whether a machine takes no new work, since it is about to be maintained.
-    fn is_emptied(&self, machine: &Machine) -> bool {
-        let slot = machine.worker.as_ref().and_then(|id| self.present.get(id));
+    fn is_draining(&self, machine: &Machine) -> bool {
+        let slot = machine.worker.as_ref().and_then(|id| self.current_slots.get(id));
         slot.is_some_and(|slot| {
             self.workers[*slot].is_cordoned && !self.moving.contains_key(&machine.id)
         })
@@ -131,21 +131,23 @@
 
     /// Whether a machine can move now without ending anything.
     fn is_idle(&self, machine: &Machine, now: Moment) -> bool {
-        if machine.state != MachineState::Up || self.holders.is_held(&machine.id, now) {
+        if machine.state != MachineState::Up
+            || self.machine_leases.is_leased_to_other(&machine.id, now)
+        {
             return false;
         }
         let is_spare = self.config.services.get(&machine.service).is_some_and(|one| one.is_spare);
-        let Some(slot) = machine.worker.as_ref().and_then(|id| self.present.get(id)) else {
+        let Some(slot) = machine.worker.as_ref().and_then(|id| self.current_slots.get(id)) else {
             return is_spare;
         };
         let worker = &self.workers[*slot];
-        let rested = worker.last_work.is_none_or(|at| now >= at + IDLE_AFTER);
+        let rested = worker.last_run_ended.is_none_or(|at| now >= at + IDLE_AFTER);
         worker.is_confirmed && !worker.is_leaving && worker.runs.is_empty() && rested
     }
 
     /// Cores of the usual machine.
     fn cores_each(&self) -> f64 {
-        let rooms = self.machines.iter().map(|machine| machine.room.processors_milli);
+        let rooms = self.machines.iter().map(|machine| machine.capacity.processors_milli);
         let (sum, count) = rooms.fold((0.0, 0.0), |(sum, count), milli| {
             (sum + f64::from(milli) / 1_000.0, count + 1.0)
         });
@@ -156,12 +158,12 @@
         let ratio = self.durations.ratio();
         let mut load =
             Load { arriving: self.arrivals.rate(service, now) * ratio, ..Load::default() };
-        for slot in self.slots_of(service) {
+        for slot in self.service_slots(service) {
             add_running(&self.workers[*slot], &mut load);
         }
-        let is_certain = self.is_certain(service, now);
+        let are_inherited_runs_known = self.are_inherited_runs_known(service, now);
         // Other work can't be placed before it is known what still runs of it.
-        let placeable = |id: &StepId| is_certain || self.is_new(*id);
+        let placeable = |id: &StepId| are_inherited_runs_known || self.has_no_prior_runs(*id);
         for id in self.waiting_steps.of(service).filter(placeable) {
             let Some(spec) = self.spec(id) else { continue };
             let waiting = self.waiting_tasks(id, now).len() as f64;
@@ -178,13 +180,13 @@
     /// Rate that will have been reached when machines that are ordered now have come, in estimated
     /// cores. Orders for many machines take a while by themselves.
     fn expected_rate(&self, service: &ServiceId, now: Moment) -> f64 {
-        let arrival = self.settings.move_time + ARRIVAL;
-        let rate = self.arrivals.rate_ahead(service, arrival, now);
+        let arrival = self.settings.machine_move_duration + ARRIVAL;
+        let rate = self.arrivals.predicted_rate(service, arrival, now);
         let machines = machines_for(rate * self.durations.ratio(), self.cores_each());
-        let orders_per_s = (self.settings.machine_orders_per_s * MOVES_PART).max(1.0);
+        let orders_per_s = (self.settings.machine_commands_per_s * MOVES_PART).max(1.0);
         let ordering_s = (machines as f64 / orders_per_s).min(ORDERING_MAX_S);
         let lead = arrival + Duration::from_secs_f64(ordering_s);
-        self.arrivals.rate_ahead(service, lead, now)
+        self.arrivals.predicted_rate(service, lead, now)
     }
 
     /// Workers that the steps of a service need, since only so many of their tasks may share one.
--- a/crates/jobs/src/scheduler/budget.rs
+++ b/crates/jobs/src/scheduler/budget.rs
@@ -20,9 +20,9 @@
     ///
     /// What runs on a worker that has not answered this owner is not known until its lease is
     /// over.
-    pub(super) fn may_take_down(&self, slot: WorkerSlot, patient: bool, now: Moment) -> bool {
+    pub(super) fn can_take_down(&self, slot: WorkerSlot, patient: bool, now: Moment) -> bool {
         let worker = &self.workers[slot];
-        let is_known = worker.was_confirmed || now >= worker.expires;
+        let is_known = worker.was_confirmed || now >= worker.lease_expires;
         is_known
             && self.workers[slot].runs.iter().all(|(task, _)| {
                 let Some(spec) = self.spec(task.step) else { return true };
@@ -34,15 +34,15 @@
     }
 
     /// Moves long-running tasks off workers whose machines are to be maintained, to workers that
-    /// are not, as fast as the budgets of their steps allow. Of those in `emptied`, tasks may go to
+    /// are not, as fast as the budgets of their steps allow. Of those in `draining`, tasks may go to
     /// any worker if several of their step run together.
     ///
     /// Answers the load pattern of a wave over machines that host tasks of several steps: a machine
     /// that waits until all of them can spare a task at the same moment waits longest, and goes last.
-    pub(super) fn move_long_running(
+    pub(super) fn evict_long_running(
         &mut self,
         hosts: &[WorkerSlot],
-        emptied: &HashSet<WorkerSlot>,
+        draining: &HashSet<WorkerSlot>,
         now: Moment,
     ) {
         let mut places: HashMap<ServiceId, Vec<Candidate>> = HashMap::new();
@@ -54,7 +54,7 @@
             let service = self.workers[slot].entry.service.clone();
             let places =
                 places.entry(service).or_insert_with_key(|service| self.candidates(service, now));
-            if let Some(task) = self.movable(slot, emptied.contains(&slot), places, now) {
+            if let Some(task) = self.movable(slot, draining.contains(&slot), places, now) {
                 self.stop_run(slot, task, now);
             }
         }
@@ -71,7 +71,7 @@
     fn movable(
         &self,
         slot: WorkerSlot,
-        is_emptied: bool,
+        is_draining: bool,
         places: &mut [Candidate],
         now: Moment,
     ) -> Option<TaskId> {
@@ -81,7 +81,7 @@
                 return false;
             }
             let same_step = self.long_running_left(slot).filter(|other| other.step == task.step);
-            let may_be_due = is_emptied && same_step.count() > 1;
+            let may_be_due = is_draining && same_step.count() > 1;
             let place = places.iter_mut().find(|place| {
                 place.slot != slot
                     && (may_be_due || !place.is_maintenance_due)
@@ -123,7 +123,7 @@
             let id = TaskId { index: *index, ..task };
             let at_work =
                 |slot: &WorkerSlot| Some(*slot) != lost && self.is_at_work(*slot, id, now);
-            *index != task.index && !other.copies.iter().any(at_work)
+            *index != task.index && !other.active_runs.iter().any(at_work)
         });
         u32::try_from(away.count()).unwrap_or(u32::MAX) < budget
     }
@@ -134,7 +134,7 @@
         let worker = &self.workers[slot];
         let Some(run) = worker.runs.get(&task) else { return false };
         let may_be_ending =
-            run.is_adopted && now < run.since + self.settings.stop_max + STOP_MARGIN;
+            run.is_adopted && now < run.since + self.settings.stop_grace_period + STOP_MARGIN;
         worker.is_confirmed
             && !worker.is_leaving
             && !may_be_ending
--- a/crates/jobs/src/scheduler/delays.rs
+++ b/crates/jobs/src/scheduler/delays.rs
@@ -14,13 +14,13 @@
     pub(super) fn note_delays(&mut self, time: Duration, now: Moment) {
         let mut noted: Vec<(JobId, DelayCause)> = Vec::new();
         for service in self.waiting_steps.services() {
-            let is_certain = self.is_certain(service, now);
+            let are_inherited_runs_known = self.are_inherited_runs_known(service, now);
             let mut last = None;
             for step in self.waiting_steps.of(service) {
                 if last == Some(step.job) {
                     continue;
                 }
-                if let Some(cause) = self.delay_cause(step, is_certain, now) {
+                if let Some(cause) = self.delay_cause(step, are_inherited_runs_known, now) {
                     noted.push((step.job, cause));
                     last = Some(step.job);
                 }
@@ -34,20 +34,25 @@
     }
 
     /// What a step waits for; `None` if none of its tasks waits.
-    fn delay_cause(&self, id: StepId, is_certain: bool, now: Moment) -> Option<DelayCause> {
+    fn delay_cause(
+        &self,
+        id: StepId,
+        are_inherited_runs_known: bool,
+        now: Moment,
+    ) -> Option<DelayCause> {
         let job = self.jobs.get(&id.job)?;
         let mut waiting = job.step(id)?.tasks.iter().filter(|task| task.is_waiting()).peekable();
         waiting.peek()?;
-        Some(if !is_certain && !job.is_untouched {
-            DelayCause::FormerOwner
-        } else if job.waits_for_announcement() {
+        Some(if !are_inherited_runs_known && !job.has_no_prior_runs {
+            DelayCause::PreviousOwner
+        } else if job.awaits_start_write() {
             DelayCause::Store
-        } else if waiting.all(|task| task.not_before > now) {
+        } else if waiting.all(|task| task.earliest_start > now) {
             DelayCause::Retry
-        } else if !self.team_admits(id, job.spec(id.step)?) {
+        } else if !self.is_within_team_quota(id, job.spec(id.step)?) {
             DelayCause::Limit
         } else {
-            DelayCause::Room
+            DelayCause::Capacity
         })
     }
 
--- a/crates/jobs/src/scheduler/gang.rs
+++ b/crates/jobs/src/scheduler/gang.rs
@@ -5,10 +5,10 @@
 
 use cassiafold_platform::Moment;
 
-use super::plan::take;
-use super::{Order, Scheduler};
+use super::plan::deduct_task;
+use super::{Command, Scheduler};
 use crate::job::WorkerSlot;
-use crate::placement::{Candidate, Demand};
+use crate::placement::{Candidate, TaskRequirements};
 use crate::spec::{StepId, StepSpec, TaskId};
 
 impl Scheduler {
@@ -18,17 +18,18 @@
         &mut self,
         id: StepId,
         spec: &StepSpec,
-        demand: &Demand,
+        requirements: &TaskRequirements,
         candidates: &mut [Candidate],
         tickets: Option<&HashMap<WorkerSlot, Arc<str>>>,
-        orders: &mut Vec<Order>,
+        commands: &mut Vec<Command>,
         now: Moment,
-    ) -> Option<Demand> {
+    ) -> Option<TaskRequirements> {
         if !self.is_step_idle(id) || self.waiting_tasks(id, now).len() < spec.tasks as usize {
             return None;
         }
-        let whole = (0..spec.tasks).fold(Default::default(), |sum, _| spec.needs.plus(&sum));
-        if !self.team_admits_amount(id, &whole) {
+        let whole =
+            (0..spec.tasks).fold(Default::default(), |sum, _| spec.task_resources.plus(&sum));
+        if !self.is_amount_within_team_quota(id, &whole) {
             return None;
         }
         let mut racks: Vec<Option<Arc<str>>> = vec![None];
@@ -40,8 +41,10 @@
         for rack in racks {
             let mut pool = candidates.to_vec();
             pool.retain(|candidate| rack.is_none() || candidate.labels.get(1) == rack.as_ref());
-            let Some(slots) = self.gang_slots(id, spec, demand, pool, tickets) else { continue };
-            if !self.announce(id) {
+            let Some(slots) = self.gang_slots(id, spec, requirements, pool, tickets) else {
+                continue;
+            };
+            if !self.ensure_start_stored(id) {
                 return None;
             }
             let first = TaskId { step: id, index: 0 };
@@ -50,26 +53,27 @@
             for (index, slot) in (0..).zip(slots) {
                 let ticket = tickets.and_then(|tickets| tickets.get(&slot).cloned());
                 let task = TaskId { index, ..first };
-                self.order_start(task, run, slot, spec, ticket, now, orders);
-                take(candidates, slot, demand);
+                self.command_start(task, run, slot, spec, ticket, now, commands);
+                deduct_task(candidates, slot, requirements);
             }
             return None;
         }
-        Some(demand.clone())
+        Some(requirements.clone())
     }
 
     fn gang_slots(
         &self,
         id: StepId,
         spec: &StepSpec,
-        demand: &Demand,
+        requirements: &TaskRequirements,
         mut pool: Vec<Candidate>,
         tickets: Option<&HashMap<WorkerSlot, Arc<str>>>,
     ) -> Option<Vec<WorkerSlot>> {
         let mut slots = Vec::with_capacity(spec.tasks as usize);
         for index in 0..spec.tasks {
-            let slot = self.choose_for(TaskId { step: id, index }, demand, &pool, tickets)?;
-            take(&mut pool, slot, demand);
+            let slot =
+                self.choose_worker_for(TaskId { step: id, index }, requirements, &pool, tickets)?;
+            deduct_task(&mut pool, slot, requirements);
             slots.push(slot);
         }
         Some(slots)
--- a/crates/jobs/src/scheduler/chains.rs
+++ b/crates/jobs/src/scheduler/in_flight_writes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::record::{CHAINS, ChainNumber, FIRST_CHAIN};
+use crate::record::{ChainNumber, FIRST_WRITE_CHAIN, WRITE_CHAINS};
 use crate::spec::JobId;
 
 /// States and removals that wait for each write under way before another one begins: most writes
@@ -11,21 +11,21 @@
 
 /// Writes that have begun and are not known to have taken effect.
 #[derive(Debug, Default)]
-pub(super) struct UnderWay {
-    busy: [bool; CHAINS],
+pub(super) struct InFlightWrites {
+    busy: [bool; WRITE_CHAINS],
     /// Jobs whose states they hold, with the order of the first end that each state tells of.
     states: HashMap<JobId, u64>,
 }
 
-impl UnderWay {
+impl InFlightWrites {
     /// The chain on which a write may begin while so much waits for one.
     ///
     /// Answers the load pattern of a backlog beside a slow store or a busy owner: how many states
     /// are written in a second must not fall as each write takes longer.
-    pub(super) fn next_chain(&self, waiting: impl FnOnce() -> usize) -> Option<ChainNumber> {
+    pub(super) fn next_write_chain(&self, waiting: impl FnOnce() -> usize) -> Option<ChainNumber> {
         let free = self.busy.iter().position(|busy| !busy)?;
         let writes = self.busy.iter().filter(|busy| **busy).count();
-        (free == FIRST_CHAIN || waiting() >= writes * WAITING_PER_WRITE).then_some(free)
+        (free == FIRST_WRITE_CHAIN || waiting() >= writes * WAITING_PER_WRITE).then_some(free)
     }
 
     /// Notes that a write has begun on a chain.
@@ -49,7 +49,7 @@
     }
 
     /// Whether a state of the job is under way: no other one may overtake it.
-    pub(super) fn holds(&self, job: JobId) -> bool {
+    pub(super) fn contains(&self, job: JobId) -> bool {
         self.states.contains_key(&job)
     }
 
--- a/crates/jobs/src/scheduler/inbox.rs
+++ b/crates/jobs/src/scheduler/job_lifecycle.rs
@@ -5,7 +5,7 @@
 use cassiafold_event::emit;
 use cassiafold_platform::{Moment, Revision};
 
-use super::{Scheduler, Urgency};
+use super::{Scheduler, WriteUrgency};
 use crate::arrivals::Work;
 use crate::event::JobsEvent;
 use crate::job::Job;
@@ -29,7 +29,7 @@
             return;
         }
         let mut job = Job::new(id, record, accepted_revision, stored, now);
-        job.beyond_weight = self.is_beyond_weight(&job, now);
+        job.exceeds_share = self.exceeds_share(&job, now);
         if !job.is_live() {
             self.jobs.insert(id, job);
             self.ended.push_back((id, now));
@@ -37,20 +37,20 @@
         }
         let repeats = job.record.spec.schedule.is_some();
         // A job that no earlier owner has touched starts with the first number.
-        let run_base = if job.is_untouched { 0 } else { self.tenure.run_base };
+        let run_number_base = if job.has_no_prior_runs { 0 } else { self.term.run_number_base };
         if !repeats {
-            job.begin(0, stored, run_base, now);
+            job.start_occurrence(0, stored, run_number_base, now);
         }
-        if accepted_revision > self.tenure.token && !job.record.spec.is_long_running() {
+        if accepted_revision > self.term.token && !job.record.spec.is_long_running() {
             let cores = job.record.spec.steps.iter().map(StepSpec::cores);
             let work =
                 Work { core_seconds: job.work_left(0), cores_max: cores.fold(0.0, f64::max) };
-            self.arrivals.note(&job.record.service, work, now);
+            self.arrivals.record(&job.record.service, work, now);
         }
         self.jobs.insert(id, job);
         match repeats {
             true => self.scheduled.push(id),
-            false => self.advance(id, 0, now),
+            false => self.advance_occurrence(id, 0, now),
         }
         // After an outage of the store its cancel may have come first.
         if self.early_cancels.remove(&id) {
@@ -59,7 +59,7 @@
     }
 
     /// Raises the level of the job's team by one job and tells whether it exceeds its weight.
-    fn is_beyond_weight(&mut self, job: &Job, now: Moment) -> bool {
+    fn exceeds_share(&mut self, job: &Job, now: Moment) -> bool {
         let Some(team) = job.record.team.clone() else { return false };
         let Some(weight) = self.config.teams.get(&team).map(|team| team.weight) else {
             return false;
@@ -81,12 +81,12 @@
             return;
         };
         if job.is_live() {
-            self.finish(id, JobState::Cancelled, now);
+            self.finish_job(id, JobState::Cancelled, now);
         }
     }
 
     /// Begins the repetitions that are due at a time of day.
-    pub fn begin_due(&mut self, unix: Duration, now: Moment) {
+    pub fn start_due_occurrences(&mut self, unix: Duration, now: Moment) {
         let mut begun: Vec<(JobId, OccurrenceNumber)> = Vec::new();
         for id in &self.scheduled {
             let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else { continue };
@@ -97,28 +97,28 @@
                 }
                 let known = job.occurrences.contains_key(&number) || job.ended.contains(&number);
                 if !known {
-                    job.begin(number, None, self.tenure.run_base, now);
+                    job.start_occurrence(number, None, self.term.run_number_base, now);
                     begun.push((*id, number));
                 }
             }
         }
         for (id, number) in begun {
-            self.advance(id, number, now);
+            self.advance_occurrence(id, number, now);
         }
         let jobs = &self.jobs;
         self.scheduled.retain(|id| jobs.get(id).is_some_and(Job::is_live));
     }
 
     /// Begins a repetition of which a worker knows a run: an earlier owner had begun it.
-    pub(super) fn ensure_begun(&mut self, step: StepId, now: Moment) {
+    pub(super) fn ensure_occurrence_started(&mut self, step: StepId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&step.job).filter(|job| job.is_live()) else { return };
         let repeats = job.record.spec.schedule.is_some();
         let is_known = job.occurrences.contains_key(&step.occurrence);
         if !repeats || is_known || step.occurrence >= job.record.spec.occurrences() {
             return;
         }
-        job.begin(step.occurrence, None, self.tenure.run_base, now);
-        self.advance(step.job, step.occurrence, now);
+        job.start_occurrence(step.occurrence, None, self.term.run_number_base, now);
+        self.advance_occurrence(step.job, step.occurrence, now);
     }
 
     /// Restores repetitions of a scheduled job that had begun under an earlier owner.
@@ -131,23 +131,23 @@
         numbers.dedup();
         for number in numbers {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.begin(number, Some(stored), self.tenure.run_base, now);
+                job.start_occurrence(number, Some(stored), self.term.run_number_base, now);
             }
-            self.advance(id, number, now);
+            self.advance_occurrence(id, number, now);
         }
     }
 
     /// Lets the steps start whose predecessors are done, and ends what is done.
-    pub(super) fn advance(&mut self, id: JobId, number: OccurrenceNumber, now: Moment) {
+    pub(super) fn advance_occurrence(&mut self, id: JobId, number: OccurrenceNumber, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_live()) else { return };
         let service = job.record.service.clone();
         let ready = job.ready_steps(number, now);
         if job.occurrences.get(&number).is_some_and(|occurrence| occurrence.is_done()) {
             job.ended.push(number);
             let all_ended = job.ended.len() >= job.record.spec.occurrences() as usize;
-            self.mark_dirty(id);
+            self.mark_unwritten(id);
             if all_ended {
-                self.finish(id, JobState::Completed, now);
+                self.finish_job(id, JobState::Completed, now);
             }
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.occurrences.remove(&number);
@@ -158,22 +158,22 @@
             self.changed.insert(service);
         }
         for step in ready {
-            self.step_is_ready(step);
+            self.mark_step_ready(step);
         }
     }
 
     /// Ends a job and stops what still runs of it.
-    pub(super) fn finish(&mut self, id: JobId, state: JobState, now: Moment) {
+    pub(super) fn finish_job(&mut self, id: JobId, state: JobState, now: Moment) {
         let Some(job) = self.jobs.get(&id) else { return };
         let late = self.lateness(job, now).unwrap_or_default();
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.state = state;
         let service = job.record.service.clone();
-        let age = now.saturating_sub(job.seen);
-        let copies = job.copies();
+        let age = now.saturating_sub(job.first_seen);
+        let active_runs = job.active_runs();
         let (queue, delays) = (job.record.queue.clone(), job.delays);
-        self.mark_dirty(id);
-        self.raise_urgency(Urgency::Now);
+        self.mark_unwritten(id);
+        self.raise_urgency(WriteUrgency::High);
         emit!(
             JobsEvent::JobEnded,
             job = format_args!("{id:016x}"),
@@ -183,7 +183,7 @@
             late_ms = late.as_millis(),
             delays_ms = delays
         );
-        for (slot, task) in copies {
+        for (slot, task) in active_runs {
             self.stop_run(slot, task, now);
         }
         self.ready.remove_job(&service, id);
--- a/crates/jobs/src/scheduler/holders.rs
+++ b/crates/jobs/src/scheduler/machine_leases.rs
@@ -11,11 +11,11 @@
 use cassiafold_config::InstanceId;
 use cassiafold_platform::Moment;
 
-use crate::record::OrderedRecord;
+use crate::record::CommandedMachinesRecord;
 
 /// Who ordered a machine last.
 #[derive(Debug)]
-struct Holder {
+struct MachineLease {
     /// The owner's instance.
     instance: Arc<str>,
     /// Until when others must not order it.
@@ -26,72 +26,75 @@
 
 /// Who ordered which machine lately.
 #[derive(Debug)]
-pub(super) struct Holders {
+pub(super) struct MachineLeases {
     instance: Arc<str>,
     lease: Duration,
-    holders: HashMap<InstanceId, Holder>,
+    leases: HashMap<InstanceId, MachineLease>,
     /// What lies in the store, or is on its way there.
-    written: OrderedRecord,
+    written: CommandedMachinesRecord,
 }
 
-impl Holders {
+impl MachineLeases {
     /// The machines that earlier owners may have ordered until `now`.
     pub(super) fn new(
         instance: Arc<str>,
         lease: Duration,
-        stored: OrderedRecord,
+        stored: CommandedMachinesRecord,
         now: Moment,
     ) -> Self {
         let inherit = |(machine, instance): (&InstanceId, &Arc<str>)| {
-            let holder =
-                Holder { instance: Arc::clone(instance), until: now + lease, is_stored: true };
-            (machine.clone(), holder)
+            let lease = MachineLease {
+                instance: Arc::clone(instance),
+                until: now + lease,
+                is_stored: true,
+            };
+            (machine.clone(), lease)
         };
-        let holders = stored.iter().map(inherit).collect();
-        Self { instance, lease, holders, written: stored }
+        let leases = stored.iter().map(inherit).collect();
+        Self { instance, lease, leases, written: stored }
     }
 
     /// Whether another instance may have ordered a machine less than a lease ago.
-    pub(super) fn is_held(&self, machine: &str, now: Moment) -> bool {
-        let holder = self.holders.get(machine);
-        holder.is_some_and(|holder| holder.instance != self.instance && now <= holder.until)
+    pub(super) fn is_leased_to_other(&self, machine: &str, now: Moment) -> bool {
+        let lease = self.leases.get(machine);
+        lease.is_some_and(|lease| lease.instance != self.instance && now <= lease.until)
     }
 
     /// Whether a machine may be ordered now. If not, its name is stored with the next write,
     /// unless another instance holds it.
-    pub(super) fn may_order(&mut self, machine: &InstanceId, now: Moment) -> bool {
-        if self.is_held(machine, now) {
+    pub(super) fn acquire(&mut self, machine: &InstanceId, now: Moment) -> bool {
+        if self.is_leased_to_other(machine, now) {
             return false;
         }
         let until = now + self.lease;
         let instance = &self.instance;
-        let wanted = || Holder { instance: Arc::clone(instance), until, is_stored: false };
-        let holder = self.holders.entry(machine.clone()).or_insert_with(wanted);
-        if holder.instance != self.instance {
-            *holder = wanted();
+        let wanted = || MachineLease { instance: Arc::clone(instance), until, is_stored: false };
+        let lease = self.leases.entry(machine.clone()).or_insert_with(wanted);
+        if lease.instance != self.instance {
+            *lease = wanted();
         }
-        holder.until = holder.until.max(until);
-        holder.is_stored
+        lease.until = lease.until.max(until);
+        lease.is_stored
     }
 
     /// Notes that an order may still be carried out until `until`.
     pub(super) fn extend(&mut self, machine: &str, until: Moment) {
-        if let Some(holder) = self.holders.get_mut(machine) {
-            holder.until = holder.until.max(until + self.lease);
+        if let Some(lease) = self.leases.get_mut(machine) {
+            lease.until = lease.until.max(until + self.lease);
         }
     }
 
     /// Whether a name waits for the next write.
     pub(super) fn is_write_wanted(&self) -> bool {
-        self.holders.values().any(|holder| !holder.is_stored)
+        self.leases.values().any(|lease| !lease.is_stored)
     }
 
     /// The record that is to be stored; `None` if the stored one is right.
-    pub(super) fn take_record(&mut self, now: Moment) -> Option<OrderedRecord> {
-        self.holders.retain(|_, holder| now <= holder.until);
-        let entries = self.holders.iter();
-        let record: OrderedRecord = entries
-            .map(|(machine, holder)| (machine.clone(), Arc::clone(&holder.instance)))
+    pub(super) fn take_record(&mut self, now: Moment) -> Option<CommandedMachinesRecord> {
+        self.leases.retain(|_, lease| now <= lease.until);
+        let entries = self.leases.iter();
+        let record: CommandedMachinesRecord = entries
+            .map(|(machine, lease)| (machine.clone(), Arc::clone(&lease.instance)))
             .collect();
         if record == self.written {
             return None;
@@ -101,10 +104,10 @@
     }
 
     /// Takes in that a record has been stored.
-    pub(super) fn note_stored(&mut self, record: &OrderedRecord) {
+    pub(super) fn note_stored(&mut self, record: &CommandedMachinesRecord) {
         for (machine, instance) in record {
-            if let Some(holder) = self.holders.get_mut(machine) {
-                holder.is_stored |= holder.instance == *instance;
+            if let Some(lease) = self.leases.get_mut(machine) {
+                lease.is_stored |= lease.instance == *instance;
             }
         }
     }
--- a/crates/jobs/src/scheduler/machine_list.rs
+++ b/crates/jobs/src/scheduler/machine_list.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether a worker runs on a machine that is up.
-    pub(super) fn runs(&self, worker: &str) -> bool {
+    pub(super) fn has_running_worker(&self, worker: &str) -> bool {
         self.up_by_worker.contains_key(worker)
     }
 }
--- a/crates/jobs/src/scheduler/upkeep.rs
+++ b/crates/jobs/src/scheduler/maintenance.rs
@@ -8,18 +8,18 @@
 use cassiafold_platform::Moment;
 
 use super::machine_list::MachineList;
-use super::{Order, Scheduler, Urgency};
+use super::{Command, Scheduler, WriteUrgency};
+use crate::clients::MachineOutcome;
 use crate::cluster::{Machine, MachineState, Wave, WaveNumber};
-use crate::edges::MachineOutcome;
 use crate::event::JobsEvent;
 use crate::job::WorkerSlot;
 use crate::record::{WaveRecord, WavesRecord};
 
 /// Time that one machine of a wave takes, from the order until its new worker takes work, with
 /// the order's turn-around.
-const UPKEEP_TIME: Duration = Duration::from_millis(3_000);
+const MAINTENANCE_TIME: Duration = Duration::from_millis(3_000);
 /// Machines that are emptied beyond those that are down at once.
-const EMPTIED_AHEAD: usize = 1;
+const DRAINING_AHEAD: usize = 1;
 /// Part of a wave's term that is left unplanned.
 const SPARE_PART: f64 = 0.25;
 /// Part of a wave's term after which machines are taken down though short tasks run there.
@@ -29,11 +29,11 @@
 /// An order without an answer may be carried out until this time has passed.
 const LATE_ORDER_MAX: Duration = Duration::from_secs(13);
 /// Longest time for which one machine is emptied before it is taken down.
-const EMPTYING_MAX: Duration = Duration::from_millis(4_500);
+const DRAINING_MAX: Duration = Duration::from_millis(4_500);
 
 /// An order to a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MachineOrder {
+pub enum MachineCommand {
     /// Maintain it.
     Maintain {
         /// The machine.
@@ -50,7 +50,7 @@
     },
 }
 
-impl MachineOrder {
+impl MachineCommand {
     /// The machine that the order is for.
     pub fn machine(&self) -> &InstanceId {
         match self {
@@ -61,7 +61,7 @@
 
 /// The last order to a machine.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct SentOrder {
+pub(super) struct SentCommand {
     at: Moment,
     /// Whether it may still be carried out.
     is_open: bool,
@@ -77,7 +77,7 @@
     /// Machines whose maintenance has begun, and when.
     begun: HashMap<InstanceId, Moment>,
     /// Machines that get no new work until they are taken down, and since when.
-    emptied: HashMap<InstanceId, Moment>,
+    draining: HashMap<InstanceId, Moment>,
     /// Last status that lies in the store: whether the wave is complete.
     stored: Option<bool>,
 }
@@ -100,7 +100,7 @@
             since: now.saturating_sub(age),
             since_unix_ms,
             begun: begun.iter().map(|machine| (machine.clone(), now)).collect(),
-            emptied: HashMap::new(),
+            draining: HashMap::new(),
             stored: None,
         }
     }
@@ -108,13 +108,13 @@
 
 impl Scheduler {
     /// Whether machines have to be listed, since a wave is open.
-    pub fn needs_machines(&self) -> bool {
+    pub fn needs_machine_list(&self) -> bool {
         self.waves.values().any(|wave| wave.stored != Some(true))
             || self.config.services.values().any(|service| service.is_spare)
     }
 
     /// Whether machines should be listed without delay, since one was ordered.
-    pub fn take_list_wish(&mut self) -> bool {
+    pub fn take_machine_list_request(&mut self) -> bool {
         std::mem::take(&mut self.is_list_wanted)
     }
 
@@ -129,8 +129,8 @@
             .collect();
         for slot in leaving {
             let id = &self.workers[slot].entry.id;
-            if !machines.runs(id) {
-                self.lose_worker(slot, now);
+            if !machines.has_running_worker(id) {
+                self.retire_worker(slot, now);
                 continue;
             }
             // The order had been carried out before; the worker is the one that came after it.
@@ -138,7 +138,7 @@
             worker.leaving_since = None;
             worker.is_leaving = false;
             worker.is_cordoned = false;
-            self.mark_changed(slot);
+            self.mark_worker_service_changed(slot);
         }
         self.machines = machines;
         self.machines_listed = Some(sent);
@@ -150,12 +150,12 @@
     fn lose_downed(&mut self, sent: Moment, now: Moment) {
         for slot in 0..self.workers.len() {
             let worker = &self.workers[slot];
-            let is_silent = worker.silent_since.is_some_and(|since| since < sent);
+            let is_silent = worker.unresponsive_since.is_some_and(|since| since < sent);
             if worker.is_gone || !is_silent {
                 continue;
             }
-            if !self.machines.runs(&worker.entry.id) {
-                self.lose_worker(slot, now);
+            if !self.machines.has_running_worker(&worker.entry.id) {
+                self.retire_worker(slot, now);
             }
         }
     }
@@ -172,25 +172,30 @@
     }
 
     /// Takes in the outcome of an order to a machine.
-    pub fn note_machine(&mut self, order: &MachineOrder, outcome: MachineOutcome, now: Moment) {
+    pub fn handle_machine_outcome(
+        &mut self,
+        command: &MachineCommand,
+        outcome: MachineOutcome,
+        now: Moment,
+    ) {
         emit!(
             JobsEvent::MachineOrdered,
-            machine = order.machine(),
-            order = format_args!("{order:?}"),
+            machine = command.machine(),
+            order = format_args!("{command:?}"),
             outcome = format_args!("{outcome:?}")
         );
         let is_open = outcome == MachineOutcome::Unknown;
         if is_open {
-            self.holders.extend(order.machine(), now + LATE_ORDER_MAX);
+            self.machine_leases.extend(command.machine(), now + LATE_ORDER_MAX);
         }
-        if let Some(ordered) = self.machines_ordered.get_mut(order.machine()) {
+        if let Some(ordered) = self.machines_ordered.get_mut(command.machine()) {
             ordered.is_open = is_open;
         }
         let accepted = outcome == MachineOutcome::Accepted;
         if !accepted && !is_open {
-            self.moving.remove(order.machine());
+            self.moving.remove(command.machine());
         }
-        if let Some(slot) = self.worker_of(order.machine()) {
+        if let Some(slot) = self.worker_on_machine(command.machine()) {
             let worker = &mut self.workers[slot];
             worker.is_leaving = is_open || accepted;
             worker.is_cordoned &= worker.is_leaving;
@@ -204,95 +209,95 @@
         if !accepted {
             return;
         }
-        if let MachineOrder::Maintain { machine, wave } = order
+        if let MachineCommand::Maintain { machine, wave } = command
             && let Some(progress) = self.waves.get_mut(wave)
         {
             progress.begun.entry(machine.clone()).or_insert(now);
-            progress.emptied.remove(machine);
-            self.raise_urgency(Urgency::Now);
+            progress.draining.remove(machine);
+            self.raise_urgency(WriteUrgency::High);
         }
         self.is_list_wanted = true;
     }
 
-    pub(super) fn worker_of(&self, machine: &str) -> Option<WorkerSlot> {
+    pub(super) fn worker_on_machine(&self, machine: &str) -> Option<WorkerSlot> {
         let listed = self.machines.get(machine)?;
-        self.present.get(listed.worker.as_ref()?).copied()
+        self.current_slots.get(listed.worker.as_ref()?).copied()
     }
 
     /// Orders the maintenance that is due.
-    pub(super) fn plan_upkeep(&mut self, now: Moment, orders: &mut Vec<Order>) {
+    pub(super) fn plan_maintenance(&mut self, now: Moment, commands: &mut Vec<Command>) {
         if self.machines.is_empty() {
             return;
         }
-        for slot in self.living().collect::<Vec<_>>() {
+        for slot in self.active_slots().collect::<Vec<_>>() {
             self.workers[slot].is_maintenance_due = false;
         }
         let numbers: Vec<WaveNumber> = self.waves.keys().copied().collect();
         for number in numbers {
-            self.plan_wave(number, now, orders);
+            self.plan_wave(number, now, commands);
         }
     }
 
-    fn plan_wave(&mut self, number: WaveNumber, now: Moment, orders: &mut Vec<Order>) {
+    fn plan_wave(&mut self, number: WaveNumber, now: Moment, commands: &mut Vec<Command>) {
         // Taken out while workers are marked, and put back below.
         let Some(mut progress) = self.waves.remove(&number) else { return };
         if progress.stored != Some(true) {
-            self.take_down(&mut progress, now, orders);
+            self.take_down(&mut progress, now, commands);
         }
         self.waves.insert(number, progress);
     }
 
     /// Takes down the machines of a wave that may go now, the emptiest first, and keeps new work
     /// off those that follow.
-    fn take_down(&mut self, progress: &mut WaveProgress, now: Moment, orders: &mut Vec<Order>) {
+    fn take_down(&mut self, progress: &mut WaveProgress, now: Moment, commands: &mut Vec<Command>) {
         let down = self.down_count(progress);
         let mut open = self.open_machines(progress, now);
         for slot in open.iter().filter_map(|(_, slot)| *slot) {
             self.workers[slot].is_maintenance_due = true;
         }
         let at_once = at_once(progress, open.len(), now);
-        let free = progress.wave.at_once_max.saturating_sub(down);
+        let free = progress.wave.concurrent_max.saturating_sub(down);
         let paced = at_once.saturating_sub(down);
         // Machines with long-running tasks take longest to empty, so these begin first.
         open.sort_by_cached_key(|(machine, slot)| {
             let runs = slot.map_or(0, |slot| 1 + self.workers[slot].runs.len());
             let is_settled = slot.is_some_and(|slot| self.hosts_long_running(slot));
-            (!progress.emptied.contains_key(&machine.id), !is_settled, runs, machine.id.clone())
+            (!progress.draining.contains_key(&machine.id), !is_settled, runs, machine.id.clone())
         });
         let hosts: Vec<WorkerSlot> = open.iter().filter_map(|(_, slot)| *slot).collect();
-        let patience = progress.wave.term.mul_f64(PATIENT_PART);
+        let patience = progress.wave.time_limit.mul_f64(PATIENT_PART);
         let is_late = now.saturating_sub(progress.since) > patience;
         let mut taken: Vec<InstanceId> = Vec::new();
         // Machines that go as soon as they are named in the store.
         let mut named = 0;
-        let mut emptied: BTreeSet<InstanceId> = BTreeSet::new();
+        let mut draining: BTreeSet<InstanceId> = BTreeSet::new();
         for (machine, slot) in open {
-            let since = progress.emptied.get(&machine.id).copied();
+            let since = progress.draining.get(&machine.id).copied();
             let waited = since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
-            let patient = !is_late && waited < EMPTYING_MAX;
-            let is_free = slot.is_none_or(|slot| self.may_take_down(slot, patient, now));
+            let patient = !is_late && waited < DRAINING_MAX;
+            let is_free = slot.is_none_or(|slot| self.can_take_down(slot, patient, now));
             let is_repeat = self.is_order_open(&machine.id);
             let is_spared = slot.is_none_or(|slot| self.is_spared(slot));
             let most = if is_spared { free } else { paced };
             if is_repeat || (is_free && taken.len() + named < most) {
-                if !self.holders.may_order(&machine.id, now) {
+                if !self.machine_leases.acquire(&machine.id, now) {
                     named += 1;
-                    emptied.insert(machine.id);
+                    draining.insert(machine.id);
                     continue;
                 }
                 if let Some(slot) = slot {
                     self.workers[slot].is_leaving = true;
                 }
                 taken.push(machine.id);
-            } else if emptied.len() < paced + EMPTIED_AHEAD {
-                emptied.insert(machine.id);
+            } else if draining.len() < paced + DRAINING_AHEAD {
+                draining.insert(machine.id);
             }
         }
-        let going = emptied.iter().filter_map(|machine| self.worker_of(machine)).collect();
-        self.move_long_running(&hosts, &going, now);
-        self.empty_machines(progress, emptied, now);
+        let going = draining.iter().filter_map(|machine| self.worker_on_machine(machine)).collect();
+        self.evict_long_running(&hosts, &going, now);
+        self.drain_machines(progress, draining, now);
         for machine in taken {
-            self.order_maintenance(progress.wave.number, machine, now, orders);
+            self.order_maintenance(progress.wave.number, machine, now, commands);
         }
     }
 
@@ -341,37 +346,37 @@
         let of_wave = listed.filter(|machine| {
             !progress.begun.contains_key(&machine.id)
                 && machine.state == MachineState::Up
-                && !self.holders.is_held(&machine.id, now)
+                && !self.machine_leases.is_leased_to_other(&machine.id, now)
         });
         of_wave
             .map(|machine| {
                 let worker = machine.worker.as_ref();
-                let slot = worker.and_then(|worker| self.present.get(worker)).copied();
+                let slot = worker.and_then(|worker| self.current_slots.get(worker)).copied();
                 (machine.clone(), slot)
             })
             .collect()
     }
 
     /// Keeps new work off the machines that are taken down next, and off no others.
-    fn empty_machines(
+    fn drain_machines(
         &mut self,
         progress: &mut WaveProgress,
-        emptied: BTreeSet<InstanceId>,
+        draining: BTreeSet<InstanceId>,
         now: Moment,
     ) {
-        let former = std::mem::take(&mut progress.emptied);
-        progress.emptied = emptied
+        let former = std::mem::take(&mut progress.draining);
+        progress.draining = draining
             .iter()
             .map(|machine| (machine.clone(), former.get(machine).copied().unwrap_or(now)))
             .collect();
-        for machine in former.keys().filter(|machine| !emptied.contains(*machine)) {
-            if let Some(slot) = self.worker_of(machine) {
+        for machine in former.keys().filter(|machine| !draining.contains(*machine)) {
+            if let Some(slot) = self.worker_on_machine(machine) {
                 self.workers[slot].is_cordoned = self.workers[slot].is_leaving;
-                self.mark_changed(slot);
+                self.mark_worker_service_changed(slot);
             }
         }
-        for machine in &emptied {
-            if let Some(slot) = self.worker_of(machine) {
+        for machine in &draining {
+            if let Some(slot) = self.worker_on_machine(machine) {
                 self.workers[slot].is_cordoned = true;
             }
         }
@@ -382,17 +387,17 @@
         number: WaveNumber,
         machine: InstanceId,
         now: Moment,
-        orders: &mut Vec<Order>,
+        commands: &mut Vec<Command>,
     ) {
-        if let Some(slot) = self.worker_of(&machine) {
+        if let Some(slot) = self.worker_on_machine(&machine) {
             self.workers[slot].is_cordoned = true;
         }
         let last = self.machines_ordered.get(&machine);
         if last.is_some_and(|last| now.saturating_sub(last.at) < ORDER_RETRY) {
             return;
         }
-        self.machines_ordered.insert(machine.clone(), SentOrder { at: now, is_open: true });
-        orders.push(Order::Machine(MachineOrder::Maintain { machine, wave: number }));
+        self.machines_ordered.insert(machine.clone(), SentCommand { at: now, is_open: true });
+        commands.push(Command::Machine(MachineCommand::Maintain { machine, wave: number }));
     }
 
     /// Waves whose status in the store is behind.
@@ -428,9 +433,9 @@
 /// Answers the load pattern of a wave that begins while a service has its turn: the machines that
 /// are wanted go down evenly over the term and not all at its begin.
 fn at_once(progress: &WaveProgress, open: usize, now: Moment) -> usize {
-    let planned = progress.wave.term.mul_f64(1.0 - SPARE_PART);
+    let planned = progress.wave.time_limit.mul_f64(1.0 - SPARE_PART);
     let left = (progress.since + planned).saturating_sub(now);
-    let rounds = (left.as_secs_f64() / UPKEEP_TIME.as_secs_f64()).floor().max(1.0);
+    let rounds = (left.as_secs_f64() / MAINTENANCE_TIME.as_secs_f64()).floor().max(1.0);
     let needed = (open as f64 / rounds).ceil() as usize;
-    needed.clamp(1, progress.wave.at_once_max.max(1))
+    needed.clamp(1, progress.wave.concurrent_max.max(1))
 }
