--- a/crates/jobs/src/scheduler/plan.rs
+++ b/crates/jobs/src/scheduler/plan.rs
@@ -7,13 +7,15 @@
 
 use cassiafold_platform::Moment;
 
-use super::{Order, Scheduler, Urgency};
+use super::{Command, Scheduler, WriteUrgency};
 use crate::job::{Job, Occurrence, WorkerSlot};
-use crate::order::{Contender, sort};
-use crate::placement::{Candidate, Demand, Unplaced, choose, reserve};
+use crate::placement::{
+    Candidate, TaskRequirements, UnplaceableRequirements, choose_reservation, choose_worker,
+};
 use crate::record::JobState;
 use crate::spec::{Resources, StepId, StepSpec, TaskId};
-use crate::worker::{LookPhase, Run, RunKind, RunPhase};
+use crate::step_order::{WaitingStep, sort};
+use crate::worker::{PollPhase, Run, RunKind, RunPhase};
 
 /// Time after which services are planned again without news, for delays that have passed.
 const REPLAN_INTERVAL: Duration = Duration::from_millis(50);
@@ -28,109 +30,109 @@
 
 impl Scheduler {
     /// The orders that are due now, at a time of day `unix`.
-    pub fn plan(&mut self, unix: Duration, now: Moment) -> Vec<Order> {
-        let mut orders = Vec::new();
+    pub fn plan(&mut self, unix: Duration, now: Moment) -> Vec<Command> {
+        let mut commands = Vec::new();
         self.unix = unix;
         if now.saturating_sub(self.planned_all) >= REPLAN_INTERVAL {
             self.note_delays(now.saturating_sub(self.planned_all), now);
             self.planned_all = now;
-            self.begin_due(unix, now);
+            self.start_due_occurrences(unix, now);
             self.mark_all_changed();
-            for slot in self.living().collect::<Vec<_>>() {
-                self.expire(slot, now);
+            for slot in self.active_slots().collect::<Vec<_>>() {
+                self.expire_lease(slot, now);
             }
-            self.plan_upkeep(now, &mut orders);
-            self.plan_moves(now);
-            self.plan_pace(now, &mut orders);
+            self.plan_maintenance(now, &mut commands);
+            self.plan_machine_moves(now);
+            self.plan_throttling(now, &mut commands);
         }
-        self.order_moves(now, &mut orders);
+        self.issue_machine_moves(now, &mut commands);
         for service in std::mem::take(&mut self.changed) {
-            if self.full_until.get(&service).is_some_and(|until| now < *until) {
+            if self.next_placement.get(&service).is_some_and(|until| now < *until) {
                 self.changed.insert(service);
                 continue;
             }
-            self.plan_service(&service, now, &mut orders);
+            self.plan_service(&service, now, &mut commands);
         }
-        orders.extend(self.due_stops(now));
-        self.due_looks(now, &mut orders);
-        orders
+        commands.extend(self.due_stops(now));
+        self.due_polls(now, &mut commands);
+        commands
     }
 
     /// When the next order falls due without news.
     pub fn next_due(&self, now: Moment) -> Moment {
-        let look = self.looks_due.peek().map_or(Moment::MAX, |Reverse((at, _))| *at);
-        let full = self.changed.iter().filter_map(|service| self.full_until.get(service));
+        let poll = self.poll_queue.peek().map_or(Moment::MAX, |Reverse((at, _))| *at);
+        let full = self.changed.iter().filter_map(|service| self.next_placement.get(service));
         let pass = full.min().copied().unwrap_or(Moment::MAX);
-        look.min(pass).min(now + REPLAN_INTERVAL)
+        poll.min(pass).min(now + REPLAN_INTERVAL)
     }
 
-    fn due_looks(&mut self, now: Moment, orders: &mut Vec<Order>) {
-        let first = orders.len();
+    fn due_polls(&mut self, now: Moment, commands: &mut Vec<Command>) {
+        let first = commands.len();
         let mut due = Vec::new();
-        while let Some(Reverse((at, worker))) = self.looks_due.peek().copied()
+        while let Some(Reverse((at, worker))) = self.poll_queue.peek().copied()
             && at <= now
         {
-            self.looks_due.pop();
-            let life = &self.workers[worker];
-            if !life.is_gone && life.look == LookPhase::DueAt(at) {
-                orders.push(Order::Look { worker, is_probe: false });
+            self.poll_queue.pop();
+            let incarnation = &self.workers[worker];
+            if !incarnation.is_gone && incarnation.poll == PollPhase::DueAt(at) {
+                commands.push(Command::Poll { worker, is_out_of_band: false });
                 due.push(Reverse((at, worker)));
             }
         }
         // A look stays due until it is on its way.
-        self.looks_due.extend(due);
-        let is_looked_at = |orders: &[Order], slot: WorkerSlot| {
-            orders
+        self.poll_queue.extend(due);
+        let is_polled = |commands: &[Command], slot: WorkerSlot| {
+            commands
                 .iter()
-                .any(|order| matches!(order, Order::Look { worker, .. } if *worker == slot))
+                .any(|command| matches!(command, Command::Poll { worker, .. } if *worker == slot))
         };
-        for worker in std::mem::take(&mut self.probes_due) {
-            if !self.workers[worker].is_gone && !is_looked_at(&orders[first..], worker) {
-                orders.push(Order::Look { worker, is_probe: true });
+        for worker in std::mem::take(&mut self.out_of_band_polls_due) {
+            if !self.workers[worker].is_gone && !is_polled(&commands[first..], worker) {
+                commands.push(Command::Poll { worker, is_out_of_band: true });
             }
         }
     }
 
-    fn plan_service(&mut self, service: &str, now: Moment, orders: &mut Vec<Order>) {
-        let mut contenders = self.contenders(service, now);
-        if contenders.is_empty() {
+    fn plan_service(&mut self, service: &str, now: Moment, commands: &mut Vec<Command>) {
+        let mut eligible_steps = self.eligible_steps(service, now);
+        if eligible_steps.is_empty() {
             return;
         }
-        sort(&mut contenders, now);
+        sort(&mut eligible_steps, now);
         let mut candidates = self.candidates(service, now);
         let mut reserved = 0;
-        let mut unplaced = Unplaced::default();
-        for contender in &contenders {
+        let mut unplaced = UnplaceableRequirements::default();
+        for waiting_step in &eligible_steps {
             if candidates.is_empty() {
                 break;
             }
-            let waited = now.saturating_sub(contender.ready_since);
+            let waited = now.saturating_sub(waiting_step.ready_since);
             let may_reserve =
-                reserved < RESERVED_MAX && (contender.long_running || waited >= RESERVE_AFTER);
-            let plain = self.plain_demand(contender.step);
+                reserved < RESERVED_MAX && (waiting_step.long_running || waited >= RESERVE_AFTER);
+            let plain = self.plain_requirements(waiting_step.step);
             if !may_reserve && plain.is_some_and(|plain| unplaced.covers(&plain)) {
                 continue;
             }
-            let open = self.place_step(contender.step, &mut candidates, now, orders);
-            let Some(demand) = open else { continue };
+            let open = self.place_step(waiting_step.step, &mut candidates, now, commands);
+            let Some(requirements) = open else { continue };
             if plain.is_some() {
-                unplaced.note(&demand);
+                unplaced.record(&requirements);
             }
             if may_reserve {
-                let kept = reserve(&demand, &candidates);
+                let kept = choose_reservation(&requirements, &candidates);
                 reserved += usize::from(kept.is_some());
                 candidates.retain(|candidate| Some(candidate.slot) != kept);
             }
         }
         if !unplaced.is_empty() {
-            self.full_until.insert(service.into(), now + FULL_INTERVAL);
+            self.next_placement.insert(service.into(), now + FULL_INTERVAL);
         }
     }
 
     /// Steps of a service with tasks that may start now.
-    fn contenders(&mut self, service: &str, now: Moment) -> Vec<Contender> {
-        let is_certain = self.is_certain(service, now);
-        let mut contenders = Vec::new();
+    fn eligible_steps(&mut self, service: &str, now: Moment) -> Vec<WaitingStep> {
+        let are_inherited_runs_known = self.are_inherited_runs_known(service, now);
+        let mut eligible_steps = Vec::new();
         let mut settled = Vec::new();
         for id in self.waiting_steps.of(service) {
             let Some(job) = self.jobs.get(&id.job) else { continue };
@@ -138,57 +140,57 @@
             let mut waiting = step.tasks.iter().filter(|task| task.is_waiting()).peekable();
             if waiting.peek().is_none() {
                 settled.push(id);
-            } else if (is_certain || job.is_untouched)
-                && !job.waits_for_announcement()
-                && waiting.any(|task| task.not_before <= now)
+            } else if (are_inherited_runs_known || job.has_no_prior_runs)
+                && !job.awaits_start_write()
+                && waiting.any(|task| task.earliest_start <= now)
             {
-                contenders.extend(self.contender(job, id));
+                eligible_steps.extend(self.waiting_step(job, id));
             }
         }
         for id in settled {
             self.waiting_steps.remove(service, id);
         }
-        contenders
+        eligible_steps
     }
 
     /// What a task of a step takes, if it may run on any worker with room.
-    fn plain_demand(&self, step: StepId) -> Option<Resources> {
+    fn plain_requirements(&self, step: StepId) -> Option<Resources> {
         let spec = self.spec(step)?;
-        let is_plain = !spec.gang && self.advice_policy(step).is_none();
+        let is_plain = !spec.gang && self.placement_policy(step).is_none();
         is_plain.then(|| spec.reserved())
     }
 
     /// Whether no earlier owner can have started anything of a step's job.
-    pub(super) fn is_new(&self, step: StepId) -> bool {
+    pub(super) fn has_no_prior_runs(&self, step: StepId) -> bool {
         let job = self.jobs.get(&step.job);
-        job.is_some_and(|job| job.is_untouched)
+        job.is_some_and(|job| job.has_no_prior_runs)
     }
 
     /// Whether tasks of a job may start: the store says so, or is about to be told.
-    pub(super) fn announce(&mut self, step: StepId) -> bool {
+    pub(super) fn ensure_start_stored(&mut self, step: StepId) -> bool {
         let Some(job) = self.jobs.get_mut(&step.job) else { return false };
-        let is_announced = job.is_announced;
-        if !is_announced && job.state == JobState::Queued {
+        let is_start_stored = job.is_start_stored;
+        if !is_start_stored && job.state == JobState::Queued {
             job.state = JobState::Running;
-            self.mark_dirty(step.job);
-            self.raise_urgency(Urgency::Now);
+            self.mark_unwritten(step.job);
+            self.raise_urgency(WriteUrgency::High);
         }
-        is_announced
+        is_start_stored
     }
 
-    fn contender(&self, job: &Job, id: StepId) -> Option<Contender> {
+    fn waiting_step(&self, job: &Job, id: StepId) -> Option<WaitingStep> {
         let spec = job.spec(id.step)?;
         let occurrence = job.occurrences.get(&id.occurrence)?;
         let queue = self.config.queues.get(&job.record.queue);
-        Some(Contender {
+        Some(WaitingStep {
             step: id,
             priority: queue.map_or(u8::MAX, |queue| queue.priority),
             long_running: spec.long_running,
-            beyond_weight: job.beyond_weight,
+            exceeds_share: job.exceeds_share,
             accepted: occurrence.due,
             ready_since: job.step(id)?.ready_since,
             objective: self.objective(job, occurrence),
-            chain_left: occurrence.chain_left,
+            critical_path_left: occurrence.critical_path_left,
             work_left: occurrence.work_left,
         })
     }
@@ -196,27 +198,28 @@
     /// When a repetition of a job stops being worth its full value.
     pub(super) fn objective(&self, job: &Job, occurrence: &Occurrence) -> Moment {
         let queue = self.config.queues.get(&job.record.queue);
-        let stretch = queue.map_or(1.0, |queue| queue.stretch.max(1.0));
+        let critical_path_factor = queue.map_or(1.0, |queue| queue.critical_path_factor.max(1.0));
         let slack = queue.map_or(Duration::ZERO, |queue| queue.latency_objective);
-        occurrence.due + occurrence.chain.mul_f64(stretch) + slack
+        occurrence.due + occurrence.critical_path.mul_f64(critical_path_factor) + slack
     }
 
     pub(super) fn candidates(&self, service: &str, now: Moment) -> Vec<Candidate> {
-        let of_service = self.slots_of(service).iter().map(|slot| (*slot, &self.workers[*slot]));
+        let of_service =
+            self.service_slots(service).iter().map(|slot| (*slot, &self.workers[*slot]));
         let usable = of_service.filter(|(_, worker)| {
             worker.is_usable(now) && !self.evacuated.contains(&worker.entry.zone)
         });
         usable
             .map(|(slot, worker)| Candidate {
                 slot,
-                room: worker.entry.room,
-                free: worker.free(),
+                capacity: worker.entry.capacity,
+                free: worker.free_resources(),
                 labels: Arc::clone(&worker.entry.labels),
                 same_step: 0,
                 long_running: worker.counts.long_running,
                 serving: worker.counts.serving,
                 opportunistic: worker.counts.opportunistic,
-                is_suspect: is_suspect(&worker.recent),
+                is_suspect: is_suspect(&worker.recent_ends),
                 is_maintenance_due: worker.is_maintenance_due,
             })
             .collect()
@@ -232,11 +235,11 @@
         id: StepId,
         candidates: &mut [Candidate],
         now: Moment,
-        orders: &mut Vec<Order>,
-    ) -> Option<Demand> {
+        commands: &mut Vec<Command>,
+    ) -> Option<TaskRequirements> {
         let record = Arc::clone(&self.jobs.get(&id.job)?.record);
         let spec = record.spec.steps.get(usize::from(id.step))?;
-        let demand = Demand {
+        let requirements = TaskRequirements {
             reserved: spec.reserved(),
             label: spec.label.clone(),
             data_rack: spec.data_rack.clone(),
@@ -246,30 +249,40 @@
             opportunistic: spec.opportunistic,
         };
         self.count_same_step(id, spec, candidates);
-        let asks = self.advice_policy(id).is_some();
+        let asks = self.placement_policy(id).is_some();
         if asks {
-            self.ask(id, candidates, now, orders);
+            self.query_policy(id, candidates, now, commands);
         }
         let tickets = asks.then(|| self.valid_tickets(id, now));
         if spec.gang {
-            return self.place_gang(id, spec, &demand, candidates, tickets.as_ref(), orders, now);
+            return self.place_gang(
+                id,
+                spec,
+                &requirements,
+                candidates,
+                tickets.as_ref(),
+                commands,
+                now,
+            );
         }
         let waiting = self.waiting_tasks(id, now);
         for index in waiting {
             let task = TaskId { step: id, index };
-            if !self.team_admits(id, spec) {
+            if !self.is_within_team_quota(id, spec) {
                 return None;
             }
-            let Some(slot) = self.choose_for(task, &demand, candidates, tickets.as_ref()) else {
-                return Some(demand);
+            let Some(slot) =
+                self.choose_worker_for(task, &requirements, candidates, tickets.as_ref())
+            else {
+                return Some(requirements);
             };
-            if !self.announce(id) {
+            if !self.ensure_start_stored(id) {
                 return None;
             }
             let ticket = tickets.as_ref().and_then(|tickets| tickets.get(&slot).cloned());
             let run = self.next_run(task);
-            self.order_start(task, run, slot, spec, ticket, now, orders);
-            take(candidates, slot, &demand);
+            self.command_start(task, run, slot, spec, ticket, now, commands);
+            deduct_task(candidates, slot, &requirements);
         }
         None
     }
@@ -280,26 +293,26 @@
         let waiting = tasks
             .iter()
             .enumerate()
-            .filter(|(_, task)| task.is_waiting() && task.not_before <= now);
+            .filter(|(_, task)| task.is_waiting() && task.earliest_start <= now);
         waiting.filter_map(|(index, _)| u32::try_from(index).ok()).collect()
     }
 
     /// The worker for a task, among those that it may use.
-    pub(super) fn choose_for(
+    pub(super) fn choose_worker_for(
         &self,
         task: TaskId,
-        demand: &Demand,
+        requirements: &TaskRequirements,
         candidates: &[Candidate],
         tickets: Option<&HashMap<WorkerSlot, Arc<str>>>,
     ) -> Option<WorkerSlot> {
         let entry = self.jobs.get(&task.step.job).and_then(|job| job.task(task));
-        let avoid = entry.map_or(&[][..], |entry| &entry.avoid);
-        let copies = entry.map_or(&[][..], |entry| &entry.copies);
+        let avoided_workers = entry.map_or(&[][..], |entry| &entry.avoided_workers);
+        let active_runs = entry.map_or(&[][..], |entry| &entry.active_runs);
         let allowed = candidates.iter().filter(|candidate| {
             tickets.is_none_or(|tickets| tickets.contains_key(&candidate.slot))
-                && !copies.contains(&candidate.slot)
+                && !active_runs.contains(&candidate.slot)
         });
-        choose(demand, allowed, avoid)
+        choose_worker(requirements, allowed, avoided_workers)
     }
 
     fn count_same_step(&self, id: StepId, spec: &StepSpec, candidates: &mut [Candidate]) {
@@ -313,16 +326,20 @@
         }
     }
 
-    pub(super) fn team_admits(&self, id: StepId, spec: &StepSpec) -> bool {
-        self.team_admits_amount(id, &spec.needs)
+    pub(super) fn is_within_team_quota(&self, id: StepId, spec: &StepSpec) -> bool {
+        self.is_amount_within_team_quota(id, &spec.task_resources)
     }
 
-    pub(super) fn team_admits_amount(&self, id: StepId, needs: &crate::spec::Resources) -> bool {
+    pub(super) fn is_amount_within_team_quota(
+        &self,
+        id: StepId,
+        task_resources: &crate::spec::Resources,
+    ) -> bool {
         let team = self.jobs.get(&id.job).and_then(|job| job.record.team.as_ref());
         let Some(team) = team else { return true };
         let Some(limits) = self.config.teams.get(team) else { return true };
-        let used = self.team_use.get(team).copied().unwrap_or_default();
-        limits.admits(&used, needs)
+        let used = self.team_usage.get(team).copied().unwrap_or_default();
+        limits.admits(&used, task_resources)
     }
 
     pub(super) fn next_run(&self, task: TaskId) -> u32 {
@@ -331,7 +348,7 @@
     }
 
     #[expect(clippy::too_many_arguments, reason = "the parts of one order")]
-    pub(super) fn order_start(
+    pub(super) fn command_start(
         &mut self,
         task: TaskId,
         run: u32,
@@ -339,51 +356,55 @@
         spec: &StepSpec,
         ticket: Option<Arc<str>>,
         now: Moment,
-        orders: &mut Vec<Order>,
+        commands: &mut Vec<Command>,
     ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(entry) = job.task_mut(task) else { return };
         entry.last_run = run;
-        entry.copies.push(slot);
-        self.count_use(task.step.job, &spec.needs, true);
+        entry.active_runs.push(slot);
+        self.adjust_team_usage(task.step.job, &spec.task_resources, true);
         let ordered = Run {
             number: run,
-            phase: RunPhase::Ordered,
+            phase: RunPhase::Starting,
             since: now,
-            unanswered: None,
+            start_unanswered_at: None,
             is_adopted: false,
             confirmed: None,
             kind: RunKind::from(spec),
             reserved: spec.reserved(),
-            counted: spec.needs,
+            quota_usage: spec.task_resources,
             percent: 0,
-            progressed: now,
-            reading: 0,
-            pace_percent: 100,
+            last_progress: now,
+            load_metric: 0,
+            speed_percent: 100,
         };
         self.workers[slot].add(task, ordered);
-        orders.push(Order::Start { worker: slot, task, run, ticket });
+        commands.push(Command::Start { worker: slot, task, run, ticket });
     }
 }
 
 /// Takes the room of a placed task from a candidate.
-pub(super) fn take(candidates: &mut [Candidate], slot: WorkerSlot, demand: &Demand) {
+pub(super) fn deduct_task(
+    candidates: &mut [Candidate],
+    slot: WorkerSlot,
+    requirements: &TaskRequirements,
+) {
     let Some(chosen) = candidates.iter_mut().find(|candidate| candidate.slot == slot) else {
         return;
     };
-    chosen.free = chosen.free.minus(&demand.reserved);
+    chosen.free = chosen.free.minus(&requirements.reserved);
     chosen.same_step += 1;
-    chosen.long_running += u32::from(demand.long_running);
-    chosen.serving += u32::from(demand.serves);
-    chosen.opportunistic += u32::from(demand.opportunistic);
+    chosen.long_running += u32::from(requirements.long_running);
+    chosen.serving += u32::from(requirements.serves);
+    chosen.opportunistic += u32::from(requirements.opportunistic);
 }
 
 /// Whether runs of several jobs have failed on a worker lately, and most of them.
-fn is_suspect(recent: &[(u64, bool)]) -> bool {
+fn is_suspect(recent_ends: &[(u64, bool)]) -> bool {
     let mut failed: Vec<u64> =
-        recent.iter().filter(|(_, failed)| *failed).map(|(job, _)| *job).collect();
+        recent_ends.iter().filter(|(_, failed)| *failed).map(|(job, _)| *job).collect();
     let failures = failed.len();
     failed.sort_unstable();
     failed.dedup();
-    failed.len() >= SUSPECT_JOBS && 2 * failures >= recent.len()
+    failed.len() >= SUSPECT_JOBS && 2 * failures >= recent_ends.len()
 }
--- a/crates/jobs/src/scheduler/advice.rs
+++ b/crates/jobs/src/scheduler/policy_queries.rs
@@ -6,9 +6,9 @@
 
 use cassiafold_platform::Moment;
 
-use super::{Order, Scheduler};
-use crate::cluster::{AdvicePolicy, WorkerId};
-use crate::edges::Advice;
+use super::{Command, Scheduler};
+use crate::clients::PolicyResponse;
+use crate::cluster::{PlacementPolicy, WorkerId};
 use crate::job::WorkerSlot;
 use crate::placement::Candidate;
 use crate::spec::StepId;
@@ -16,15 +16,15 @@
 /// Workers in one question.
 const WORKERS_MAX: usize = 12;
 /// Questions that are open at once; the policy answers one at a time.
-const QUESTIONS_MAX: usize = 2;
+const OPEN_QUERIES_MAX: usize = 2;
 /// A ticket is not used this shortly before it expires.
 const TICKET_MARGIN: Duration = Duration::from_millis(250);
 /// Time after an unanswered question until the next one about the same step.
-const ASK_RETRY: Duration = Duration::from_millis(200);
+const QUERY_RETRY: Duration = Duration::from_millis(200);
 
 /// A question to the placement policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct PolicyQuery {
     /// The step.
     pub step: StepId,
     /// Workers that it is about.
@@ -41,27 +41,27 @@
 }
 
 impl Scheduler {
-    pub(super) fn advice_policy(&self, step: StepId) -> Option<AdvicePolicy> {
+    pub(super) fn placement_policy(&self, step: StepId) -> Option<PlacementPolicy> {
         let job = self.jobs.get(&step.job)?;
-        self.config.queues.get(&job.record.queue)?.advice
+        self.config.queues.get(&job.record.queue)?.placement_policy
     }
 
     /// Tickets of a step that can be used now.
     pub(super) fn valid_tickets(&self, step: StepId, now: Moment) -> HashMap<WorkerSlot, Arc<str>> {
         let known = self.tickets.get(&step).map(|known| &known.tickets);
         let valid = known.into_iter().flatten().filter(|(_, (_, until))| now < *until);
-        valid.map(|(slot, (text, _))| (*slot, text.clone())).collect()
+        valid.map(|(slot, (proof, _))| (*slot, proof.clone())).collect()
     }
 
     /// Asks about a step, if more tickets could help it.
-    pub(super) fn ask(
+    pub(super) fn query_policy(
         &mut self,
         step: StepId,
         candidates: &[Candidate],
         now: Moment,
-        orders: &mut Vec<Order>,
+        commands: &mut Vec<Command>,
     ) {
-        if self.questions_open >= QUESTIONS_MAX {
+        if self.open_queries >= OPEN_QUERIES_MAX {
             return;
         }
         let known = self.tickets.entry(step).or_default();
@@ -81,34 +81,34 @@
         open.sort_by_key(|candidate| std::cmp::Reverse(candidate.free.processors_milli));
         open.truncate(WORKERS_MAX);
         known.is_asking = true;
-        self.questions_open += 1;
+        self.open_queries += 1;
         let workers = open.iter().map(|one| self.workers[one.slot].entry.id.clone()).collect();
-        orders.push(Order::Ask(Question { step, workers }));
+        commands.push(Command::QueryPolicy(PolicyQuery { step, workers }));
     }
 
     /// Takes in the answer to a question that was sent at `sent`.
-    pub fn note_advice(
+    pub fn handle_policy_response(
         &mut self,
-        question: &Question,
-        advice: Option<Advice>,
+        query: &PolicyQuery,
+        response: Option<PolicyResponse>,
         sent: Moment,
         now: Moment,
     ) {
-        self.questions_open = self.questions_open.saturating_sub(1);
-        self.mark_service_changed(question.step.job);
-        let present = &self.present;
-        let Some(known) = self.tickets.get_mut(&question.step) else { return };
+        self.open_queries = self.open_queries.saturating_sub(1);
+        self.mark_job_service_changed(query.step.job);
+        let current_slots = &self.current_slots;
+        let Some(known) = self.tickets.get_mut(&query.step) else { return };
         known.is_asking = false;
-        let Some(advice) = advice else {
-            known.next_ask = now + ASK_RETRY;
+        let Some(response) = response else {
+            known.next_ask = now + QUERY_RETRY;
             return;
         };
-        let until = sent + advice.valid.saturating_sub(TICKET_MARGIN);
-        for id in &question.workers {
-            let Some(slot) = present.get(id).copied() else { continue };
-            match advice.tickets.iter().find(|ticket| ticket.worker == *id) {
+        let until = sent + response.valid_for.saturating_sub(TICKET_MARGIN);
+        for id in &query.workers {
+            let Some(slot) = current_slots.get(id).copied() else { continue };
+            match response.tickets.iter().find(|ticket| ticket.worker == *id) {
                 Some(ticket) => {
-                    known.tickets.insert(slot, (ticket.text.clone(), until));
+                    known.tickets.insert(slot, (ticket.proof.clone(), until));
                 }
                 None => {
                     known.refused.insert(slot);
@@ -118,7 +118,7 @@
     }
 
     /// Forgets a ticket that a worker did not take.
-    pub(super) fn drop_ticket(&mut self, step: StepId, slot: WorkerSlot) {
+    pub(super) fn discard_ticket(&mut self, step: StepId, slot: WorkerSlot) {
         if let Some(known) = self.tickets.get_mut(&step) {
             known.tickets.remove(&slot);
         }
--- a/crates/jobs/src/scheduler/orders.rs
+++ b/crates/jobs/src/scheduler/run_commands.rs
@@ -6,7 +6,7 @@
 use cassiafold_platform::Moment;
 
 use super::Scheduler;
-use crate::edges::{OrderOutcome, Refusal, StartRequest};
+use crate::clients::{CommandOutcome, Refusal, StartRequest};
 use crate::event::JobsEvent;
 use crate::job::WorkerSlot;
 use crate::spec::{RunNumber, TaskId};
@@ -29,10 +29,10 @@
         ticket: Option<std::sync::Arc<str>>,
         now: Moment,
     ) -> Option<StartRequest> {
-        let hold = self.settings.hold;
-        let token = self.tenure.token;
+        let lease_max = self.settings.lease_max;
+        let token = self.term.token;
         let ordered = self.workers[slot].runs.get(&task)?;
-        if ordered.number != run || ordered.phase != RunPhase::Ordered {
+        if ordered.number != run || ordered.phase != RunPhase::Starting {
             return None;
         }
         let job = self.jobs.get(&task.step.job)?;
@@ -41,26 +41,26 @@
             true => job.task(TaskId { index: 0, ..task })?.checkpoint.clone(),
             false => job.task(task)?.checkpoint.clone(),
         };
-        let text = job.record.spec.text.clone();
+        let payload = job.record.spec.payload.clone();
         let checkpoint = saved.filter(|_| spec.checkpoints);
-        let lease_until = self.workers[slot].extend_lease(hold, now)?;
-        Some(StartRequest { token, task, run, text, checkpoint, lease_until, ticket })
+        let lease_until = self.workers[slot].extend_lease(lease_max, now)?;
+        Some(StartRequest { token, task, run, payload, checkpoint, lease_until, ticket })
     }
 
     /// Takes in the outcome of an order to start a run.
-    pub fn note_start(
+    pub fn handle_start_outcome(
         &mut self,
         slot: WorkerSlot,
         task: TaskId,
         run: RunNumber,
-        outcome: OrderOutcome,
+        outcome: CommandOutcome,
         now: Moment,
     ) {
         let worker = &mut self.workers[slot];
         let id = worker.entry.id.clone();
         let ordered = worker.runs.get_mut(&task);
         let Some(ordered) = ordered.filter(|ordered| ordered.number == run) else { return };
-        if outcome != OrderOutcome::Accepted {
+        if outcome != CommandOutcome::Accepted {
             emit!(
                 JobsEvent::StartNotAccepted,
                 task = task,
@@ -70,21 +70,21 @@
             );
         }
         match outcome {
-            OrderOutcome::Accepted => {
-                if ordered.phase == RunPhase::Ordered {
+            CommandOutcome::Accepted => {
+                if ordered.phase == RunPhase::Starting {
                     ordered.phase = RunPhase::Running;
                 }
                 ordered.confirmed = ordered.confirmed.or(Some(now));
-                self.note_started(slot, task, now);
+                self.mark_job_started(slot, task, now);
             }
-            OrderOutcome::Unknown => self.start_unanswered(slot, task, now),
-            OrderOutcome::NotSent => self.start_failed(slot, task, now),
-            OrderOutcome::Refused(refusal) => self.start_refused(slot, task, refusal, now),
+            CommandOutcome::Unknown => self.start_unanswered(slot, task, now),
+            CommandOutcome::NotSent => self.start_failed(slot, task, now),
+            CommandOutcome::Refused(refusal) => self.start_refused(slot, task, refusal, now),
         }
     }
 
     /// Notes that a task of a job has begun, which counts as waiting no more.
-    pub(super) fn note_started(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
+    pub(super) fn mark_job_started(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         if std::mem::replace(&mut job.has_started, true) {
             return;
@@ -92,7 +92,7 @@
         emit!(
             JobsEvent::JobStarted,
             job = format_args!("{:016x}", job.id),
-            waited_ms = now.saturating_sub(job.seen).as_millis(),
+            waited_ms = now.saturating_sub(job.first_seen).as_millis(),
             worker = self.workers[slot].entry.id
         );
     }
@@ -101,19 +101,20 @@
     /// was late to read the answer; so a look decides whether it is stopped.
     fn start_unanswered(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let worker = &mut self.workers[slot];
-        if let Some(run) = worker.runs.get_mut(&task).filter(|run| run.phase == RunPhase::Ordered) {
-            run.unanswered = Some(now);
-            self.probes_due.push(slot);
+        if let Some(run) = worker.runs.get_mut(&task).filter(|run| run.phase == RunPhase::Starting)
+        {
+            run.start_unanswered_at = Some(now);
+            self.out_of_band_polls_due.push(slot);
         }
     }
 
     fn start_refused(&mut self, slot: WorkerSlot, task: TaskId, refusal: Refusal, now: Moment) {
         if refusal == Refusal::OtherLife {
-            self.lose_worker(slot, now);
+            self.retire_worker(slot, now);
             return;
         }
         if refusal == Refusal::NoTicket {
-            self.drop_ticket(task.step, slot);
+            self.discard_ticket(task.step, slot);
         }
         if refusal == Refusal::Outdated {
             let job = self.jobs.get_mut(&task.step.job);
@@ -128,36 +129,36 @@
     }
 
     fn start_failed(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
-        self.release(slot, task, now);
+        self.release_run(slot, task, now);
         self.workers[slot].blocked_until = self.workers[slot].blocked_until.max(now + BLOCKED);
     }
 
     /// Takes in the outcome of an order to stop a run.
-    pub fn note_stop(
+    pub fn handle_stop_outcome(
         &mut self,
         slot: WorkerSlot,
         task: TaskId,
         run: RunNumber,
-        outcome: OrderOutcome,
+        outcome: CommandOutcome,
         now: Moment,
     ) {
-        if outcome == OrderOutcome::Refused(Refusal::OtherLife) {
-            self.lose_worker(slot, now);
+        if outcome == CommandOutcome::Refused(Refusal::OtherLife) {
+            self.retire_worker(slot, now);
             return;
         }
         let ordered = self.workers[slot].runs.get_mut(&task);
         let Some(ordered) = ordered.filter(|ordered| ordered.number == run) else { return };
         let RunPhase::Stopping { confirmed, .. } = &mut ordered.phase else { return };
-        if outcome == OrderOutcome::Accepted && confirmed.is_none() {
+        if outcome == CommandOutcome::Accepted && confirmed.is_none() {
             *confirmed = Some(now);
             // A run that had never begun shows no end: the next look tells that it is not there.
-            self.probes_due.push(slot);
+            self.out_of_band_polls_due.push(slot);
         }
     }
 
     /// Orders to stop that are due.
-    pub(super) fn due_stops(&mut self, now: Moment) -> Vec<super::Order> {
-        let mut orders = Vec::new();
+    pub(super) fn due_stops(&mut self, now: Moment) -> Vec<super::Command> {
+        let mut commands = Vec::new();
         let workers = &mut self.workers;
         self.stopping.retain(|(slot, task)| {
             let Some(run) = workers[*slot].runs.get_mut(task) else { return false };
@@ -170,9 +171,9 @@
                 Some(_) => now + STOP_RETRY * 20,
                 None => now + STOP_RETRY,
             };
-            orders.push(super::Order::Stop { worker: *slot, task: *task, run: run.number });
+            commands.push(super::Command::Stop { worker: *slot, task: *task, run: run.number });
             true
         });
-        orders
+        commands
     }
 }
--- a/crates/jobs/src/scheduler/ends.rs
+++ b/crates/jobs/src/scheduler/run_ends.rs
@@ -6,7 +6,7 @@
 use cassiafold_platform::Moment;
 
 use super::Scheduler;
-use crate::edges::{EndedRow, RunEnd};
+use crate::clients::{EndedRun, RunEnd};
 use crate::event::JobsEvent;
 use crate::job::{Task, WorkerSlot};
 use crate::record::JobState;
@@ -20,11 +20,11 @@
 
 impl Scheduler {
     /// Takes in a run that has ended.
-    pub(super) fn run_ended(&mut self, slot: WorkerSlot, row: &EndedRow, now: Moment) {
+    pub(super) fn handle_run_end(&mut self, slot: WorkerSlot, row: &EndedRun, now: Moment) {
         let known = self.workers[slot].runs.get(&row.task).is_some_and(|run| run.number == row.run);
         if known {
             self.note_duration(slot, row, now);
-            self.release(slot, row.task, now);
+            self.release_run(slot, row.task, now);
         }
         let Some(job) = self.jobs.get_mut(&row.task.step.job) else { return };
         job.has_started = true;
@@ -48,19 +48,19 @@
         }
         if matches!(row.end, RunEnd::Done | RunEnd::Failed) {
             let worker = &mut self.workers[slot];
-            worker.recent.push((row.task.step.job, row.end == RunEnd::Failed));
-            let excess = worker.recent.len().saturating_sub(RECENT_ENDS);
-            worker.recent.drain(..excess);
+            worker.recent_ends.push((row.task.step.job, row.end == RunEnd::Failed));
+            let excess = worker.recent_ends.len().saturating_sub(RECENT_ENDS);
+            worker.recent_ends.drain(..excess);
         }
     }
 
-    fn note_duration(&mut self, slot: WorkerSlot, row: &EndedRow, now: Moment) {
+    fn note_duration(&mut self, slot: WorkerSlot, row: &EndedRun, now: Moment) {
         let Some(run) = self.workers[slot].runs.get(&row.task) else { return };
         let taken = now.saturating_sub(run.confirmed.unwrap_or(run.since));
         let Some(spec) = self.spec(row.task.step) else { return };
         if row.end == RunEnd::Done && !spec.long_running {
             let estimate = spec.estimate;
-            self.durations.note(estimate, taken);
+            self.durations.record(estimate, taken);
         }
     }
 
@@ -69,14 +69,14 @@
         let Some(job) = self.jobs.get_mut(&job_id).filter(|job| job.is_live()) else { return };
         let Some(spec) = job.spec(id.step.step) else { return };
         if spec.long_running {
-            self.mark_service_changed(job_id);
+            self.mark_job_service_changed(job_id);
             return;
         }
         let gang = spec.gang;
         let Some(step) = job.step_mut(id.step) else { return };
         let members =
             if gang { 0..step.tasks.len() } else { id.index as usize..id.index as usize + 1 };
-        let mut copies: Vec<(WorkerSlot, TaskId)> = Vec::new();
+        let mut active_runs: Vec<(WorkerSlot, TaskId)> = Vec::new();
         for index in members {
             let Some(task) = step.tasks.get_mut(index).filter(|task| !task.is_done) else {
                 continue;
@@ -84,21 +84,21 @@
             task.is_done = true;
             step.done += 1;
             let index = u32::try_from(index).unwrap_or(u32::MAX);
-            copies.extend(task.copies.iter().map(|slot| (*slot, TaskId { index, ..id })));
+            active_runs.extend(task.active_runs.iter().map(|slot| (*slot, TaskId { index, ..id })));
         }
         let is_done = step.is_done();
-        job.measure(id.step.occurrence);
-        self.mark_dirty(job_id);
-        for (slot, task) in copies {
+        job.update_remaining(id.step.occurrence);
+        self.mark_unwritten(job_id);
+        for (slot, task) in active_runs {
             self.stop_run(slot, task, now);
         }
         if is_done {
-            self.step_is_done(id.step);
-            self.advance(job_id, id.step.occurrence, now);
+            self.mark_step_done(id.step);
+            self.advance_occurrence(job_id, id.step.occurrence, now);
         }
     }
 
-    fn task_failed(&mut self, slot: WorkerSlot, row: &EndedRow, now: Moment) {
+    fn task_failed(&mut self, slot: WorkerSlot, row: &EndedRun, now: Moment) {
         let id = row.task;
         let attempts_max = self.attempts_max(id.step.job);
         let Some(job) = self.jobs.get_mut(&id.step.job).filter(|job| job.is_live()) else { return };
@@ -115,10 +115,10 @@
             task.failed_runs.clear();
         }
         if let Some(task) = job.task_mut(id) {
-            task.avoid.push(slot);
-            task.not_before = now + FAILED_DELAY;
+            task.avoided_workers.push(slot);
+            task.earliest_start = now + FAILED_DELAY;
         }
-        self.mark_dirty(id.step.job);
+        self.mark_unwritten(id.step.job);
         emit!(
             JobsEvent::RunFailed,
             task = id,
@@ -128,9 +128,9 @@
             attempts_max = attempts_max
         );
         if !long_running && failures >= attempts_max as usize {
-            self.finish(id.step.job, JobState::Failed, now);
+            self.finish_job(id.step.job, JobState::Failed, now);
         }
-        self.mark_service_changed(id.step.job);
+        self.mark_job_service_changed(id.step.job);
     }
 
     /// How often a task of a job may fail; a queue that is no longer configured keeps one try.
@@ -151,30 +151,30 @@
     }
 
     /// Forgets a run that has ended or never began.
-    pub(super) fn release(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
+    pub(super) fn release_run(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let Some(run) = self.workers[slot].remove(task) else { return };
-        self.workers[slot].last_work = Some(now);
-        self.count_use(task.step.job, &run.counted, false);
-        self.mark_changed(slot);
+        self.workers[slot].last_run_ended = Some(now);
+        self.adjust_team_usage(task.step.job, &run.quota_usage, false);
+        self.mark_worker_service_changed(slot);
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         if let Some(entry) = job.task_mut(task) {
-            entry.copies.retain(|copy| *copy != slot);
+            entry.active_runs.retain(|copy| *copy != slot);
             entry.last_ended = Some(now);
         }
         let is_ready = job.is_live() && job.step(task.step).is_some_and(|step| step.is_ready);
         if is_ready && job.task(task).is_some_and(Task::is_waiting) {
             self.waiting_steps.insert(&job.record.service, task.step);
         }
-        self.mark_service_changed(task.step.job);
+        self.mark_job_service_changed(task.step.job);
     }
 
     /// Forgets everything that ran on a worker.
-    pub(super) fn lose_runs(&mut self, slot: WorkerSlot, now: Moment) {
-        self.lose_runs_if(slot, now, |_| true);
+    pub(super) fn release_all_runs(&mut self, slot: WorkerSlot, now: Moment) {
+        self.release_runs_if(slot, now, |_| true);
     }
 
     /// Forgets what ran on a worker and meets a condition.
-    pub(super) fn lose_runs_if(
+    pub(super) fn release_runs_if(
         &mut self,
         slot: WorkerSlot,
         now: Moment,
@@ -183,29 +183,29 @@
         let runs = self.workers[slot].runs.iter().filter(|(_, run)| is_lost(run));
         let tasks: Vec<TaskId> = runs.map(|(task, _)| *task).collect();
         for task in tasks {
-            self.mark_dirty(task.step.job);
-            self.release(slot, task, now);
+            self.mark_unwritten(task.step.job);
+            self.release_run(slot, task, now);
         }
     }
 
-    pub(super) fn mark_service_changed(&mut self, job: JobId) {
+    pub(super) fn mark_job_service_changed(&mut self, job: JobId) {
         if let Some(job) = self.jobs.get(&job) {
             self.changed.insert(job.record.service.clone());
         }
     }
 
     /// Counts what a team has running.
-    pub(super) fn count_use(&mut self, job: JobId, amount: &Resources, is_more: bool) {
+    pub(super) fn adjust_team_usage(&mut self, job: JobId, amount: &Resources, is_more: bool) {
         let Some(team) = self.jobs.get(&job).and_then(|job| job.record.team.clone()) else {
             return;
         };
-        let used = self.team_use.entry(team).or_default();
+        let used = self.team_usage.entry(team).or_default();
         *used = if is_more { used.plus(amount) } else { used.minus(amount) };
     }
 
     /// Whether no member of a step is ordered, runs or is being stopped.
     pub(super) fn is_step_idle(&self, step: StepId) -> bool {
         let step = self.jobs.get(&step.job).and_then(|job| job.step(step));
-        step.is_some_and(|step| step.tasks.iter().all(|task| task.copies.is_empty()))
+        step.is_some_and(|step| step.tasks.iter().all(|task| task.active_runs.is_empty()))
     }
 }
--- a/crates/jobs/src/scheduler/steps.rs
+++ b/crates/jobs/src/scheduler/steps.rs
@@ -53,7 +53,7 @@
 
 impl Scheduler {
     /// Notes that a step's turn has come.
-    pub(super) fn step_is_ready(&mut self, step: StepId) {
+    pub(super) fn mark_step_ready(&mut self, step: StepId) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         if job.step(step).is_some_and(|step| !step.is_done()) {
             self.ready.insert(&job.record.service, step);
@@ -62,7 +62,7 @@
     }
 
     /// Notes that all tasks of a step are done.
-    pub(super) fn step_is_done(&mut self, step: StepId) {
+    pub(super) fn mark_step_done(&mut self, step: StepId) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         self.ready.remove(&job.record.service, step);
         self.waiting_steps.remove(&job.record.service, step);
--- a/crates/jobs/src/scheduler/flush.rs
+++ b/crates/jobs/src/scheduler/write_batch.rs
@@ -12,9 +12,9 @@
 use crate::event::JobsEvent;
 use crate::job::WorkerSlot;
 use crate::record::{
-    ChainNumber, FIRST_CHAIN, JobState, KnownWorker, ORDERED_KEY, OrderedRecord, RecordError,
-    WAITING_KEY, WAVES_KEY, WaitingRecord, WorkerShard, cancel_key, job_key, state_key,
-    workers_key,
+    COMMANDED_MACHINES_KEY, ChainNumber, CommandedMachinesRecord, FIRST_WRITE_CHAIN, JobState,
+    RecordError, WAITING_KEY, WAVES_KEY, WaitingRecord, WorkerRecord, WorkerShard, cancel_key,
+    job_key, state_key, workers_key,
 };
 use crate::spec::JobId;
 
@@ -46,34 +46,34 @@
 
 /// How soon something should be written.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
+pub enum WriteUrgency {
     /// Nobody waits for it.
     #[default]
-    None,
+    Low,
     /// Workers keep ends until they are acknowledged.
-    Ends,
+    Normal,
     /// Starts or callers wait for it.
-    Now,
+    High,
 }
 
 /// One write of the owner, and what follows from it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Flush {
+pub struct WriteBatch {
     /// The chain of writes to which it belongs.
     pub chain: ChainNumber,
     /// Values to store.
     pub puts: Vec<(Arc<str>, Vec<u8>)>,
     /// Keys to remove.
-    pub removals: Vec<Arc<str>>,
+    pub deletions: Vec<Arc<str>>,
     /// Waves whose status is to be stored, with whether they are complete.
     pub waves: Vec<(WaveNumber, bool)>,
     recorded: Vec<WorkerSlot>,
     removed: Vec<JobId>,
     states: Vec<JobId>,
-    ordered: OrderedRecord,
+    commanded_machines: CommandedMachinesRecord,
 }
 
-impl Flush {
+impl WriteBatch {
     /// Number of states of jobs in it.
     pub fn states(&self) -> usize {
         self.states.len()
@@ -82,29 +82,29 @@
 
 impl Scheduler {
     /// How soon the next write should be.
-    pub fn flush_urgency(&self) -> Urgency {
-        match self.holders.is_write_wanted() || self.states_waiting() >= STATES_MANY {
-            true => Urgency::Now,
-            false => self.flush_urgency,
+    pub fn write_urgency(&self) -> WriteUrgency {
+        match self.machine_leases.is_write_wanted() || self.states_waiting() >= STATES_MANY {
+            true => WriteUrgency::High,
+            false => self.write_urgency,
         }
     }
 
     /// States that are behind in the store and in no write that is under way.
     fn states_waiting(&self) -> usize {
-        self.dirty.keys().filter(|id| !self.under_way.holds(**id)).count()
+        self.unwritten_states.keys().filter(|id| !self.in_flight_writes.contains(**id)).count()
     }
 
-    pub(super) fn raise_urgency(&mut self, urgency: Urgency) {
-        self.flush_urgency = self.flush_urgency.max(urgency);
+    pub(super) fn raise_urgency(&mut self, urgency: WriteUrgency) {
+        self.write_urgency = self.write_urgency.max(urgency);
     }
 
     /// Whether a write may begin, if there is anything to write.
     pub fn may_write(&self, now: Moment) -> bool {
-        self.next_chain(now).is_some()
+        self.next_write_chain(now).is_some()
     }
 
-    fn next_chain(&self, now: Moment) -> Option<ChainNumber> {
-        self.under_way.next_chain(|| self.states_waiting() + self.removals_due(now))
+    fn next_write_chain(&self, now: Moment) -> Option<ChainNumber> {
+        self.in_flight_writes.next_write_chain(|| self.states_waiting() + self.removals_due(now))
     }
 
     /// Ended jobs that have been kept for their time, as far as they are counted.
@@ -114,66 +114,67 @@
     }
 
     fn is_removal_due(&self, ended: Moment, now: Moment) -> bool {
-        now.saturating_sub(ended) > self.settings.status_kept
+        now.saturating_sub(ended) > self.settings.status_retention
     }
 
     /// The next write; `None` when the store is up to date, or enough writes are under way.
     ///
-    /// Each write that is taken must be given back by [`Self::note_flushed`].
-    pub fn take_flush(&mut self, now: Moment) -> Option<Flush> {
-        let chain = self.next_chain(now)?;
-        let mut flush = Flush { chain, ..Flush::default() };
+    /// Each write that is taken must be given back by [`Self::handle_write_committed`].
+    pub fn next_write_batch(&mut self, now: Moment) -> Option<WriteBatch> {
+        let chain = self.next_write_chain(now)?;
+        let mut batch = WriteBatch { chain, ..WriteBatch::default() };
         match chain {
-            FIRST_CHAIN => self.collect_all(now, &mut flush),
+            FIRST_WRITE_CHAIN => self.collect_all(now, &mut batch),
             _ => {
-                self.collect_states(ENTRIES_MAX, &mut flush);
-                let left = ENTRIES_MAX - flush.puts.len();
-                self.collect_removals(left / REMOVAL_ENTRIES, now, &mut flush);
+                self.collect_states(ENTRIES_MAX, &mut batch);
+                let left = ENTRIES_MAX - batch.puts.len();
+                self.collect_removals(left / REMOVAL_ENTRIES, now, &mut batch);
             }
         }
         let writes =
-            !flush.puts.is_empty() || !flush.removals.is_empty() || !flush.waves.is_empty();
+            !batch.puts.is_empty() || !batch.deletions.is_empty() || !batch.waves.is_empty();
         if !writes {
             // Ends that changed no job may be acknowledged at once.
-            self.settle_ends(now);
+            self.mark_ends_stored(now);
             return None;
         }
-        self.under_way.begin(chain);
-        Some(flush)
+        self.in_flight_writes.begin(chain);
+        Some(batch)
     }
 
-    fn collect_all(&mut self, now: Moment, flush: &mut Flush) {
-        self.flush_urgency = Urgency::None;
-        self.collect_workers(flush);
+    fn collect_all(&mut self, now: Moment, batch: &mut WriteBatch) {
+        self.write_urgency = WriteUrgency::Low;
+        self.collect_workers(batch);
         let others = LISTS_MAX + WAVES_MAX + REMOVALS_MAX * REMOVAL_ENTRIES;
-        self.collect_states(ENTRIES_MAX - others - flush.puts.len(), flush);
-        self.collect_waves(flush);
-        self.collect_ordered(now, flush);
-        self.collect_waiting(now, flush);
-        self.collect_removals(REMOVALS_MAX, now, flush);
-        flush.waves = self.wave_statuses();
-        flush.waves.truncate(WAVES_MAX);
+        self.collect_states(ENTRIES_MAX - others - batch.puts.len(), batch);
+        self.collect_waves(batch);
+        self.collect_commanded_machines(now, batch);
+        self.collect_waiting(now, batch);
+        self.collect_removals(REMOVALS_MAX, now, batch);
+        batch.waves = self.wave_statuses();
+        batch.waves.truncate(WAVES_MAX);
     }
 
     /// Lets ends be acknowledged whose effects are in the store.
-    fn settle_ends(&mut self, now: Moment) {
-        let dirty = self.dirty.values().min().copied();
-        let open_since = dirty.into_iter().chain(self.under_way.first_end()).min();
+    fn mark_ends_stored(&mut self, now: Moment) {
+        let unwritten_states = self.unwritten_states.values().min().copied();
+        let open_since =
+            unwritten_states.into_iter().chain(self.in_flight_writes.first_end()).min();
         let open_since = open_since.unwrap_or(u64::MAX);
         let mut settled = Vec::new();
-        self.workers_unstored = 0;
-        for slot in self.present.values().copied() {
+        self.workers_with_unstored_ends = 0;
+        for slot in self.current_slots.values().copied() {
             let worker = &mut self.workers[slot];
-            let had_open = !worker.ends_open.is_empty();
-            worker.settle_ends(open_since);
-            match worker.ends_open.is_empty() {
+            let had_open = !worker.ends_unstored.is_empty();
+            worker.mark_ends_stored(open_since);
+            match worker.ends_unstored.is_empty() {
                 true if had_open => settled.push(slot),
                 true => {}
-                false => self.workers_unstored += 1,
+                false => self.workers_with_unstored_ends += 1,
             }
         }
         for slot in settled {
-            self.acknowledge_soon(slot, now);
+            self.schedule_ack_poll(slot, now);
         }
     }
 
@@ -181,40 +182,41 @@
     ///
     /// Answers the load pattern of hundreds of jobs whose tasks end all the time: states for which
     /// starts or callers wait do not queue behind the progress of others.
-    fn next_dirty(&self, count_max: usize) -> (Vec<JobId>, Urgency) {
-        let waiting = self.dirty.iter().filter(|(id, _)| !self.under_way.holds(**id));
+    fn next_unwritten(&self, count_max: usize) -> (Vec<JobId>, WriteUrgency) {
+        let waiting =
+            self.unwritten_states.iter().filter(|(id, _)| !self.in_flight_writes.contains(**id));
         let mut ids: Vec<(u64, JobId)> = waiting.map(|(id, behind)| (*behind, *id)).collect();
         ids.sort_unstable();
         let rest = ids.split_off(ids.len().min(OLDEST_STATES));
-        let mut rest: Vec<(Urgency, JobId)> =
+        let mut rest: Vec<(WriteUrgency, JobId)> =
             rest.into_iter().map(|(_, id)| (self.state_urgency(id), id)).collect();
         rest.sort_by_key(|(urgency, _)| Reverse(*urgency));
         let left = rest.split_off(rest.len().min(count_max - ids.len()));
-        let left = left.first().map_or(Urgency::None, |(urgency, _)| *urgency);
+        let left = left.first().map_or(WriteUrgency::Low, |(urgency, _)| *urgency);
         let chosen = ids.into_iter().map(|(_, id)| id).chain(rest.into_iter().map(|(_, id)| id));
         (chosen.collect(), left)
     }
 
     /// How soon the state of a job that has changed should be written.
-    fn state_urgency(&self, id: JobId) -> Urgency {
-        let Some(job) = self.jobs.get(&id) else { return Urgency::None };
-        match job.waits_for_announcement() || !job.is_live() {
-            true => Urgency::Now,
-            false => Urgency::Ends,
+    fn state_urgency(&self, id: JobId) -> WriteUrgency {
+        let Some(job) = self.jobs.get(&id) else { return WriteUrgency::Low };
+        match job.awaits_start_write() || !job.is_live() {
+            true => WriteUrgency::High,
+            false => WriteUrgency::Normal,
         }
     }
 
-    fn collect_states(&mut self, count_max: usize, flush: &mut Flush) {
-        let (ids, left) = self.next_dirty(count_max);
+    fn collect_states(&mut self, count_max: usize, batch: &mut WriteBatch) {
+        let (ids, left) = self.next_unwritten(count_max);
         self.raise_urgency(left);
         for id in ids {
-            let first_end = self.dirty.remove(&id).unwrap_or_default();
+            let first_end = self.unwritten_states.remove(&id).unwrap_or_default();
             let Some(job) = self.jobs.get(&id) else { continue };
-            match job.to_state().encode() {
+            match job.to_state_record().encode() {
                 Ok(bytes) => {
-                    flush.puts.push((state_key(id), bytes));
-                    flush.states.push(id);
-                    self.under_way.add(id, first_end);
+                    batch.puts.push((state_key(id), bytes));
+                    batch.states.push(id);
+                    self.in_flight_writes.add(id, first_end);
                 }
                 Err(error) => report(id, &error),
             }
@@ -223,45 +225,45 @@
 
     /// Answers the load pattern of machines that move by the dozen each second: a worker that
     /// comes or goes rewrites a part of the workers, not all.
-    fn collect_workers(&mut self, flush: &mut Flush) {
+    fn collect_workers(&mut self, batch: &mut WriteBatch) {
         let shards: Vec<WorkerShard> = self.stale_shards.iter().copied().take(SHARDS_MAX).collect();
         for shard in shards {
             self.stale_shards.remove(&shard);
             let members = self.shard_members(shard);
-            let named = members.iter().map(|slot| KnownWorker::from(&self.workers[*slot].entry));
+            let named = members.iter().map(|slot| WorkerRecord::from(&self.workers[*slot].entry));
             match encode_workers(&named.collect::<Vec<_>>()) {
-                Ok(bytes) => flush.puts.push((workers_key(shard), bytes)),
+                Ok(bytes) => batch.puts.push((workers_key(shard), bytes)),
                 Err(error) => return report(0, &error),
             }
-            flush.recorded.extend(members);
+            batch.recorded.extend(members);
         }
         if !self.stale_shards.is_empty() {
-            self.raise_urgency(Urgency::Now);
+            self.raise_urgency(WriteUrgency::High);
         }
     }
 
-    fn collect_waves(&mut self, flush: &mut Flush) {
+    fn collect_waves(&mut self, batch: &mut WriteBatch) {
         let waves = self.waves_record();
         if waves == self.waves_written {
             return;
         }
         match serde_json::to_vec(&waves) {
-            Ok(bytes) => flush.puts.push((WAVES_KEY.into(), bytes)),
+            Ok(bytes) => batch.puts.push((WAVES_KEY.into(), bytes)),
             Err(error) => return report(0, &error.into()),
         }
         self.waves_written = waves;
     }
 
-    fn collect_ordered(&mut self, now: Moment, flush: &mut Flush) {
-        let Some(ordered) = self.holders.take_record(now) else { return };
-        match serde_json::to_vec(&ordered) {
-            Ok(bytes) => flush.puts.push((ORDERED_KEY.into(), bytes)),
+    fn collect_commanded_machines(&mut self, now: Moment, batch: &mut WriteBatch) {
+        let Some(commanded_machines) = self.machine_leases.take_record(now) else { return };
+        match serde_json::to_vec(&commanded_machines) {
+            Ok(bytes) => batch.puts.push((COMMANDED_MACHINES_KEY.into(), bytes)),
             Err(error) => return report(0, &error.into()),
         }
-        flush.ordered = ordered;
+        batch.commanded_machines = commanded_machines;
     }
 
-    fn collect_waiting(&mut self, now: Moment, flush: &mut Flush) {
+    fn collect_waiting(&mut self, now: Moment, batch: &mut WriteBatch) {
         let last = self.waiting_written.as_ref();
         if last.is_some_and(|(at, _)| now.saturating_sub(*at) < WAITING_INTERVAL) {
             return;
@@ -272,7 +274,7 @@
             return;
         }
         match serde_json::to_vec(&waiting) {
-            Ok(bytes) => flush.puts.push((WAITING_KEY.into(), bytes)),
+            Ok(bytes) => batch.puts.push((WAITING_KEY.into(), bytes)),
             Err(error) => return report(0, &error.into()),
         }
         self.waiting_written = Some((now, waiting));
@@ -289,42 +291,42 @@
         waiting
     }
 
-    fn collect_removals(&mut self, count_max: usize, now: Moment, flush: &mut Flush) {
-        while flush.removed.len() < count_max
+    fn collect_removals(&mut self, count_max: usize, now: Moment, batch: &mut WriteBatch) {
+        while batch.removed.len() < count_max
             && let Some((id, since)) = self.ended.front().copied()
             && self.is_removal_due(since, now)
-            && !self.dirty.contains_key(&id)
-            && !self.under_way.holds(id)
+            && !self.unwritten_states.contains_key(&id)
+            && !self.in_flight_writes.contains(id)
         {
             self.ended.pop_front();
-            flush.removals.extend([job_key(id), cancel_key(id), state_key(id)]);
-            flush.removed.push(id);
+            batch.deletions.extend([job_key(id), cancel_key(id), state_key(id)]);
+            batch.removed.push(id);
         }
     }
 
     /// Takes in that a write has taken effect.
-    pub fn note_flushed(&mut self, flush: &Flush, now: Moment) {
-        self.under_way.end(flush.chain);
-        for slot in &flush.recorded {
+    pub fn handle_write_committed(&mut self, batch: &WriteBatch, now: Moment) {
+        self.in_flight_writes.end(batch.chain);
+        for slot in &batch.recorded {
             self.workers[*slot].is_recorded = true;
-            self.mark_changed(*slot);
+            self.mark_worker_service_changed(*slot);
         }
-        for id in &flush.removed {
+        for id in &batch.removed {
             self.jobs.remove(id);
         }
-        for id in &flush.states {
-            self.under_way.remove(*id);
-            self.note_announced(*id);
+        for id in &batch.states {
+            self.in_flight_writes.remove(*id);
+            self.mark_start_stored(*id);
         }
-        self.holders.note_stored(&flush.ordered);
-        self.note_wave_statuses(&flush.waves);
-        self.settle_ends(now);
+        self.machine_leases.note_stored(&batch.commanded_machines);
+        self.note_wave_statuses(&batch.waves);
+        self.mark_ends_stored(now);
     }
 
-    fn note_announced(&mut self, id: JobId) {
+    fn mark_start_stored(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if job.state != JobState::Queued && !job.is_announced {
-            job.is_announced = true;
+        if job.state != JobState::Queued && !job.is_start_stored {
+            job.is_start_stored = true;
             self.changed.insert(job.record.service.clone());
         }
     }
@@ -335,7 +337,7 @@
     }
 }
 
-fn encode_workers(known: &[KnownWorker]) -> Result<Vec<u8>, RecordError> {
+fn encode_workers(known: &[WorkerRecord]) -> Result<Vec<u8>, RecordError> {
     Ok(serde_json::to_vec(known)?)
 }
 
--- a/crates/jobs/src/spec.rs
+++ b/crates/jobs/src/spec.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobSpec {
     /// Text that every task of the job is given.
-    pub text: Arc<str>,
+    pub payload: Arc<str>,
     /// Steps of the job.
     pub steps: Vec<StepSpec>,
     /// When the steps are repeated; `None` for a job that runs once, at once.
@@ -96,7 +96,7 @@
     /// Number of tasks.
     pub tasks: u32,
     /// Resources that each task takes.
-    pub needs: Resources,
+    pub task_resources: Resources,
     /// The caller's rough estimate of a task's run time.
     pub estimate: Duration,
     /// Earlier steps that must be done first.
@@ -129,14 +129,14 @@
 impl StepSpec {
     /// Cores that all its tasks use together.
     pub fn cores(&self) -> f64 {
-        f64::from(self.tasks) * f64::from(self.needs.processors_milli) / 1_000.0
+        f64::from(self.tasks) * f64::from(self.task_resources.processors_milli) / 1_000.0
     }
 
     /// Resources that a task takes from a worker's room.
     pub fn reserved(&self) -> Resources {
         match self.opportunistic {
-            true => Resources { processors_milli: 0, ..self.needs },
-            false => self.needs,
+            true => Resources { processors_milli: 0, ..self.task_resources },
+            false => self.task_resources,
         }
     }
 }
--- a/crates/jobs/src/order.rs
+++ b/crates/jobs/src/step_order.rs
@@ -9,7 +9,7 @@
 
 /// A step with tasks that wait.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Contender {
+pub struct WaitingStep {
     /// The step.
     pub step: StepId,
     /// Rank of its queue; 0 comes first.
@@ -17,7 +17,7 @@
     /// Whether it runs until it is cancelled.
     pub long_running: bool,
     /// Whether its team has sent more than its weight allows.
-    pub beyond_weight: bool,
+    pub exceeds_share: bool,
     /// When its job was accepted.
     pub accepted: Moment,
     /// When it could first start.
@@ -25,20 +25,20 @@
     /// When its job stops being worth its full value.
     pub objective: Moment,
     /// Longest chain of work that its job has left.
-    pub chain_left: Duration,
+    pub critical_path_left: Duration,
     /// Work that its job has left, in core-seconds.
     pub work_left: f64,
 }
 
-impl Contender {
+impl WaitingStep {
     /// Whether the job can still meet its objective if it starts now.
     fn is_hopeful(&self, now: Moment) -> bool {
-        now + self.chain_left <= self.objective
+        now + self.critical_path_left <= self.objective
     }
 
     /// Class of the contender; lower ones are served first.
     fn class(&self, now: Moment) -> (bool, u8, bool, bool) {
-        (!self.long_running, self.priority, self.beyond_weight, !self.is_hopeful(now))
+        (!self.long_running, self.priority, self.exceeds_share, !self.is_hopeful(now))
     }
 }
 
@@ -47,7 +47,7 @@
 /// Answers the load pattern of a queue that for some seconds asks for several times its pool: of
 /// the jobs that can still meet their objective the smallest come first, so that most of them
 /// meet it; those that cannot follow in order of age, so that none waits for ever.
-pub fn compare(one: &Contender, other: &Contender, now: Moment) -> Ordering {
+pub fn compare(one: &WaitingStep, other: &WaitingStep, now: Moment) -> Ordering {
     let (class, other_class) = (one.class(now), other.class(now));
     class.cmp(&other_class).then_with(|| {
         let hopeful = !class.3;
@@ -59,7 +59,7 @@
 }
 
 /// Puts contenders into the order in which they are served.
-pub fn sort(contenders: &mut [Contender], now: Moment) {
-    contenders
+pub fn sort(waiting_steps: &mut [WaitingStep], now: Moment) {
+    waiting_steps
         .sort_by(|one, other| compare(one, other, now).then_with(|| one.step.cmp(&other.step)));
 }
--- a/crates/jobs/src/pace.rs
+++ b/crates/jobs/src/throttle.rs
@@ -14,7 +14,7 @@
 ///
 /// Answers the load pattern of users whose load changes within seconds: the pace is halved at
 /// once when their tail nears its target, and rises again step by step.
-pub fn next_percent(percent: u8, load: f64) -> u8 {
+pub fn next_speed_percent(percent: u8, load: f64) -> u8 {
     if load > LOAD_HIGH {
         let halved = percent / 2;
         return if halved < PACE_MIN_PERCENT { 0 } else { halved };
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -6,9 +6,9 @@
 
 use cassiafold_platform::Moment;
 
+use crate::clients::WorkerAddress;
 use crate::cluster::WorkerEntry;
-use crate::edges::WorkerAddress;
-use crate::record::{WorkerShard, shard_of};
+use crate::record::{WorkerShard, worker_shard};
 use crate::spec::{Resources, RunNumber, StepSpec, TaskId};
 
 /// A worker's clock may run this many percent slow.
@@ -16,7 +16,7 @@
 /// Added to the time at which runs are taken as over, for the resolution of the clocks.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 /// Lost looks in a row after which a worker gets no new work until it answers again.
-const FAILED_LOOKS_MAX: u32 = 1;
+const FAILED_POLLS_MAX: u32 = 1;
 /// A worker whose last answer is older than this gets no new work. Workers without work answer
 /// every two seconds.
 const ANSWER_AGE_MAX: Duration = Duration::from_millis(2_600);
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunPhase {
     /// The order to start it is on its way.
-    Ordered,
+    Starting,
     /// The worker has confirmed it.
     Running,
     /// It shall end; the order to stop it is due at `next_try`.
@@ -97,7 +97,7 @@
     /// When it was ordered or first seen.
     pub since: Moment,
     /// When the order to start it was given up without an answer.
-    pub unanswered: Option<Moment>,
+    pub start_unanswered_at: Option<Moment>,
     /// Whether an earlier owner ordered it, and may have ordered it to end.
     pub is_adopted: bool,
     /// When the worker confirmed it.
@@ -107,15 +107,15 @@
     /// What it takes of the worker's room.
     pub reserved: Resources,
     /// What it counts against its team's limit.
-    pub counted: Resources,
+    pub quota_usage: Resources,
     /// Progress in percent.
     pub percent: u8,
     /// When the progress last changed.
-    pub progressed: Moment,
-    /// Last reading, see [`crate::edges::RunningRow`].
-    pub reading: u32,
+    pub last_progress: Moment,
+    /// Last reading, see [`crate::clients::RunningRun`].
+    pub load_metric: u32,
     /// Share of its speed at which it may work, in percent.
-    pub pace_percent: u8,
+    pub speed_percent: u8,
 }
 
 impl Run {
@@ -131,7 +131,7 @@
 
 /// Whether a look is on its way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LookPhase {
+pub enum PollPhase {
     /// The next one is due at this moment.
     DueAt(Moment),
     /// One is on its way.
@@ -158,9 +158,9 @@
     /// Whether it has ever answered under this owner's token.
     pub was_confirmed: bool,
     /// Whether earlier owners may have given it tasks.
-    pub is_inherited: bool,
+    pub may_have_earlier_runs: bool,
     /// When it stopped answering.
-    pub silent_since: Option<Moment>,
+    pub unresponsive_since: Option<Moment>,
     /// Whether it gets no more work because its machine is about to be moved or maintained.
     pub is_cordoned: bool,
     /// Whether its machine is still to be maintained in a wave.
@@ -176,42 +176,42 @@
     /// The runs by kind.
     pub counts: RunCounts,
     /// Number of the last end that was taken in.
-    pub ends_seen: u64,
+    pub last_end_seen: u64,
     /// Ends that were taken in and may not be stored: the number and the order among the ends of
     /// all workers.
-    pub ends_open: VecDeque<(u64, u64)>,
+    pub ends_unstored: VecDeque<(u64, u64)>,
     /// Counts the lives under this id.
-    pub life: u32,
+    pub incarnation: u32,
     /// Number of the last end whose effect is in the store.
-    pub ends_stored: u64,
+    pub last_end_stored: u64,
     /// Looks.
-    pub look: LookPhase,
+    pub poll: PollPhase,
     /// When the latest look that was answered had been sent.
-    pub look_sent: Moment,
+    pub poll_sent: Moment,
     /// Looks that failed since the last one that succeeded.
-    pub failed_looks: u32,
+    pub failed_polls: u32,
     /// When it last answered.
-    pub answered: Option<Moment>,
+    pub last_answered: Option<Moment>,
     /// When nothing runs there any more unless the lease is extended.
-    pub expires: Moment,
+    pub lease_expires: Moment,
     /// When it may be given work again after it had no room or was unwell.
     pub blocked_until: Moment,
     /// When the last run there ended.
-    pub last_work: Option<Moment>,
+    pub last_run_ended: Option<Moment>,
     /// When the pace of its opportunistic tasks is decided next.
-    pub pace_due: Moment,
+    pub throttle_due: Moment,
     /// Recent ends: the job and whether it failed, the latest last.
-    pub recent: Vec<(u64, bool)>,
+    pub recent_ends: Vec<(u64, bool)>,
     clock: Option<(Duration, Moment)>,
     lease_until: Duration,
 }
 
 impl Worker {
-    /// A worker that was listed; what an earlier owner started there may run until `expires`.
-    pub fn new(entry: WorkerEntry, expires: Moment, now: Moment) -> Self {
+    /// A worker that was listed; what an earlier owner started there may run until `lease_expires`.
+    pub fn new(entry: WorkerEntry, lease_expires: Moment, now: Moment) -> Self {
         let address = WorkerAddress { id: entry.id.clone(), address: entry.address };
         Self {
-            shard: shard_of(&entry.id),
+            shard: worker_shard(&entry.id),
             entry,
             address,
             is_listed: true,
@@ -219,8 +219,8 @@
             is_recorded: false,
             is_confirmed: false,
             was_confirmed: false,
-            is_inherited: false,
-            silent_since: None,
+            may_have_earlier_runs: false,
+            unresponsive_since: None,
             is_cordoned: false,
             is_maintenance_due: false,
             is_leaving: false,
@@ -228,79 +228,79 @@
             runs: HashMap::new(),
             reserved: Resources::default(),
             counts: RunCounts::default(),
-            ends_seen: 0,
-            ends_open: VecDeque::new(),
-            life: 0,
-            ends_stored: 0,
-            look: LookPhase::DueAt(now),
-            look_sent: Moment::ZERO,
-            failed_looks: 0,
-            answered: None,
-            expires,
+            last_end_seen: 0,
+            ends_unstored: VecDeque::new(),
+            incarnation: 0,
+            last_end_stored: 0,
+            poll: PollPhase::DueAt(now),
+            poll_sent: Moment::ZERO,
+            failed_polls: 0,
+            last_answered: None,
+            lease_expires,
             blocked_until: Moment::ZERO,
-            last_work: None,
-            pace_due: Moment::ZERO,
-            recent: Vec::new(),
+            last_run_ended: None,
+            throttle_due: Moment::ZERO,
+            recent_ends: Vec::new(),
             clock: None,
             lease_until: Duration::ZERO,
         }
     }
 
     /// Notes an answer with the worker's clock.
-    pub fn note_clock(&mut self, clock: Duration, received: Moment) {
+    pub fn set_clock(&mut self, clock: Duration, received: Moment) {
         self.clock = Some((clock, received));
-        self.answered = Some(received);
+        self.last_answered = Some(received);
     }
 
-    /// Extends the lease of everything there by `hold` from now and returns its end on the
+    /// Extends the lease of everything there by `lease_max` from now and returns its end on the
     /// worker's clock; `None` while that clock is unknown.
-    pub fn extend_lease(&mut self, hold: Duration, now: Moment) -> Option<Duration> {
+    pub fn extend_lease(&mut self, lease_max: Duration, now: Moment) -> Option<Duration> {
         let (clock, received) = self.clock?;
-        let until = clock + now.saturating_sub(received) + hold;
+        let until = clock + now.saturating_sub(received) + lease_max;
         self.lease_until = self.lease_until.max(until);
         let left = self.lease_until.saturating_sub(clock);
         let slow = left * 100 / (100 - CLOCK_SLOW_PERCENT);
-        self.expires = self.expires.max(received + slow + EXPIRY_MARGIN);
+        self.lease_expires = self.lease_expires.max(received + slow + EXPIRY_MARGIN);
         Some(self.lease_until)
     }
 
     /// Forgets what was known of the former life at this address.
-    pub fn begin_life(&mut self, born_unix: Option<Duration>, now: Moment) {
-        self.entry.born_unix = born_unix;
-        self.ends_seen = 0;
-        self.ends_stored = 0;
-        self.ends_open.clear();
-        self.life += 1;
+    pub fn start_incarnation(&mut self, started_unix: Option<Duration>, now: Moment) {
+        self.entry.started_unix = started_unix;
+        self.last_end_seen = 0;
+        self.last_end_stored = 0;
+        self.ends_unstored.clear();
+        self.incarnation += 1;
         self.clock = None;
         self.lease_until = Duration::ZERO;
-        self.expires = now;
-        self.recent.clear();
+        self.lease_expires = now;
+        self.recent_ends.clear();
     }
 
     /// Notes that the effects of all ends before one are in the store.
-    pub fn settle_ends(&mut self, open_since: u64) {
-        while let Some((number, order)) = self.ends_open.front().copied()
+    pub fn mark_ends_stored(&mut self, open_since: u64) {
+        while let Some((number, order)) = self.ends_unstored.front().copied()
             && order < open_since
         {
-            self.ends_stored = self.ends_stored.max(number);
-            self.ends_open.pop_front();
+            self.last_end_stored = self.last_end_stored.max(number);
+            self.ends_unstored.pop_front();
         }
     }
 
     /// What is free of its room.
-    pub fn free(&self) -> Resources {
-        self.entry.room.minus(&self.reserved)
+    pub fn free_resources(&self) -> Resources {
+        self.entry.capacity.minus(&self.reserved)
     }
 
     /// Whether it may be given work now. One lost look is no reason against it: an order carries
     /// the owner's token, and the next look shows whether its life is still the same.
     pub fn is_usable(&self, now: Moment) -> bool {
-        let answers = self.answered.is_some_and(|at| now.saturating_sub(at) < ANSWER_AGE_MAX);
+        let answers = self.last_answered.is_some_and(|at| now.saturating_sub(at) < ANSWER_AGE_MAX);
         self.is_listed
             && !self.is_gone
             && self.is_recorded
             && self.was_confirmed
-            && (self.is_confirmed || self.failed_looks <= FAILED_LOOKS_MAX)
+            && (self.is_confirmed || self.failed_polls <= FAILED_POLLS_MAX)
             && !self.is_cordoned
             && !self.entry.is_draining
             && answers
--- a/crates/jobs/tests/arrivals.rs
+++ b/crates/jobs/tests/arrivals.rs
@@ -4,7 +4,7 @@
 
 use cassiafold_config::ServiceId;
 use cassiafold_jobs::arrivals::{Arrivals, Work};
-use cassiafold_jobs::balance::RecentNeed;
+use cassiafold_jobs::balance::PeakNeed;
 use cassiafold_platform::Moment;
 
 /// Time from an order until a machine takes work.
@@ -48,7 +48,7 @@
         while open >= 1.0 {
             open -= 1.0;
             let work = Work { core_seconds: JOB_CORES, cores_max: JOB_CORES };
-            seen.note(&ServiceId::from(SERVICE), work, now);
+            seen.record(&ServiceId::from(SERVICE), work, now);
         }
         replay.demand.push(jobs * JOB_CORES);
         replay.wanted.push(want(&seen, now));
@@ -75,7 +75,7 @@
 #[test]
 fn machines_ordered_ahead_miss_less_of_a_rise() {
     let by_rate = replay(bump(150.0), |arrivals, now| arrivals.rate(SERVICE, now));
-    let ahead = replay(bump(150.0), |arrivals, now| arrivals.rate_ahead(SERVICE, LEAD, now));
+    let ahead = replay(bump(150.0), |arrivals, now| arrivals.predicted_rate(SERVICE, LEAD, now));
     let (missed, rest) = (by_rate.missing(), ahead.missing());
     assert!(rest < 0.75 * missed, "{rest:.0} of {missed:.0} core-seconds");
 }
@@ -84,7 +84,7 @@
 fn steady_demand_is_not_taken_for_a_rise() {
     let steady = |_: f64| 40.0;
     let by_rate = replay(steady, |arrivals, now| arrivals.rate(SERVICE, now));
-    let ahead = replay(steady, |arrivals, now| arrivals.rate_ahead(SERVICE, LEAD, now));
+    let ahead = replay(steady, |arrivals, now| arrivals.predicted_rate(SERVICE, LEAD, now));
     // The begin of the demand is a rise.
     let settled = 40;
     assert_eq!(by_rate.wanted[settled..], ahead.wanted[settled..]);
@@ -92,10 +92,10 @@
 
 /// Cores kept for the needs that still count.
 fn kept(sees_falls: bool) -> Replay {
-    let mut needs = RecentNeed::default();
+    let mut task_resources = PeakNeed::default();
     replay(bump(150.0), move |arrivals, now| {
         let is_falling = sees_falls && arrivals.is_falling(SERVICE, now);
-        needs.note(arrivals.rate(SERVICE, now) as usize, is_falling, now) as f64
+        task_resources.record(arrivals.rate(SERVICE, now) as usize, is_falling, now) as f64
     })
 }
 
@@ -122,13 +122,13 @@
 fn a_single_large_job_counts_with_the_cores_that_it_can_use() {
     let mut arrivals = Arrivals::default();
     let now = ms(1_000);
-    let mut note = |core_seconds| {
+    let mut record = |core_seconds| {
         let work = Work { core_seconds, cores_max: 55.0 };
-        arrivals.note(&ServiceId::from(SERVICE), work, now);
+        arrivals.record(&ServiceId::from(SERVICE), work, now);
         arrivals.rate(SERVICE, now)
     };
-    assert_eq!(note(900.0), 55.0);
-    note(75.0);
-    note(75.0);
-    assert_eq!(note(75.0), 300.0 + 55.0);
+    assert_eq!(record(900.0), 55.0);
+    record(75.0);
+    record(75.0);
+    assert_eq!(record(75.0), 300.0 + 55.0);
 }
--- a/crates/jobs/tests/desk/mod.rs
+++ b/crates/jobs/tests/desk/mod.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use cassiafold_jobs::clients::{CommandOutcome, PollError, PollResponse, RunningRun};
 use cassiafold_jobs::cluster::{Machine, MachineState, Service, Wave};
-use cassiafold_jobs::edges::{Look, LookError, OrderOutcome, RunningRow};
 use cassiafold_jobs::job::WorkerSlot;
 use cassiafold_jobs::record::{JobState, StateRecord, TaskRecord};
-use cassiafold_jobs::scheduler::{MachineOrder, Order, Scheduler, Tenure};
+use cassiafold_jobs::scheduler::{Command, MachineCommand, OwnerTerm, Scheduler};
 use cassiafold_jobs::spec::{JobId, Resources, StepSpec, TaskId};
 
 use crate::emulator::worker::EmulatedWorker;
@@ -24,28 +24,28 @@
     pub scheduler: Scheduler,
     pub now: Duration,
     pub running: HashMap<WorkerSlot, Vec<(TaskId, u32)>>,
-    pub machine_orders: Vec<MachineOrder>,
+    pub machine_orders: Vec<MachineCommand>,
     pub listed: Vec<Machine>,
 }
 
 impl Desk {
     /// A scheduler with workers that have been looked at.
-    pub fn new(workers: usize, tenure: Tenure) -> Self {
-        let mut desk = Self::begin(workers, tenure);
+    pub fn new(workers: usize, term: OwnerTerm) -> Self {
+        let mut desk = Self::begin(workers, term);
         desk.pass(ms(3_500));
         desk
     }
 
     /// A scheduler at the begin of its tenure.
-    pub fn begin(workers: usize, tenure: Tenure) -> Self {
+    pub fn begin(workers: usize, term: OwnerTerm) -> Self {
         let now = ms(100_000);
-        let mut scheduler = Scheduler::new(settings(), tenure, now);
+        let mut scheduler = Scheduler::new(settings(), term, now);
         let mut config = (*config(Resources::default())).clone();
         let spare = Service { is_spare: true, ..Service::default() };
         config.services.insert("spare".into(), spare);
-        scheduler.configure(Arc::new(config));
-        let room = Resources { memory_bytes: 64 << 30, ..cores(16) };
-        let make = |number| EmulatedWorker::new(number, room).entry();
+        scheduler.set_config(Arc::new(config));
+        let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
+        let make = |number| EmulatedWorker::new(number, capacity).entry();
         scheduler.set_workers((0..workers).map(make).collect(), now);
         Self::of(scheduler, now)
     }
@@ -64,7 +64,7 @@
             zone: "z".into(),
             worker: Some(format!("w{number}").into()),
             labels: Vec::new(),
-            room: cores(16),
+            capacity: cores(16),
         };
         (0..count).map(make).collect()
     }
@@ -98,14 +98,14 @@
 
     /// Lets time pass in which no worker answers.
     pub fn pass_silently(&mut self, length: Duration) {
-        let error = LookError::NoAnswer("timeout".into());
+        let error = PollError::NoAnswer("timeout".into());
         let end = self.now + length;
         while self.now < end {
             for order in self.scheduler.plan(Duration::ZERO, self.now) {
                 match order {
-                    Order::Look { worker, .. } => {
-                        let _ = self.scheduler.look_request(worker, false, self.now);
-                        self.scheduler.note_look_failed(worker, false, &error, self.now);
+                    Command::Poll { worker, .. } => {
+                        let _ = self.scheduler.poll_request(worker, false, self.now);
+                        self.scheduler.handle_poll_failure(worker, false, &error, self.now);
                     }
                     order => self.carry_out(order),
                 }
@@ -116,37 +116,55 @@
     }
 
     fn write(&mut self) {
-        if let Some(flush) = self.scheduler.take_flush(self.now) {
-            self.scheduler.note_flushed(&flush, self.now);
+        if let Some(flush) = self.scheduler.next_write_batch(self.now) {
+            self.scheduler.handle_write_committed(&flush, self.now);
         }
     }
 
-    pub fn carry_out(&mut self, order: Order) {
+    pub fn carry_out(&mut self, order: Command) {
         match order {
-            Order::Look { worker, is_probe } => {
-                let _ = self.scheduler.look_request(worker, is_probe, self.now);
+            Command::Poll { worker, is_out_of_band } => {
+                let _ = self.scheduler.poll_request(worker, is_out_of_band, self.now);
                 let rows = self.running.get(&worker).cloned().unwrap_or_default();
-                let row = |(task, run)| RunningRow {
+                let row = |(task, run)| RunningRun {
                     task,
                     run,
                     checkpoint: None,
                     percent: 100,
-                    reading: 0,
+                    load_metric: 0,
                 };
                 let running = rows.into_iter().map(row).collect();
-                let look = Look { clock: self.now, running, ..Look::default() };
-                self.scheduler.note_look(worker, is_probe, self.now, self.now, look);
+                let poll = PollResponse { clock: self.now, running, ..PollResponse::default() };
+                self.scheduler.handle_poll_response(
+                    worker,
+                    is_out_of_band,
+                    self.now,
+                    self.now,
+                    poll,
+                );
             }
-            Order::Start { worker, task, run, .. } => {
+            Command::Start { worker, task, run, .. } => {
                 self.running.entry(worker).or_default().push((task, run));
-                self.scheduler.note_start(worker, task, run, OrderOutcome::Accepted, self.now);
+                self.scheduler.handle_start_outcome(
+                    worker,
+                    task,
+                    run,
+                    CommandOutcome::Accepted,
+                    self.now,
+                );
             }
-            Order::Stop { worker, task, run } => {
+            Command::Stop { worker, task, run } => {
                 self.running.entry(worker).or_default().retain(|(other, _)| *other != task);
-                self.scheduler.note_stop(worker, task, run, OrderOutcome::Accepted, self.now);
+                self.scheduler.handle_stop_outcome(
+                    worker,
+                    task,
+                    run,
+                    CommandOutcome::Accepted,
+                    self.now,
+                );
             }
-            Order::Machine(order) => self.machine_orders.push(order),
-            Order::Pace { .. } | Order::Ask(_) => {}
+            Command::Machine(order) => self.machine_orders.push(order),
+            Command::Throttle { .. } | Command::QueryPolicy(_) => {}
         }
     }
 
@@ -154,9 +172,9 @@
         self.running.values().map(Vec::len).sum()
     }
 
-    pub fn wave_of(&mut self, machines: &[usize], at_once_max: usize) {
+    pub fn wave_of(&mut self, machines: &[usize], concurrent_max: usize) {
         let machines = machines.iter().map(|number| format!("m{number}").into()).collect();
-        let wave = Wave { number: 1, machines, term: ms(20_000), at_once_max };
+        let wave = Wave { number: 1, machines, time_limit: ms(20_000), concurrent_max };
         self.scheduler.set_waves(&[wave], self.now);
     }
 }
--- a/crates/jobs/tests/emulator/checks.rs
+++ b/crates/jobs/tests/emulator/checks.rs
@@ -43,7 +43,7 @@
         if self.failed.get(&task).copied().unwrap_or(0) >= 3 {
             self.broken.push(format!("{task}: started after three failures"));
         }
-        if !self.workers[worker].reserved().fits(&self.workers[worker].room) {
+        if !self.workers[worker].reserved().fits(&self.workers[worker].capacity) {
             self.broken.push(format!("{task}: worker over its room"));
         }
         let used = self
--- a/crates/jobs/tests/emulator/event.rs
+++ b/crates/jobs/tests/emulator/event.rs
@@ -3,8 +3,10 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-use cassiafold_jobs::edges::{Look, LookError, LookRequest, OrderOutcome, StartRequest};
-use cassiafold_jobs::scheduler::Flush;
+use cassiafold_jobs::clients::{
+    CommandOutcome, PollError, PollRequest, PollResponse, StartRequest,
+};
+use cassiafold_jobs::scheduler::WriteBatch;
 use cassiafold_jobs::spec::{RunNumber, TaskId};
 
 /// The life of a worker that has received an order; what it carries out late dies with it.
@@ -18,21 +20,21 @@
 pub struct SentLook {
     pub owner: u64,
     pub slot: usize,
-    pub is_probe: bool,
+    pub is_out_of_band: bool,
     pub worker: usize,
-    pub request: LookRequest,
+    pub request: PollRequest,
     pub sent: Duration,
 }
 
 /// Something that happens at a moment.
 pub enum Event {
-    Look(SentLook),
+    Poll(SentLook),
     LookDone {
         owner: u64,
         slot: usize,
-        is_probe: bool,
+        is_out_of_band: bool,
         sent: Duration,
-        result: Result<Look, LookError>,
+        result: Result<PollResponse, PollError>,
     },
     Start {
         owner: u64,
@@ -46,7 +48,7 @@
         slot: usize,
         task: TaskId,
         run: RunNumber,
-        outcome: OrderOutcome,
+        outcome: CommandOutcome,
     },
     Stop {
         owner: u64,
@@ -61,11 +63,11 @@
         slot: usize,
         task: TaskId,
         run: RunNumber,
-        outcome: OrderOutcome,
+        outcome: CommandOutcome,
     },
     Flushed {
         owner: u64,
-        flush: Flush,
+        flush: WriteBatch,
     },
     RunEnds {
         worker: usize,
--- a/crates/jobs/tests/emulator/faults.rs
+++ b/crates/jobs/tests/emulator/faults.rs
@@ -45,7 +45,7 @@
     }
 
     /// How long a look takes, and whether it is answered.
-    pub fn look(&self, random: &mut StdRng) -> (Duration, bool) {
+    pub fn poll(&self, random: &mut StdRng) -> (Duration, bool) {
         let is_lost = random.random_bool(self.blind);
         let millis = if is_lost { 800 } else { random.random_range(1..40) };
         (Duration::from_millis(millis), !is_lost)
--- a/crates/jobs/tests/emulator/mod.rs
+++ b/crates/jobs/tests/emulator/mod.rs
@@ -15,12 +15,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use cassiafold_jobs::clients::{CommandOutcome, PollError, PollResponse, StartRequest};
 use cassiafold_jobs::cluster::{ClusterConfig, Queue, Service, Team, WorkerEntry};
-use cassiafold_jobs::edges::{Look, LookError, OrderOutcome, StartRequest};
 use cassiafold_jobs::record::{
-    JobRecord, JobState, KnownWorker, STATE_PREFIX, StateRecord, WORKERS_PREFIX, job_of,
+    JobRecord, JobState, STATE_PREFIX, StateRecord, WORKERS_PREFIX, WorkerRecord, parse_job_key,
 };
-use cassiafold_jobs::scheduler::{Flush, Order, Scheduler, SchedulerSettings, Tenure};
+use cassiafold_jobs::scheduler::{Command, OwnerTerm, Scheduler, SchedulerSettings, WriteBatch};
 use cassiafold_jobs::spec::{JobId, JobSpec, Resources, RunNumber, StepSpec, TaskId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -41,12 +41,12 @@
 
 pub fn settings() -> SchedulerSettings {
     SchedulerSettings {
-        hold: HOLD,
-        stop_max: Duration::from_millis(900),
-        machine_orders_per_s: 64.0,
+        lease_max: HOLD,
+        stop_grace_period: Duration::from_millis(900),
+        machine_commands_per_s: 64.0,
         machine_lease: Duration::from_millis(3_000),
-        move_time: Duration::from_millis(1_500),
-        status_kept: Duration::from_secs(150),
+        machine_move_duration: Duration::from_millis(1_500),
+        status_retention: Duration::from_secs(150),
     }
 }
 
@@ -62,7 +62,7 @@
 pub fn step(tasks: u32, cores_each: u32, after: &[u16]) -> StepSpec {
     StepSpec {
         tasks,
-        needs: cores(cores_each),
+        task_resources: cores(cores_each),
         estimate: ms(500),
         after: after.to_vec(),
         ..StepSpec::default()
@@ -74,7 +74,7 @@
         queue: QUEUE.into(),
         service: SERVICE.into(),
         team: Some(TEAM.into()),
-        spec: JobSpec { text: "text".into(), steps, schedule: None },
+        spec: JobSpec { payload: "text".into(), steps, schedule: None },
     }
 }
 
@@ -86,10 +86,10 @@
         service: SERVICE.into(),
         priority: 0,
         attempts_max: 3,
-        stretch: 1.5,
+        critical_path_factor: 1.5,
         latency_objective: ms(600),
         is_public: false,
-        advice: None,
+        placement_policy: None,
     };
     let team = Team { weight: 100.0, limit };
     Arc::new(ClusterConfig {
@@ -118,7 +118,7 @@
     /// How long a write takes.
     pub write_time: Duration,
     faults: Faults,
-    known: BTreeMap<Arc<str>, Vec<KnownWorker>>,
+    known: BTreeMap<Arc<str>, Vec<WorkerRecord>>,
     listed: Duration,
     scheduler: Option<Scheduler>,
     owner: u64,
@@ -133,8 +133,8 @@
 
 impl Emulator {
     pub fn new(seed: u64, workers: usize, limit: Resources, faults: Faults) -> Self {
-        let room = Resources { memory_bytes: 64 << 30, ..cores(16) };
-        let make = |number| EmulatedWorker::new(number, room);
+        let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
+        let make = |number| EmulatedWorker::new(number, capacity);
         let mut emulator = Self {
             now: ms(10_000),
             workers: (0..workers).map(make).collect(),
@@ -194,14 +194,14 @@
     }
 
     fn begin_tenure(&mut self) {
-        let tenure = Tenure {
+        let term = OwnerTerm {
             token: self.owner,
-            run_base: u32::try_from(self.owner - 1).unwrap_or(0) * 1_000,
+            run_number_base: u32::try_from(self.owner - 1).unwrap_or(0) * 1_000,
             known_workers: self.known.values().flatten().cloned().collect(),
-            ..Tenure::default()
+            ..OwnerTerm::default()
         };
-        let mut scheduler = Scheduler::new(settings(), tenure, self.now);
-        scheduler.configure(self.config.clone());
+        let mut scheduler = Scheduler::new(settings(), term, self.now);
+        scheduler.set_config(self.config.clone());
         for (id, record) in &self.jobs {
             let stored = self.states.get(id);
             scheduler.add_job(*id, record.clone(), 0, stored, self.now);
@@ -245,7 +245,7 @@
         for order in orders {
             self.carry_out(&mut scheduler, order);
         }
-        while let Some(flush) = scheduler.take_flush(self.now) {
+        while let Some(flush) = scheduler.next_write_batch(self.now) {
             self.store(&flush);
             let owner = self.owner;
             self.at(self.write_time, Event::Flushed { owner, flush });
@@ -253,9 +253,9 @@
         self.scheduler = Some(scheduler);
     }
 
-    fn store(&mut self, flush: &Flush) {
+    fn store(&mut self, flush: &WriteBatch) {
         for (key, value) in &flush.puts {
-            if let Some(id) = job_of(key, STATE_PREFIX) {
+            if let Some(id) = parse_job_key(key, STATE_PREFIX) {
                 let state = StateRecord::try_from(&value[..]).expect("state");
                 self.states.insert(id, state);
             } else if key.starts_with(WORKERS_PREFIX) {
@@ -269,55 +269,62 @@
         self.workers.iter().position(|worker| *worker.id == *id).expect("known worker")
     }
 
-    fn life(&self, id: &str) -> Life {
+    fn incarnation(&self, id: &str) -> Life {
         let worker = self.worker_number(id);
         Life { worker, born: self.workers[worker].born }
     }
 
     /// Whether a life goes on that has received an order.
-    fn lives(&self, life: Life) -> bool {
-        self.workers[life.worker].is_up && self.workers[life.worker].born == life.born
+    fn lives(&self, incarnation: Life) -> bool {
+        self.workers[incarnation.worker].is_up
+            && self.workers[incarnation.worker].born == incarnation.born
     }
 
     fn latency(&mut self) -> Duration {
         Duration::from_micros(self.random.random_range(300..3_000))
     }
 
-    fn carry_out(&mut self, scheduler: &mut Scheduler, order: Order) {
+    fn carry_out(&mut self, scheduler: &mut Scheduler, order: Command) {
         let (owner, latency) = (self.owner, self.latency());
         match order {
-            Order::Look { worker: slot, is_probe } => {
-                let request = scheduler.look_request(slot, is_probe, self.now);
+            Command::Poll { worker: slot, is_out_of_band } => {
+                let request = scheduler.poll_request(slot, is_out_of_band, self.now);
                 let worker = self.worker_number(&scheduler.worker(slot).entry.id);
                 let sent = self.now;
-                let look = SentLook { owner, slot, is_probe, worker, request, sent };
-                self.at(latency, Event::Look(look));
+                let poll = SentLook { owner, slot, is_out_of_band, worker, request, sent };
+                self.at(latency, Event::Poll(poll));
             }
-            Order::Start { worker: slot, task, run, ticket } => {
+            Command::Start { worker: slot, task, run, ticket } => {
                 let Some(request) = scheduler.start_request(slot, task, run, ticket, self.now)
                 else {
-                    scheduler.note_start(slot, task, run, OrderOutcome::NotSent, self.now);
+                    scheduler.handle_start_outcome(
+                        slot,
+                        task,
+                        run,
+                        CommandOutcome::NotSent,
+                        self.now,
+                    );
                     return;
                 };
-                let to = self.life(&scheduler.worker(slot).entry.id);
+                let to = self.incarnation(&scheduler.worker(slot).entry.id);
                 let (delay, answers) = self.faults.order(&mut self.random, latency);
                 let start = Event::Start { owner, slot, to, request, answers };
                 self.at(delay, start);
                 if !answers {
-                    let outcome = OrderOutcome::Unknown;
+                    let outcome = CommandOutcome::Unknown;
                     self.at(ms(800), Event::StartDone { owner, slot, task, run, outcome });
                 }
             }
-            Order::Stop { worker: slot, task, run } => {
-                let to = self.life(&scheduler.worker(slot).entry.id);
+            Command::Stop { worker: slot, task, run } => {
+                let to = self.incarnation(&scheduler.worker(slot).entry.id);
                 let (delay, answers) = self.faults.order(&mut self.random, latency);
                 self.at(delay, Event::Stop { owner, slot, to, task, run, answers });
                 if !answers {
-                    let outcome = OrderOutcome::Unknown;
+                    let outcome = CommandOutcome::Unknown;
                     self.at(ms(800), Event::StopDone { owner, slot, task, run, outcome });
                 }
             }
-            Order::Pace { .. } | Order::Ask(_) | Order::Machine(_) => {}
+            Command::Throttle { .. } | Command::QueryPolicy(_) | Command::Machine(_) => {}
         }
     }
 
@@ -336,12 +343,16 @@
                 }
                 self.at(ms(20), Event::Tick);
             }
-            Event::Look(look) => self.look(look),
-            Event::LookDone { owner: from, slot, is_probe, sent, result } if from == owner => {
+            Event::Poll(poll) => self.poll(poll),
+            Event::LookDone { owner: from, slot, is_out_of_band, sent, result }
+                if from == owner =>
+            {
                 let Some(scheduler) = &mut self.scheduler else { return };
                 match result {
-                    Ok(look) => scheduler.note_look(slot, is_probe, sent, now, look),
-                    Err(error) => scheduler.note_look_failed(slot, false, &error, now),
+                    Ok(poll) => {
+                        scheduler.handle_poll_response(slot, is_out_of_band, sent, now, poll)
+                    }
+                    Err(error) => scheduler.handle_poll_failure(slot, false, &error, now),
                 }
             }
             Event::Start { owner, slot, to, request, answers } => {
@@ -349,13 +360,13 @@
             }
             Event::StartDone { owner: from, slot, task, run, outcome } if from == owner => {
                 if let Some(scheduler) = &mut self.scheduler {
-                    scheduler.note_start(slot, task, run, outcome, now);
+                    scheduler.handle_start_outcome(slot, task, run, outcome, now);
                 }
             }
             Event::Stop { owner, slot, to, task, run, answers } => {
                 let outcome = match self.lives(to) {
                     true => self.workers[to.worker].stop(task, run, owner, now),
-                    false => OrderOutcome::NotSent,
+                    false => CommandOutcome::NotSent,
                 };
                 if answers {
                     let latency = self.latency();
@@ -364,12 +375,12 @@
             }
             Event::StopDone { owner: from, slot, task, run, outcome } if from == owner => {
                 if let Some(scheduler) = &mut self.scheduler {
-                    scheduler.note_stop(slot, task, run, outcome, now);
+                    scheduler.handle_stop_outcome(slot, task, run, outcome, now);
                 }
             }
             Event::Flushed { owner: from, flush } if from == owner => {
                 if let Some(scheduler) = &mut self.scheduler {
-                    scheduler.note_flushed(&flush, now);
+                    scheduler.handle_write_committed(&flush, now);
                 }
             }
             Event::RunEnds { worker, task, run } => self.end_run(worker, task, run),
@@ -388,17 +399,17 @@
         }
     }
 
-    fn look(&mut self, look: SentLook) {
-        let SentLook { owner, slot, is_probe, worker, request, sent } = look;
-        let (delay, answers) = self.faults.look(&mut self.random);
+    fn poll(&mut self, poll: SentLook) {
+        let SentLook { owner, slot, is_out_of_band, worker, request, sent } = poll;
+        let (delay, answers) = self.faults.poll(&mut self.random);
         let now = self.now;
         let result = match answers {
-            true => self.workers[worker].look(request, now),
-            false => Err(LookError::NoAnswer("lost".into())),
+            true => self.workers[worker].poll(request, now),
+            false => Err(PollError::NoAnswer("lost".into())),
         };
-        if let Ok(look) = &result {
-            self.count_repeated(worker, look);
-            for row in &look.ended {
+        if let Ok(poll) = &result {
+            self.count_repeated(worker, poll);
+            for row in &poll.ended {
                 if row.number <= request.acknowledged {
                     self.broken.push(format!("{}: listed an acknowledged end", row.task));
                 }
@@ -407,11 +418,11 @@
         for end in self.workers[worker].take_acknowledged() {
             self.note_acknowledged(end);
         }
-        self.at(delay, Event::LookDone { owner, slot, is_probe, sent, result });
+        self.at(delay, Event::LookDone { owner, slot, is_out_of_band, sent, result });
     }
 
-    fn count_repeated(&mut self, worker: usize, look: &Look) {
-        let Some(last) = look.ended.last().map(|row| row.number) else { return };
+    fn count_repeated(&mut self, worker: usize, poll: &PollResponse) {
+        let Some(last) = poll.ended.last().map(|row| row.number) else { return };
         let shown = self.shown.entry((worker, self.workers[worker].born)).or_default();
         self.repeated_looks += usize::from(last <= *shown);
         *shown = last.max(*shown);
@@ -422,9 +433,9 @@
         let worker = to.worker;
         let outcome = match self.lives(to) {
             true => self.workers[worker].start(&request, now, &self.jobs),
-            false => OrderOutcome::NotSent,
+            false => CommandOutcome::NotSent,
         };
-        if outcome == OrderOutcome::Accepted && self.workers[worker].is_new(task, run, now) {
+        if outcome == CommandOutcome::Accepted && self.workers[worker].is_new(task, run, now) {
             self.starts += 1;
             self.check_start(worker, task);
             let spec = &self.jobs[&task.step.job].spec;
--- a/crates/jobs/tests/emulator/worker.rs
+++ b/crates/jobs/tests/emulator/worker.rs
@@ -4,10 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cassiafold_jobs::cluster::WorkerEntry;
-use cassiafold_jobs::edges::{
-    EndedRow, Look, LookError, LookRequest, OrderOutcome, Refusal, RunEnd, RunningRow, StartRequest,
+use cassiafold_jobs::clients::{
+    CommandOutcome, EndedRun, PollError, PollRequest, PollResponse, Refusal, RunEnd, RunningRun,
+    StartRequest,
 };
+use cassiafold_jobs::cluster::WorkerEntry;
 use cassiafold_jobs::record::JobRecord;
 use cassiafold_jobs::spec::{JobId, Resources, RunNumber, TaskId};
 
@@ -18,19 +19,19 @@
 pub struct EmulatedRun {
     pub number: RunNumber,
     pub began: Duration,
-    pub needs: Resources,
+    pub task_resources: Resources,
 }
 
 /// One emulated worker.
 #[derive(Debug)]
 pub struct EmulatedWorker {
     pub id: Arc<str>,
-    pub room: Resources,
+    pub capacity: Resources,
     pub is_up: bool,
     pub runs: BTreeMap<TaskId, EmulatedRun>,
     pub born: Duration,
     token: u64,
-    ended: Vec<EndedRow>,
+    ended: Vec<EndedRun>,
     next_number: u64,
     highest: HashMap<TaskId, RunNumber>,
     lease_until: Duration,
@@ -38,10 +39,10 @@
 }
 
 impl EmulatedWorker {
-    pub fn new(number: usize, room: Resources) -> Self {
+    pub fn new(number: usize, capacity: Resources) -> Self {
         Self {
             id: format!("w{number}").into(),
-            room,
+            capacity,
             is_up: true,
             runs: BTreeMap::new(),
             born: Duration::from_secs(1),
@@ -57,12 +58,12 @@
     pub fn entry(&self) -> WorkerEntry {
         WorkerEntry {
             id: self.id.clone(),
-            born_unix: Some(self.born),
+            started_unix: Some(self.born),
             service: SERVICE.into(),
             address: "127.0.0.1:1".parse().expect("address"),
             zone: "z".into(),
             labels: ["a".into(), "r1".into()].into(),
-            room: self.room,
+            capacity: self.capacity,
             is_draining: false,
         }
     }
@@ -72,7 +73,7 @@
     }
 
     pub fn reserved(&self) -> Resources {
-        self.runs.values().fold(Resources::default(), |sum, run| sum.plus(&run.needs))
+        self.runs.values().fold(Resources::default(), |sum, run| sum.plus(&run.task_resources))
     }
 
     pub fn crash(&mut self) {
@@ -90,12 +91,12 @@
         self.born = now;
     }
 
-    pub fn look(&mut self, request: LookRequest, now: Duration) -> Result<Look, LookError> {
+    pub fn poll(&mut self, request: PollRequest, now: Duration) -> Result<PollResponse, PollError> {
         if !self.is_up {
-            return Err(LookError::NoAnswer("down".into()));
+            return Err(PollError::NoAnswer("down".into()));
         }
         if request.token < self.token {
-            return Err(LookError::Fenced);
+            return Err(PollError::Fenced);
         }
         self.token = request.token;
         self.extend(request.lease_until, now);
@@ -104,16 +105,16 @@
         self.ended = kept;
         let done = forgotten.iter().filter(|row| row.end == RunEnd::Done);
         self.acknowledged.extend(done.map(|row| row.task));
-        let running = self.runs.iter().map(|(task, run)| RunningRow {
+        let running = self.runs.iter().map(|(task, run)| RunningRun {
             task: *task,
             run: run.number,
             checkpoint: None,
             percent: 50,
-            reading: 0,
+            load_metric: 0,
         });
-        Ok(Look {
+        Ok(PollResponse {
             clock: self.clock(now),
-            born_unix: Some(self.born),
+            started_unix: Some(self.born),
             running: running.collect(),
             ended: self.ended.clone(),
         })
@@ -134,31 +135,31 @@
         request: &StartRequest,
         now: Duration,
         jobs: &BTreeMap<JobId, JobRecord>,
-    ) -> OrderOutcome {
+    ) -> CommandOutcome {
         if !self.is_up {
-            return OrderOutcome::NotSent;
+            return CommandOutcome::NotSent;
         }
         if request.token < self.token {
-            return OrderOutcome::Refused(Refusal::Fenced);
+            return CommandOutcome::Refused(Refusal::Fenced);
         }
         self.token = request.token;
         if request.lease_until <= self.clock(now) {
-            return OrderOutcome::Refused(Refusal::TooLate);
+            return CommandOutcome::Refused(Refusal::TooLate);
         }
         self.extend(Some(request.lease_until), now);
         let running = self.runs.get(&request.task).map(|run| run.number);
         if running == Some(request.run) {
-            return OrderOutcome::Accepted;
+            return CommandOutcome::Accepted;
         }
         let highest = self.highest.get(&request.task).copied().unwrap_or(0);
         if running.is_some() || request.run <= highest {
-            return OrderOutcome::Refused(Refusal::Outdated);
+            return CommandOutcome::Refused(Refusal::Outdated);
         }
         let step = usize::from(request.task.step.step);
-        let needs = jobs[&request.task.step.job].spec.steps[step].needs;
-        let run = EmulatedRun { number: request.run, began: now, needs };
+        let task_resources = jobs[&request.task.step.job].spec.steps[step].task_resources;
+        let run = EmulatedRun { number: request.run, began: now, task_resources };
         self.runs.insert(request.task, run);
-        OrderOutcome::Accepted
+        CommandOutcome::Accepted
     }
 
     /// Whether a run began at this very moment.
@@ -172,12 +173,12 @@
         run: RunNumber,
         token: u64,
         now: Duration,
-    ) -> OrderOutcome {
+    ) -> CommandOutcome {
         if !self.is_up {
-            return OrderOutcome::NotSent;
+            return CommandOutcome::NotSent;
         }
         if token < self.token {
-            return OrderOutcome::Refused(Refusal::Fenced);
+            return CommandOutcome::Refused(Refusal::Fenced);
         }
         self.token = token;
         let highest = self.highest.entry(task).or_default();
@@ -185,7 +186,7 @@
         if self.runs.get(&task).is_some_and(|one| one.number <= run) {
             self.end(task, RunEnd::Stopped, now);
         }
-        OrderOutcome::Accepted
+        CommandOutcome::Accepted
     }
 
     fn end(&mut self, task: TaskId, end: RunEnd, _now: Duration) {
@@ -194,7 +195,7 @@
         *highest = (*highest).max(run.number);
         let number = self.next_number;
         self.next_number += 1;
-        self.ended.push(EndedRow { number, task, run: run.number, end, checkpoint: None });
+        self.ended.push(EndedRun { number, task, run: run.number, end, checkpoint: None });
     }
 
     /// Ends a run by itself; false if it is not there.
--- a/crates/jobs/tests/overload.rs
+++ b/crates/jobs/tests/overload.rs
@@ -50,7 +50,7 @@
     emulator.run(ended_within);
     assert_eq!(emulator.ended_jobs(), BACKLOG as usize / 2);
     emulator.write_time = ms(BUSY_WRITE_MS);
-    emulator.run(settings().status_kept);
+    emulator.run(settings().status_retention);
     assert_eq!(emulator.ended_jobs(), 0, "ended jobs that are kept too long");
 }
 
@@ -67,7 +67,7 @@
 #[test]
 fn ends_that_cannot_be_stored_are_not_asked_for_again_and_again() {
     /// Looks a second at workers of which nothing can be acknowledged.
-    const REPEATED_LOOKS_PER_S: usize = 2_000;
+    const REPEATED_POLLS_PER_S: usize = 2_000;
     let mut emulator = deployment();
     submit_backlog(&mut emulator);
     emulator.run(ms(1_000));
@@ -77,5 +77,5 @@
     let before = emulator.repeated_looks;
     emulator.run(ms(4_000));
     let looks_per_s = (emulator.repeated_looks - before) / 4;
-    assert!(looks_per_s <= REPEATED_LOOKS_PER_S, "{looks_per_s} looks a second");
+    assert!(looks_per_s <= REPEATED_POLLS_PER_S, "{looks_per_s} looks a second");
 }
--- a/crates/jobs/tests/scheduler.rs
+++ b/crates/jobs/tests/scheduler.rs
@@ -7,10 +7,12 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+use cassiafold_jobs::clients::{
+    CommandOutcome, EndedRun, PollError, PollResponse, RunEnd, RunningRun,
+};
 use cassiafold_jobs::cluster::{Wave, WorkerEntry};
-use cassiafold_jobs::edges::{EndedRow, Look, LookError, OrderOutcome, RunEnd, RunningRow};
 use cassiafold_jobs::record::{JobState, StateRecord, TaskRecord, WAITING_KEY, WaitingRecord};
-use cassiafold_jobs::scheduler::{Order, Scheduler, Tenure};
+use cassiafold_jobs::scheduler::{Command, OwnerTerm, Scheduler};
 use cassiafold_jobs::spec::{Resources, Schedule, StepId, StepSpec, TaskId};
 
 use self::desk::{Desk, long_running, touched};
@@ -19,7 +21,7 @@
 
 #[test]
 fn a_cancel_that_comes_before_its_job_ends_it() {
-    let mut desk = Desk::new(2, Tenure::default());
+    let mut desk = Desk::new(2, OwnerTerm::default());
     desk.scheduler.cancel(7, desk.now);
     desk.submit(7, vec![step(2, 1, &[])]);
     desk.pass(ms(200));
@@ -29,23 +31,23 @@
 
 #[test]
 fn nothing_starts_before_the_store_says_that_it_may_have() {
-    let mut desk = Desk::new(1, Tenure::default());
+    let mut desk = Desk::new(1, OwnerTerm::default());
     desk.submit(1, vec![step(1, 1, &[])]);
-    let is_start = |order: &Order| matches!(order, Order::Start { .. });
+    let is_start = |order: &Command| matches!(order, Command::Start { .. });
     assert!(!desk.scheduler.plan(Duration::ZERO, desk.now).iter().any(is_start));
-    let flush = desk.scheduler.take_flush(desk.now).expect("a write");
+    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
     assert!(!desk.scheduler.plan(Duration::ZERO, desk.now).iter().any(is_start));
-    desk.scheduler.note_flushed(&flush, desk.now);
+    desk.scheduler.handle_write_committed(&flush, desk.now);
     assert!(desk.scheduler.plan(Duration::ZERO, desk.now).iter().any(is_start));
 }
 
 #[test]
 fn a_job_that_an_earlier_owner_touched_and_did_not_start_counts_as_waiting() {
-    let mut desk = Desk::begin(0, Tenure { token: 50, ..Tenure::default() });
+    let mut desk = Desk::begin(0, OwnerTerm { token: 50, ..OwnerTerm::default() });
     let done = vec![TaskRecord { done: true, last_run: 1, ..TaskRecord::default() }];
     desk.scheduler.add_job(1, job(vec![step(2, 1, &[])]), 40, Some(&touched(vec![])), desk.now);
     desk.scheduler.add_job(2, job(vec![step(2, 1, &[])]), 41, Some(&touched(done)), desk.now);
-    let flush = desk.scheduler.take_flush(desk.now).expect("a write");
+    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
     let waiting = flush.puts.iter().find(|(key, _)| &**key == WAITING_KEY).expect("a count");
     let waiting: WaitingRecord = serde_json::from_slice(&waiting.1).expect("a record");
     assert_eq!(waiting.jobs.values().copied().collect::<Vec<_>>(), [1]);
@@ -53,47 +55,52 @@
 
 #[test]
 fn after_a_failed_look_nothing_is_acknowledged_until_the_life_is_known_again() {
-    let mut desk = Desk::new(1, Tenure::default());
+    let mut desk = Desk::new(1, OwnerTerm::default());
     desk.submit(1, vec![step(1, 1, &[])]);
     desk.pass(ms(100));
     let (task, run) = desk.running[&0][0];
     let end = RunEnd::Done;
-    let ended = vec![EndedRow { number: 7, task, run, end, checkpoint: None }];
+    let ended = vec![EndedRun { number: 7, task, run, end, checkpoint: None }];
     desk.running.clear();
-    let look = Look { clock: desk.now, ended, ..Look::default() };
-    desk.scheduler.note_look(0, false, desk.now, desk.now, look);
+    let poll = PollResponse { clock: desk.now, ended, ..PollResponse::default() };
+    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, poll);
     desk.pass(ms(100));
-    assert_eq!(desk.scheduler.look_request(0, false, desk.now).acknowledged, 7);
-    let error = LookError::NoAnswer("reset".into());
-    desk.scheduler.note_look_failed(0, false, &error, desk.now);
-    let request = desk.scheduler.look_request(0, false, desk.now);
+    assert_eq!(desk.scheduler.poll_request(0, false, desk.now).acknowledged, 7);
+    let error = PollError::NoAnswer("reset".into());
+    desk.scheduler.handle_poll_failure(0, false, &error, desk.now);
+    let request = desk.scheduler.poll_request(0, false, desk.now);
     assert_eq!((request.acknowledged, request.lease_until), (0, None));
 }
 
 #[test]
 fn ends_of_a_new_life_count_though_their_numbers_start_anew() {
-    let mut desk = Desk::new(1, Tenure::default());
+    let mut desk = Desk::new(1, OwnerTerm::default());
     desk.submit(1, vec![step(2, 1, &[])]);
     desk.pass(ms(100));
     let runs = desk.running[&0].clone();
-    let row = |number, (task, run): (TaskId, u32)| EndedRow {
+    let row = |number, (task, run): (TaskId, u32)| EndedRun {
         number,
         task,
         run,
         end: RunEnd::Done,
         checkpoint: None,
     };
-    let life = |born| Look { clock: ms(1), born_unix: Some(ms(born)), ..Look::default() };
-    let first = Look { ended: vec![row(5, runs[0])], ..life(1_000) };
-    desk.scheduler.note_look(0, false, desk.now, desk.now, first);
-    let second = Look { ended: vec![row(1, runs[1])], ..life(2_000) };
-    desk.scheduler.note_look(0, false, desk.now, desk.now, second);
+    let incarnation = |born| PollResponse {
+        clock: ms(1),
+        started_unix: Some(ms(born)),
+        ..PollResponse::default()
+    };
+    let first = PollResponse { ended: vec![row(5, runs[0])], ..incarnation(1_000) };
+    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, first);
+    let second = PollResponse { ended: vec![row(1, runs[1])], ..incarnation(2_000) };
+    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, second);
     assert_eq!(desk.scheduler.job(1).map(|job| job.state), Some(JobState::Completed));
 }
 
 #[test]
 fn runs_of_a_repetition_that_an_earlier_owner_began_are_taken_over() {
-    let mut desk = Desk::new(1, Tenure { token: 50, run_base: 1_000, ..Tenure::default() });
+    let mut desk =
+        Desk::new(1, OwnerTerm { token: 50, run_number_base: 1_000, ..OwnerTerm::default() });
     let mut record = job(vec![step(2, 1, &[])]);
     let first_unix = Duration::from_secs(500);
     record.spec.schedule =
@@ -102,11 +109,11 @@
     desk.scheduler.add_job(1, record, 40, Some(&touched), desk.now);
     let task = |index| TaskId { step: StepId { job: 1, occurrence: 0, step: 0 }, index };
     let end = RunEnd::Done;
-    let ended = vec![EndedRow { number: 1, task: task(0), run: 3, end, checkpoint: None }];
+    let ended = vec![EndedRun { number: 1, task: task(0), run: 3, end, checkpoint: None }];
     let running =
-        vec![RunningRow { task: task(1), run: 4, checkpoint: None, percent: 50, reading: 0 }];
-    let look = Look { clock: desk.now, running, ended, ..Look::default() };
-    desk.scheduler.note_look(0, false, desk.now, desk.now, look);
+        vec![RunningRun { task: task(1), run: 4, checkpoint: None, percent: 50, load_metric: 0 }];
+    let poll = PollResponse { clock: desk.now, running, ended, ..PollResponse::default() };
+    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, poll);
     desk.running.insert(0, vec![(task(1), 4)]);
     desk.pass(ms(300));
     assert_eq!(desk.running[&0], vec![(task(1), 4)], "neither stopped nor started again");
@@ -116,86 +123,90 @@
 
 #[test]
 fn a_write_never_has_more_entries_than_the_store_takes() {
-    let mut desk = Desk::new(1, Tenure::default());
+    let mut desk = Desk::new(1, OwnerTerm::default());
     for id in 1..200 {
         desk.submit(id, vec![step(1, 1, &[])]);
         desk.scheduler.cancel(id, desk.now);
     }
-    let wave = |number| Wave { number, machines: Vec::new(), term: ms(1), at_once_max: 1 };
+    let wave = |number| Wave { number, machines: Vec::new(), time_limit: ms(1), concurrent_max: 1 };
     let waves: Vec<Wave> = (1..20).map(wave).collect();
     desk.scheduler.set_waves(&waves, desk.now);
     let conditions_and_sequence = 3;
     for _ in 0..30 {
-        let Some(flush) = desk.scheduler.take_flush(desk.now) else { break };
-        let entries = flush.puts.len() + flush.removals.len() + flush.waves.len();
+        let Some(flush) = desk.scheduler.next_write_batch(desk.now) else { break };
+        let entries = flush.puts.len() + flush.deletions.len() + flush.waves.len();
         assert!(conditions_and_sequence + entries <= 32, "{entries}");
-        desk.scheduler.note_flushed(&flush, desk.now);
+        desk.scheduler.handle_write_committed(&flush, desk.now);
         desk.now += Duration::from_secs(60);
     }
 }
 
 #[test]
 fn ends_are_acknowledged_though_new_ones_keep_coming() {
-    let mut desk = Desk::new(1, Tenure::default());
+    let mut desk = Desk::new(1, OwnerTerm::default());
     desk.submit(1, vec![step(300, 0, &[])]);
     desk.pass(ms(200));
     let runs = desk.running.remove(&0).expect("all run");
     for (number, (task, run)) in (1..).zip(runs) {
-        let row = EndedRow { number, task, run, end: RunEnd::Done, checkpoint: None };
-        let look = Look { clock: desk.now, ended: vec![row], ..Look::default() };
-        desk.scheduler.note_look(0, false, desk.now, desk.now, look);
+        let row = EndedRun { number, task, run, end: RunEnd::Done, checkpoint: None };
+        let poll = PollResponse { clock: desk.now, ended: vec![row], ..PollResponse::default() };
+        desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, poll);
         // More jobs change between two writes than one write takes.
         for other in 0..30 {
             desk.submit(number * 1_000 + other, vec![step(1, 1, &[])]);
             desk.scheduler.cancel(number * 1_000 + other, desk.now);
         }
-        let flush = desk.scheduler.take_flush(desk.now).expect("a write");
-        desk.scheduler.note_flushed(&flush, desk.now);
+        let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
+        desk.scheduler.handle_write_committed(&flush, desk.now);
     }
-    let acknowledged = desk.scheduler.look_request(0, false, desk.now).acknowledged;
+    let acknowledged = desk.scheduler.poll_request(0, false, desk.now).acknowledged;
     assert!(acknowledged > 0, "none of 300 ends");
 }
 
 #[test]
 fn an_order_on_its_way_to_a_new_life_is_not_given_elsewhere() {
-    let mut desk = Desk::new(2, Tenure::default());
-    let life = |born| Look { clock: ms(1), born_unix: Some(ms(born)), ..Look::default() };
+    let mut desk = Desk::new(2, OwnerTerm::default());
+    let incarnation = |born| PollResponse {
+        clock: ms(1),
+        started_unix: Some(ms(born)),
+        ..PollResponse::default()
+    };
     for slot in 0..2 {
-        desk.scheduler.note_look(slot, false, desk.now, desk.now, life(1_000));
+        desk.scheduler.handle_poll_response(slot, false, desk.now, desk.now, incarnation(1_000));
     }
     desk.submit(1, vec![step(1, 1, &[])]);
     let mut starts = Vec::new();
     for _ in 0..3 {
         desk.now += ms(10);
         for order in desk.scheduler.plan(Duration::ZERO, desk.now) {
-            if let Order::Start { worker, .. } = order {
+            if let Command::Start { worker, .. } = order {
                 starts.push(worker);
             }
         }
-        if let Some(flush) = desk.scheduler.take_flush(desk.now) {
-            desk.scheduler.note_flushed(&flush, desk.now);
+        if let Some(flush) = desk.scheduler.next_write_batch(desk.now) {
+            desk.scheduler.handle_write_committed(&flush, desk.now);
         }
     }
     assert_eq!(starts.len(), 1);
     let slot = starts[0];
-    let error = LookError::NoAnswer("reset".into());
-    desk.scheduler.note_look_failed(slot, false, &error, desk.now);
-    desk.scheduler.note_look(slot, false, desk.now, desk.now, life(2_000));
+    let error = PollError::NoAnswer("reset".into());
+    desk.scheduler.handle_poll_failure(slot, false, &error, desk.now);
+    desk.scheduler.handle_poll_response(slot, false, desk.now, desk.now, incarnation(2_000));
     desk.now += ms(100);
     let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
-    let again = orders.iter().filter(|order| matches!(order, Order::Start { .. })).count();
+    let again = orders.iter().filter(|order| matches!(order, Command::Start { .. })).count();
     assert_eq!(again, 0);
 }
 
 #[test]
 fn a_job_waits_until_a_worker_has_begun_one_of_its_tasks() {
-    let mut desk = Desk::new(1, Tenure::default());
+    let mut desk = Desk::new(1, OwnerTerm::default());
     desk.submit(1, vec![step(1, 1, &[])]);
     let _ = desk.scheduler.plan(Duration::ZERO, desk.now);
-    let flush = desk.scheduler.take_flush(desk.now).expect("a write");
-    desk.scheduler.note_flushed(&flush, desk.now);
+    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
+    desk.scheduler.handle_write_committed(&flush, desk.now);
     let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
-    let start = orders.into_iter().find(|order| matches!(order, Order::Start { .. }));
+    let start = orders.into_iter().find(|order| matches!(order, Command::Start { .. }));
     let has_started = |desk: &Desk| desk.scheduler.job(1).map(|job| job.has_started);
     assert_eq!(has_started(&desk), Some(false), "the order is on its way");
     desk.carry_out(start.expect("a start"));
@@ -203,26 +214,26 @@
 }
 
 /// Starts a task whose order gets no answer in time; then its worker is looked at.
-fn look_after_an_unanswered_start(spec: StepSpec, is_there: bool) -> Vec<Order> {
-    let mut desk = Desk::new(1, Tenure::default());
+fn look_after_an_unanswered_start(spec: StepSpec, is_there: bool) -> Vec<Command> {
+    let mut desk = Desk::new(1, OwnerTerm::default());
     desk.submit(1, vec![spec]);
     let _ = desk.scheduler.plan(Duration::ZERO, desk.now);
-    let flush = desk.scheduler.take_flush(desk.now).expect("a write");
-    desk.scheduler.note_flushed(&flush, desk.now);
+    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
+    desk.scheduler.handle_write_committed(&flush, desk.now);
     let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
     let start = orders.into_iter().find_map(|order| match order {
-        Order::Start { worker, task, run, .. } => Some((worker, task, run)),
+        Command::Start { worker, task, run, .. } => Some((worker, task, run)),
         _ => None,
     });
     let (worker, task, run) = start.expect("a start");
-    desk.scheduler.note_start(worker, task, run, OrderOutcome::Unknown, desk.now);
+    desk.scheduler.handle_start_outcome(worker, task, run, CommandOutcome::Unknown, desk.now);
     let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
-    assert!(orders.contains(&Order::Look { worker, is_probe: true }), "{orders:?}");
+    assert!(orders.contains(&Command::Poll { worker, is_out_of_band: true }), "{orders:?}");
     let sent = desk.now + ms(1);
-    let row = RunningRow { task, run, checkpoint: None, percent: 100, reading: 0 };
+    let row = RunningRun { task, run, checkpoint: None, percent: 100, load_metric: 0 };
     let running = if is_there { vec![row] } else { Vec::new() };
-    let look = Look { clock: sent, running, ..Look::default() };
-    desk.scheduler.note_look(worker, true, sent, sent, look);
+    let poll = PollResponse { clock: sent, running, ..PollResponse::default() };
+    desk.scheduler.handle_poll_response(worker, true, sent, sent, poll);
     desk.scheduler.plan(Duration::ZERO, sent + ms(60))
 }
 
@@ -230,13 +241,13 @@
     ($($began:ident, $not_begun:ident: $spec:expr;)+) => {
         $(#[test] fn $began() {
             let orders = look_after_an_unanswered_start($spec, true);
-            assert!(!orders.iter().any(|order| matches!(order, Order::Stop { .. })), "{orders:?}");
+            assert!(!orders.iter().any(|order| matches!(order, Command::Stop { .. })), "{orders:?}");
         }
 
         #[test] fn $not_begun() {
             let orders = look_after_an_unanswered_start($spec, false);
-            assert!(orders.iter().any(|order| matches!(order, Order::Stop { .. })), "{orders:?}");
-            assert!(!orders.iter().any(|order| matches!(order, Order::Start { .. })), "{orders:?}");
+            assert!(orders.iter().any(|order| matches!(order, Command::Stop { .. })), "{orders:?}");
+            assert!(!orders.iter().any(|order| matches!(order, Command::Start { .. })), "{orders:?}");
         })+
     };
 }
@@ -251,7 +262,7 @@
 
 #[test]
 fn short_tasks_fill_the_fullest_worker_first() {
-    let mut desk = Desk::new(4, Tenure::default());
+    let mut desk = Desk::new(4, OwnerTerm::default());
     desk.submit(1, vec![step(8, 2, &[])]);
     desk.pass(ms(100));
     let used = desk.running.values().filter(|runs| !runs.is_empty()).count();
@@ -261,36 +272,37 @@
 #[test]
 fn tasks_of_an_earlier_owner_wait_while_a_worker_that_it_used_is_silent() {
     let known = EmulatedWorker::new(9, cores(16)).entry();
-    let tenure = Tenure { token: 50, known_workers: vec![(&known).into()], ..Tenure::default() };
+    let term =
+        OwnerTerm { token: 50, known_workers: vec![(&known).into()], ..OwnerTerm::default() };
     let now = ms(100_000);
-    let mut scheduler = Scheduler::new(settings(), tenure, now);
-    scheduler.configure(config(Resources::default()));
-    let room = Resources { memory_bytes: 64 << 30, ..cores(16) };
-    scheduler.set_workers(vec![EmulatedWorker::new(0, room).entry()], now);
+    let mut scheduler = Scheduler::new(settings(), term, now);
+    scheduler.set_config(config(Resources::default()));
+    let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
+    scheduler.set_workers(vec![EmulatedWorker::new(0, capacity).entry()], now);
     let touched = touched(Vec::new());
     scheduler.add_job(1, job(vec![step(1, 1, &[])]), 40, Some(&touched), now);
     scheduler.add_job(2, job(vec![step(1, 1, &[])]), 60, None, now);
     scheduler.add_job(3, job(vec![step(1, 1, &[])]), 41, None, now);
     let mut desk = Desk::of(scheduler, now);
-    let error = LookError::NoAnswer("timeout".into());
+    let error = PollError::NoAnswer("timeout".into());
     let silent = (0..2).find(|slot| *desk.scheduler.worker(*slot).entry.id == *known.id);
     let silent = silent.expect("the known worker");
     let mut began = HashMap::new();
     while desk.now < now + ms(6_500) {
         for order in desk.scheduler.plan(Duration::ZERO, desk.now) {
-            if let Order::Start { task, .. } = &order {
+            if let Command::Start { task, .. } = &order {
                 began.insert(task.step.job, desk.now - now);
             }
             match order {
-                Order::Look { worker, .. } if worker == silent => {
-                    let _ = desk.scheduler.look_request(worker, false, desk.now);
-                    desk.scheduler.note_look_failed(worker, false, &error, desk.now);
+                Command::Poll { worker, .. } if worker == silent => {
+                    let _ = desk.scheduler.poll_request(worker, false, desk.now);
+                    desk.scheduler.handle_poll_failure(worker, false, &error, desk.now);
                 }
                 order => desk.carry_out(order),
             }
         }
-        if let Some(flush) = desk.scheduler.take_flush(desk.now) {
-            desk.scheduler.note_flushed(&flush, desk.now);
+        if let Some(flush) = desk.scheduler.next_write_batch(desk.now) {
+            desk.scheduler.handle_write_committed(&flush, desk.now);
         }
         desk.now += ms(10);
     }
@@ -302,21 +314,21 @@
 /// A desk whose first worker has been given a task since it last showed itself, and has started
 /// anew in between.
 fn reborn() -> (Desk, Vec<WorkerEntry>) {
-    let mut desk = Desk::new(2, Tenure::default());
+    let mut desk = Desk::new(2, OwnerTerm::default());
     desk.submit(1, vec![step(1, 16, &[])]);
     let _ = desk.scheduler.plan(Duration::ZERO, desk.now);
-    let flush = desk.scheduler.take_flush(desk.now).expect("a write");
-    desk.scheduler.note_flushed(&flush, desk.now);
+    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
+    desk.scheduler.handle_write_committed(&flush, desk.now);
     desk.now += ms(1);
     for order in desk.scheduler.plan(Duration::ZERO, desk.now) {
-        if matches!(order, Order::Start { .. }) {
+        if matches!(order, Command::Start { .. }) {
             desk.carry_out(order);
         }
     }
     let slot = *desk.running.keys().next().expect("a run");
     let entry = |slot: usize| desk.scheduler.worker(slot).entry.clone();
-    let born_unix = entry(slot).born_unix.map(|born| born + ms(500));
-    let reborn = WorkerEntry { born_unix, ..entry(slot) };
+    let started_unix = entry(slot).started_unix.map(|born| born + ms(500));
+    let reborn = WorkerEntry { started_unix, ..entry(slot) };
     let entries = vec![reborn, entry(1 - slot)];
     desk.scheduler.set_workers(entries.clone(), desk.now);
     (desk, entries)
@@ -341,7 +353,7 @@
 fn a_report_that_is_older_than_the_life_seen_ends_nothing() {
     let (mut desk, mut entries) = reborn();
     desk.pass(ms(1_000));
-    entries[0].born_unix = entries[0].born_unix.map(|born| born - ms(400));
+    entries[0].started_unix = entries[0].started_unix.map(|born| born - ms(400));
     desk.scheduler.set_workers(entries, desk.now);
     desk.pass(ms(1_000));
     assert_eq!(desk.running(), 1);
@@ -350,19 +362,19 @@
 
 #[test]
 fn a_run_of_a_job_that_had_ended_before_counts_until_it_is_over() {
-    let mut desk = Desk::begin(1, Tenure { token: 50, ..Tenure::default() });
+    let mut desk = Desk::begin(1, OwnerTerm { token: 50, ..OwnerTerm::default() });
     let ended = StateRecord { state: JobState::Cancelled, ..touched(Vec::new()) };
     desk.scheduler.add_job(1, job(vec![step(1, 16, &[])]), 40, Some(&ended), desk.now);
     let task = TaskId { step: StepId { job: 1, occurrence: 0, step: 0 }, index: 0 };
-    let row = RunningRow { task, run: 1, checkpoint: None, percent: 50, reading: 0 };
-    let look = Look { clock: desk.now, running: vec![row], ..Look::default() };
-    desk.scheduler.note_look(0, false, desk.now, desk.now, look);
+    let row = RunningRun { task, run: 1, checkpoint: None, percent: 50, load_metric: 0 };
+    let poll = PollResponse { clock: desk.now, running: vec![row], ..PollResponse::default() };
+    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, poll);
     desk.submit(2, vec![step(1, 1, &[])]);
     for _ in 0..3 {
         let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
-        assert!(!orders.iter().any(|order| matches!(order, Order::Start { .. })), "{orders:?}");
-        if let Some(flush) = desk.scheduler.take_flush(desk.now) {
-            desk.scheduler.note_flushed(&flush, desk.now);
+        assert!(!orders.iter().any(|order| matches!(order, Command::Start { .. })), "{orders:?}");
+        if let Some(flush) = desk.scheduler.next_write_batch(desk.now) {
+            desk.scheduler.handle_write_committed(&flush, desk.now);
         }
         desk.now += ms(20);
     }
@@ -370,7 +382,7 @@
 
 #[test]
 fn a_job_that_had_ended_before_is_not_run_again() {
-    let mut desk = Desk::new(1, Tenure { token: 50, ..Tenure::default() });
+    let mut desk = Desk::new(1, OwnerTerm { token: 50, ..OwnerTerm::default() });
     let ended = StateRecord { state: JobState::Completed, ..touched(Vec::new()) };
     desk.scheduler.add_job(1, job(vec![step(1, 1, &[])]), 40, Some(&ended), desk.now);
     desk.submit(1, vec![step(1, 1, &[])]);
--- a/crates/jobs/tests/service.rs
+++ b/crates/jobs/tests/service.rs
@@ -5,7 +5,9 @@
 
 use std::time::Duration;
 
-use cassiafold_jobs::desk::{Cancelled, Counted, Denial, Desk, Looked, Submitted, Target};
+use cassiafold_jobs::api::{
+    CancelResponse, CountResponse, Denial, JobApi, JobStateResponse, SubmitResponse, Target,
+};
 use cassiafold_jobs::record::{
     JobState, OWNER_KEY, STATE_PREFIX, WAITING_KEY, job_key, sequence_key,
 };
@@ -35,50 +37,50 @@
     site
 }
 
-async fn ready(desk: &Desk<TestSite>) {
-    until("ready", async || desk.is_ready(Duration::from_secs(60)).then_some(())).await;
+async fn ready(api: &JobApi<TestSite>) {
+    until("ready", async || api.is_ready(Duration::from_secs(60)).then_some(())).await;
 }
 
 fn path(id: JobId) -> String {
     format!("/q/{id:016x}")
 }
 
-async fn submit(site: &TestSite, desk: &Desk<TestSite>, id: JobId) -> Submitted {
+async fn submit(site: &TestSite, api: &JobApi<TestSite>, id: JobId) -> SubmitResponse {
     let record = job(vec![step(3, 1, &[]), step(2, 1, &[0])]);
     site.workers.know(id, record.clone());
-    desk.submit(&call(&path(id), KEY), record.spec).await
+    api.submit(&call(&path(id), KEY), record.spec).await
 }
 
-async fn completed(desk: &Desk<TestSite>, id: JobId) {
-    let done = Looked::State(JobState::Completed);
-    until("completed", async || (desk.look(&call(&path(id), KEY)).await == done).then_some(()))
+async fn completed(api: &JobApi<TestSite>, id: JobId) {
+    let done = JobStateResponse::State(JobState::Completed);
+    until("completed", async || (api.job_state(&call(&path(id), KEY)).await == done).then_some(()))
         .await;
 }
 
 #[tokio::test]
 async fn an_accepted_job_is_done_and_shown_as_completed() {
     let site = site(2).await;
-    let desk = site.desk();
-    ready(&desk).await;
+    let api = site.api();
+    ready(&api).await;
     let _owner = site.owner("one");
-    assert_eq!(submit(&site, &desk, 1).await, Submitted::Accepted);
-    assert_eq!(submit(&site, &desk, 1).await, Submitted::Accepted);
-    completed(&desk, 1).await;
+    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    completed(&api, 1).await;
     assert_eq!(site.workers.starts.lock().expect("lock").len(), 5);
 }
 
 #[tokio::test]
 async fn another_instance_goes_on_when_the_owner_stops() {
     let site = site(2).await;
-    let desk = site.desk();
-    ready(&desk).await;
+    let api = site.api();
+    ready(&api).await;
     let first = site.client("one").owner("one");
-    assert_eq!(submit(&site, &desk, 1).await, Submitted::Accepted);
-    completed(&desk, 1).await;
+    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    completed(&api, 1).await;
     let _second = site.client("two").owner("two");
     first.cancel();
-    assert_eq!(submit(&site, &desk, 2).await, Submitted::Accepted);
-    completed(&desk, 2).await;
+    assert_eq!(submit(&site, &api, 2).await, SubmitResponse::Accepted);
+    completed(&api, 2).await;
     let starts = site.workers.starts.lock().expect("lock").clone();
     assert_eq!(starts.iter().filter(|(task, _)| task.step.job == 1).count(), 5);
 }
@@ -116,20 +118,20 @@
 #[tokio::test]
 async fn a_lost_answer_to_an_accepted_job_is_settled() {
     let site = site(1).await;
-    let desk = site.client("front").desk();
-    ready(&desk).await;
+    let api = site.client("front").api();
+    ready(&api).await;
     site.client("front").store.faults().fail_writes(1, WriteFault::LostAnswer);
-    assert_eq!(submit(&site, &desk, 1).await, Submitted::Accepted);
+    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
 }
 
 #[tokio::test]
 async fn a_job_whose_write_comes_late_is_not_called_refused() {
     let site = site(1).await;
-    let desk = site.client("front").desk();
-    ready(&desk).await;
+    let api = site.client("front").api();
+    ready(&api).await;
     let late = WriteFault::Late(ms(300));
     site.client("front").store.faults().fail_writes(3, late);
-    assert_eq!(submit(&site, &desk, 1).await, Submitted::Unknown);
+    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Unknown);
     let stored = || async { site.store.get(&job_key(1)).await.expect("store") };
     until("stored", async || stored().await.map(drop)).await;
 }
@@ -137,19 +139,19 @@
 #[tokio::test]
 async fn late_writes_of_the_owner_do_not_bring_back_old_states() {
     let site = site(2).await;
-    let desk = site.desk();
-    ready(&desk).await;
+    let api = site.api();
+    ready(&api).await;
     let owned = site.client("one");
     let _owner = owned.owner("one");
-    assert_eq!(submit(&site, &desk, 1).await, Submitted::Accepted);
-    completed(&desk, 1).await;
+    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    completed(&api, 1).await;
     for id in 2..8 {
-        assert_eq!(submit(&site, &desk, id).await, Submitted::Accepted);
+        assert_eq!(submit(&site, &api, id).await, SubmitResponse::Accepted);
         owned.store.faults().fail_writes(1, WriteFault::Late(ms(400)));
         tokio::time::sleep(ms(30)).await;
     }
     for id in 2..8 {
-        completed(&desk, id).await;
+        completed(&api, id).await;
     }
     tokio::time::sleep(ms(600)).await;
     for record in site.store.list(STATE_PREFIX).await.expect("store").records {
@@ -164,20 +166,20 @@
 #[tokio::test]
 async fn writes_side_by_side_keep_their_promises_though_answers_are_lost_and_late() {
     let site = site(40).await;
-    let desk = site.desk();
-    ready(&desk).await;
+    let api = site.api();
+    ready(&api).await;
     let owned = site.client("one");
     let _owner = owned.owner("one");
     tokio::time::sleep(ms(300)).await;
     owned.store.faults().cut_off("one", Partition::Requests);
     for id in 1..=MANY_JOBS {
-        assert_eq!(submit(&site, &desk, id).await, Submitted::Accepted);
+        assert_eq!(submit(&site, &api, id).await, SubmitResponse::Accepted);
     }
     let faults = [WriteFault::LostAnswer, WriteFault::Late(ms(300))];
     owned.store.faults().plan_writes(faults.into_iter().cycle().take(8).map(Some));
     owned.store.faults().reconnect("one");
     for id in 1..=MANY_JOBS {
-        completed(&desk, id).await;
+        completed(&api, id).await;
     }
     tokio::time::sleep(ms(600)).await;
     for record in site.store.list(STATE_PREFIX).await.expect("store").records {
@@ -195,88 +197,96 @@
 #[tokio::test]
 async fn a_withdrawn_key_is_refused_though_the_instance_has_not_heard_of_it() {
     let site = site(1).await;
-    let (sender, views) = cassiafold_jobs::view::ViewSender::new();
+    let (sender, desired_states) = cassiafold_jobs::desired_state::DesiredStateSender::new();
     let metrics = cassiafold_jobs::metrics::JobsMetrics::default();
-    let desk = Desk::new(site.clone(), views, sender.clone(), metrics);
-    let follower = tokio::spawn(cassiafold_jobs::view::follow(site.clone(), sender));
-    ready(&desk).await;
+    let api = JobApi::new(site.clone(), desired_states, sender.clone(), metrics);
+    let follower = tokio::spawn(cassiafold_jobs::desired_state::follow(site.clone(), sender));
+    ready(&api).await;
     follower.abort();
     site.configure(2, &["k2"]).await;
-    assert_eq!(submit(&site, &desk, 1).await, Submitted::Denied(Denial::UnknownKey));
+    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Denied(Denial::UnknownKey));
     assert_eq!(site.store.get(&job_key(1)).await.expect("store"), None);
 }
 
 /// A desk whose watch of the operator's keys has fallen silent some seconds ago.
-async fn unwatched(site: &TestSite) -> Desk<TestSite> {
-    let (sender, views) = cassiafold_jobs::view::ViewSender::new();
+async fn unwatched(site: &TestSite) -> JobApi<TestSite> {
+    let (sender, desired_states) = cassiafold_jobs::desired_state::DesiredStateSender::new();
     let metrics = cassiafold_jobs::metrics::JobsMetrics::default();
-    let desk = Desk::new(site.clone(), views, sender.clone(), metrics);
-    let follower = tokio::spawn(cassiafold_jobs::view::follow(site.clone(), sender));
-    ready(&desk).await;
+    let api = JobApi::new(site.clone(), desired_states, sender.clone(), metrics);
+    let follower = tokio::spawn(cassiafold_jobs::desired_state::follow(site.clone(), sender));
+    ready(&api).await;
     follower.abort();
     site.configure(2, &["k2"]).await;
     tokio::time::sleep(ms(2_400)).await;
-    desk
+    api
 }
 
 #[tokio::test]
 async fn a_new_key_is_known_though_the_watch_is_silent() {
     let site = site(1).await;
-    let desk = unwatched(&site).await;
-    assert_eq!(desk.target(&call(&path(1), Some("k2"))).await, Ok(Target::Job(1)));
-    assert_eq!(desk.look(&call(&path(1), Some("k2"))).await, Looked::NoSuchJob);
-    assert_eq!(desk.look(&call(&path(1), KEY)).await, Looked::Denied(Denial::UnknownKey));
+    let api = unwatched(&site).await;
+    assert_eq!(api.target(&call(&path(1), Some("k2"))).await, Ok(Target::Job(1)));
+    assert_eq!(api.job_state(&call(&path(1), Some("k2"))).await, JobStateResponse::NoSuchJob);
+    assert_eq!(
+        api.job_state(&call(&path(1), KEY)).await,
+        JobStateResponse::Denied(Denial::UnknownKey)
+    );
 }
 
 #[tokio::test]
 async fn nothing_is_called_unknown_by_a_configuration_that_may_be_out_of_date() {
     let site = site(1).await.client("front");
-    let desk = unwatched(&site).await;
+    let api = unwatched(&site).await;
     site.store.faults().cut_off("front", Partition::Requests);
     let outdated = Denial::Outdated;
-    assert_eq!(desk.target(&call(&path(1), Some("k2"))).await, Err(outdated));
-    assert_eq!(desk.look(&call(&path(1), Some("k2"))).await, Looked::Denied(outdated));
+    assert_eq!(api.target(&call(&path(1), Some("k2"))).await, Err(outdated));
+    assert_eq!(
+        api.job_state(&call(&path(1), Some("k2"))).await,
+        JobStateResponse::Denied(outdated)
+    );
 }
 
 #[tokio::test]
 async fn a_cancelled_job_ends_and_an_unknown_one_is_gone() {
     let site = site(0).await;
-    let desk = site.desk();
-    ready(&desk).await;
+    let api = site.api();
+    ready(&api).await;
     let _owner = site.owner("one");
-    assert_eq!(submit(&site, &desk, 1).await, Submitted::Accepted);
+    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
     until("counted", async || {
-        (desk.count(&call("/q/", KEY)).await == Counted::Waiting(1)).then_some(())
+        (api.waiting_jobs(&call("/q/", KEY)).await == CountResponse::Waiting(1)).then_some(())
     })
     .await;
-    assert_eq!(desk.cancel(&call(&path(1), KEY)).await, Cancelled::Accepted);
-    let cancelled = Looked::State(JobState::Cancelled);
-    until("cancelled", async || (desk.look(&call(&path(1), KEY)).await == cancelled).then_some(()))
-        .await;
-    assert_eq!(desk.cancel(&call(&path(9), KEY)).await, Cancelled::NoSuchJob);
-    assert_eq!(desk.look(&call(&path(9), KEY)).await, Looked::NoSuchJob);
+    assert_eq!(api.cancel(&call(&path(1), KEY)).await, CancelResponse::Accepted);
+    let cancelled = JobStateResponse::State(JobState::Cancelled);
+    until("cancelled", async || {
+        (api.job_state(&call(&path(1), KEY)).await == cancelled).then_some(())
+    })
+    .await;
+    assert_eq!(api.cancel(&call(&path(9), KEY)).await, CancelResponse::NoSuchJob);
+    assert_eq!(api.job_state(&call(&path(9), KEY)).await, JobStateResponse::NoSuchJob);
 }
 
 #[tokio::test]
 async fn an_old_count_is_not_shown() {
     let site = site(0).await;
-    let desk = site.desk();
-    ready(&desk).await;
+    let api = site.api();
+    ready(&api).await;
     let old = r#"{"jobs":{"q":3},"counted_unix_ms":1000}"#;
     let write = Write::put(WAITING_KEY, Compare::Absent, old);
     site.store.write(write).await.expect("store");
-    assert_eq!(desk.count(&call("/q/", KEY)).await, Counted::Unknown);
+    assert_eq!(api.waiting_jobs(&call("/q/", KEY)).await, CountResponse::Unknown);
 }
 
 macro_rules! denials {
     ($($name:ident: $path:expr, $key:expr => $denial:expr;)+) => {
         $(#[tokio::test] async fn $name() {
             let site = site(0).await;
-            let desk = site.desk();
-            ready(&desk).await;
+            let api = site.api();
+            ready(&api).await;
             let spec = job(vec![step(1, 1, &[])]).spec;
-            let answer = desk.submit(&call($path, $key), spec).await;
-            assert_eq!(answer, Submitted::Denied($denial));
+            let answer = api.submit(&call($path, $key), spec).await;
+            assert_eq!(answer, SubmitResponse::Denied($denial));
         })+
     };
 }
@@ -290,20 +300,20 @@
 
 #[tokio::test]
 async fn a_desk_without_configuration_denies_all() {
-    let desk = TestSite::new(0).desk();
+    let api = TestSite::new(0).api();
     let spec = job(vec![step(1, 1, &[])]).spec;
-    let answer = desk.submit(&call(&path(1), KEY), spec).await;
-    assert_eq!(answer, Submitted::Denied(Denial::NoConfig));
+    let answer = api.submit(&call(&path(1), KEY), spec).await;
+    assert_eq!(answer, SubmitResponse::Denied(Denial::NoConfig));
 }
 
 #[tokio::test]
 async fn an_owner_keeps_no_connections_to_workers_that_are_gone_nor_after_its_tenure() {
     let site = site(3).await;
     let owner = site.owner("one");
-    let desk = site.desk();
-    ready(&desk).await;
-    assert_eq!(submit(&site, &desk, 1).await, Submitted::Accepted);
-    completed(&desk, 1).await;
+    let api = site.api();
+    ready(&api).await;
+    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    completed(&api, 1).await;
     let forgotten = || site.workers.forgotten.lock().expect("lock").len();
     assert_eq!(forgotten(), 0);
     site.lose_worker("w0").await;
--- a/crates/jobs/tests/site/mod.rs
+++ b/crates/jobs/tests/site/mod.rs
@@ -5,19 +5,19 @@
 use std::time::Duration;
 
 use cassiafold_config::{InstanceId, ServiceId};
-use cassiafold_jobs::cluster::{ClusterConfig, Machine, WaveNumber, WorkerEntry, WorkerId};
-use cassiafold_jobs::desk::{Call, Desk};
-use cassiafold_jobs::edges::{
-    Advice, Advisor, FencingToken, Look, LookError, LookRequest, MachineOutcome, Machines,
-    OrderOutcome, StartRequest, WorkerAddress, Workers,
+use cassiafold_jobs::api::{Call, JobApi};
+use cassiafold_jobs::clients::{
+    CommandOutcome, FencingToken, MachineClient, MachineOutcome, PolicyClient, PolicyResponse,
+    PollError, PollRequest, PollResponse, StartRequest, WorkerAddress, WorkerClient,
 };
-use cassiafold_jobs::gathering::Gathering;
+use cassiafold_jobs::cluster::{ClusterConfig, Machine, WaveNumber, WorkerEntry, WorkerId};
+use cassiafold_jobs::coalescing::WakeupCoalescing;
+use cassiafold_jobs::desired_state::{self, DesiredState, DesiredStateSender};
 use cassiafold_jobs::metrics::JobsMetrics;
 use cassiafold_jobs::owner::{self, OwnerSettings};
+use cassiafold_jobs::platform_clients::{Formats, ItemError, OperatorItem, PlatformClients};
 use cassiafold_jobs::record::JobRecord;
-use cassiafold_jobs::site::{Formats, ItemError, OperatorItem, Site};
 use cassiafold_jobs::spec::{JobId, Resources, RunNumber, StepId, TaskId};
-use cassiafold_jobs::view::{self, View, ViewSender};
 use cassiafold_platform::{Record, Store, Transaction, TransactionalStore, Write, since_boot};
 use cassiafold_standin::MemoryStore;
 use tokio::sync::watch;
@@ -52,8 +52,8 @@
 
 impl TestSite {
     pub fn new(workers: usize) -> Self {
-        let room = Resources { memory_bytes: 64 << 30, ..cores(16) };
-        let list = (0..workers).map(|number| EmulatedWorker::new(number, room)).collect();
+        let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
+        let list = (0..workers).map(|number| EmulatedWorker::new(number, capacity)).collect();
         let workers = TestWorkers {
             list: Arc::new(Mutex::new(list)),
             jobs: Arc::default(),
@@ -98,10 +98,10 @@
         self.store.commit(Transaction::default().delete(key)).await.expect("store");
     }
 
-    pub fn desk(&self) -> Desk<Self> {
-        let (sender, views) = ViewSender::new();
-        tokio::spawn(view::follow(self.clone(), sender.clone()));
-        Desk::new(self.clone(), views, sender, JobsMetrics::default())
+    pub fn api(&self) -> JobApi<Self> {
+        let (sender, desired_states) = DesiredStateSender::new();
+        tokio::spawn(desired_state::follow(self.clone(), sender.clone()));
+        JobApi::new(self.clone(), desired_states, sender, JobsMetrics::default())
     }
 
     /// Starts an owner, which stops with the token.
@@ -112,8 +112,9 @@
     /// Starts an owner that claims after a delay.
     pub fn weak_owner(&self, instance: &str, claim_delay: Duration) -> CancellationToken {
         let stop = CancellationToken::new();
-        let (sender, views): (ViewSender, watch::Receiver<Arc<View>>) = ViewSender::new();
-        tokio::spawn(view::follow(self.clone(), sender));
+        let (sender, desired_states): (DesiredStateSender, watch::Receiver<Arc<DesiredState>>) =
+            DesiredStateSender::new();
+        tokio::spawn(desired_state::follow(self.clone(), sender));
         let settings = OwnerSettings {
             instance: instance.into(),
             lease_ttl: ms(1_000),
@@ -121,9 +122,9 @@
             claim_delay,
             scheduler: settings(),
             metrics: JobsMetrics::default(),
-            gathering: Gathering::default(),
+            coalescing: WakeupCoalescing::default(),
         };
-        tokio::spawn(owner::campaign(self.clone(), settings, views, stop.clone()));
+        tokio::spawn(owner::campaign(self.clone(), settings, desired_states, stop.clone()));
         stop
     }
 }
@@ -146,17 +147,21 @@
     }
 }
 
-impl Workers for TestWorkers {
-    async fn look(&self, worker: &WorkerAddress, request: LookRequest) -> Result<Look, LookError> {
+impl WorkerClient for TestWorkers {
+    async fn poll(
+        &self,
+        worker: &WorkerAddress,
+        request: PollRequest,
+    ) -> Result<PollResponse, PollError> {
         tokio::time::sleep(ms(5)).await;
-        self.with(&worker.id, |one| one.look(request, since_boot()))
+        self.with(&worker.id, |one| one.poll(request, since_boot()))
     }
 
     async fn start(
         &self,
         worker: &WorkerAddress,
         requests: Vec<StartRequest>,
-    ) -> Vec<OrderOutcome> {
+    ) -> Vec<CommandOutcome> {
         requests.iter().map(|request| self.start_one(worker, request)).collect()
     }
 
@@ -166,19 +171,19 @@
         task: TaskId,
         run: RunNumber,
         token: FencingToken,
-    ) -> OrderOutcome {
+    ) -> CommandOutcome {
         self.with(&worker.id, |one| one.stop(task, run, token, since_boot()))
     }
 
-    async fn pace(
+    async fn throttle(
         &self,
         _worker: &WorkerAddress,
         _task: TaskId,
         _run: RunNumber,
         _percent: u8,
         _token: FencingToken,
-    ) -> OrderOutcome {
-        OrderOutcome::Accepted
+    ) -> CommandOutcome {
+        CommandOutcome::Accepted
     }
 
     fn forget(&self, worker: &WorkerAddress) {
@@ -187,11 +192,11 @@
 }
 
 impl TestWorkers {
-    fn start_one(&self, worker: &WorkerAddress, request: &StartRequest) -> OrderOutcome {
+    fn start_one(&self, worker: &WorkerAddress, request: &StartRequest) -> CommandOutcome {
         let (task, run, now) = (request.task, request.run, since_boot());
         let jobs = self.jobs.lock().expect("lock").clone();
         let outcome = self.with(&worker.id, |one| one.start(request, now, &jobs));
-        if outcome == OrderOutcome::Accepted {
+        if outcome == CommandOutcome::Accepted {
             self.starts.lock().expect("lock").push((task, run));
             let (workers, id) = (self.clone(), worker.id.clone());
             tokio::spawn(async move {
@@ -228,8 +233,8 @@
     fn worker_entry(&self, record: &Record) -> Result<WorkerEntry, ItemError> {
         let id = record.key.strip_prefix(Self::WORKERS_PREFIX).expect("prefix");
         let number = id.trim_start_matches('w').parse().expect("number");
-        let room = Resources { memory_bytes: 64 << 30, ..cores(16) };
-        Ok(WorkerEntry { service: SERVICE.into(), ..EmulatedWorker::new(number, room).entry() })
+        let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
+        Ok(WorkerEntry { service: SERVICE.into(), ..EmulatedWorker::new(number, capacity).entry() })
     }
 
     fn wave_status(&self, number: WaveNumber, is_complete: bool) -> (Arc<str>, Vec<u8>) {
@@ -237,7 +242,7 @@
     }
 }
 
-impl Machines for Nothing {
+impl MachineClient for Nothing {
     async fn list(&self) -> Option<Vec<Machine>> {
         None
     }
@@ -251,17 +256,17 @@
     }
 }
 
-impl Advisor for Nothing {
-    async fn advise(&self, _: StepId, _: Vec<WorkerId>) -> Option<Advice> {
+impl PolicyClient for Nothing {
+    async fn request_tickets(&self, _: StepId, _: Vec<WorkerId>) -> Option<PolicyResponse> {
         None
     }
 }
 
-impl Site for TestSite {
+impl PlatformClients for TestSite {
     type Store = MemoryStore;
-    type Workers = TestWorkers;
-    type Machines = Nothing;
-    type Advisor = Nothing;
+    type WorkerClient = TestWorkers;
+    type MachineClient = Nothing;
+    type PolicyClient = Nothing;
     type Formats = TestFormats;
 
     fn store(&self) -> &MemoryStore {
@@ -276,7 +281,7 @@
         &Nothing
     }
 
-    fn advisor(&self) -> &Nothing {
+    fn policy(&self) -> &Nothing {
         &Nothing
     }
 
