--- a/crates/cassiafold/src/environment.rs
+++ b/crates/cassiafold/src/environment.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use cassiafold_config::{ActiveConfig, Config};
-use cassiafold_fleet::{Environment, Observed};
+use cassiafold_fleet::{Environment, Observations};
 use cassiafold_membership::ControlLease;
 use cassiafold_platform::{InstanceControl, InstanceList, ListedInstance, Store};
 use http::header::HOST;
@@ -57,11 +57,11 @@
         self.config.load()
     }
 
-    fn observe(&self) -> Option<Observed> {
+    fn observations(&self) -> Option<Observations> {
         Some(self.observer.observe())
     }
 
-    async fn try_instance(&self, instance: &ListedInstance) -> bool {
+    async fn send_trial_request(&self, instance: &ListedInstance) -> bool {
         timeout(TRIAL_TIMEOUT, trial(instance)).await.unwrap_or(false)
     }
 
--- a/crates/cassiafold/src/fleet_source.rs
+++ b/crates/cassiafold/src/fleet_source.rs
@@ -7,9 +7,9 @@
 use cassiafold_fleet::document::DOCUMENT_KEY;
 use cassiafold_fleet::history::{DECISIONS_PREFIX, RawSegment};
 use cassiafold_fleet::{
-    Answers, Budgets, FleetCode, FleetDocument, FleetHandle, FleetState, History, Listed, Observed,
-    Policy, Refusal, StepKind, Subject as FleetSubject, Timeline, View, WaveStatus as FleetWave,
-    explain, report, request_move, wave_status,
+    Budgets, CompletedRequests, FleetCode, FleetDocument, FleetHandle, FleetState, History,
+    ListedInstances, Observations, Policy, Refusal, StepKind, Subject as FleetSubject, Timeline,
+    View, WaveStatus as FleetWave, explain, plan_move, report, wave_status,
 };
 use cassiafold_operators::FleetSource;
 use cassiafold_operators::source::{
@@ -47,10 +47,10 @@
 struct Known {
     config: Arc<Config>,
     state: FleetState,
-    listed: Listed,
-    observed: Observed,
+    listed: ListedInstances,
+    observations: Observations,
     trends: cassiafold_fleet::demand::Trends,
-    answers: Answers,
+    completed: CompletedRequests,
     now: SystemTime,
 }
 
@@ -61,10 +61,10 @@
             config: &self.config,
             document: &self.state.document,
             listed: &self.listed,
-            observed: &self.observed,
+            observations: &self.observations,
             domains: &self.state.domains,
             trends: &self.trends,
-            answers: &self.answers,
+            completed: &self.completed,
         }
     }
 }
@@ -76,9 +76,9 @@
             config: self.config.load()?,
             state: self.fleet.load(),
             listed: listed.iter().map(|listed| (listed.id.clone(), listed.clone())).collect(),
-            observed: self.observer.observe(),
+            observations: self.observer.observe(),
             trends: Default::default(),
-            answers: Answers::default(),
+            completed: CompletedRequests::default(),
             now: SystemTime::now(),
         })
     }
@@ -144,7 +144,7 @@
         };
         match update(&self.store, &writer, DOCUMENT_KEY, deadline, change).await {
             UpdateOutcome::Applied { value, .. } => {
-                self.fleet.offer(Arc::new(value));
+                self.fleet.update_if_newer(Arc::new(value));
                 Ok(MoveAnswer { instances: moved })
             }
             UpdateOutcome::NotApplied(NotApplied::Refused(refusal)) => {
@@ -185,7 +185,7 @@
                 continue;
             }
             let view = View { document: &next, ..known.view() };
-            match request_move(&view, &self.policy, &id, &request.to) {
+            match plan_move(&view, &self.policy, &id, &request.to) {
                 Ok(plan) => {
                     next = plan.next;
                     moved.push(id);
--- a/crates/cassiafold/src/instances/tests.rs
+++ b/crates/cassiafold/src/instances/tests.rs
@@ -21,9 +21,9 @@
 fn document(number: u64, draining: bool) -> Arc<FleetDocument> {
     let mut placement = Placement::new("portal".into());
     placement.step = draining.then(|| Step {
-        kind: StepKind::Move { to: "spare".into(), settle: true },
+        kind: StepKind::Move { to: "spare".into(), permanent: true },
         phase: cassiafold_fleet::Phase::Draining,
-        number,
+        document_number: number,
         started: std::time::SystemTime::UNIX_EPOCH,
         phase_started: std::time::SystemTime::UNIX_EPOCH,
     });
@@ -70,7 +70,7 @@
     let bench = Bench::start();
     rounds(2).await;
     assert_eq!(bench.state(), None);
-    bench.fleet.offer(document(1, false));
+    bench.fleet.update_if_newer(document(1, false));
     rounds(1).await;
     assert_eq!(bench.state(), Some(InstanceState::Live));
     assert_eq!(bench.view.fleet_number(), 1);
@@ -79,10 +79,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_draining_instance_is_leaving_before_its_document_counts_as_followed() {
     let bench = Bench::start();
-    bench.fleet.offer(document(1, false));
+    bench.fleet.update_if_newer(document(1, false));
     rounds(1).await;
     let mut instances = bench.view.subscribe();
-    bench.fleet.offer(document(2, true));
+    bench.fleet.update_if_newer(document(2, true));
     instances.changed().await.unwrap();
     assert_eq!(bench.state(), Some(InstanceState::Leaving));
     rounds(1).await;
@@ -92,7 +92,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_list_that_goes_back_does_not_bring_a_leaving_instance_to_life() {
     let bench = Bench::start();
-    bench.fleet.offer(document(1, false));
+    bench.fleet.update_if_newer(document(1, false));
     bench.list_as(InstanceState::Leaving);
     rounds(1).await;
     bench.list_as(InstanceState::Live);
--- a/crates/cassiafold/src/observer.rs
+++ b/crates/cassiafold/src/observer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cassiafold_config::{InstanceId, ServiceId, ZoneId};
-use cassiafold_fleet::{Demand, Observed, Symptom};
+use cassiafold_fleet::{Demand, Observations, Symptom};
 use cassiafold_membership::usage::Symptom as Seen;
 use cassiafold_membership::{LiveEntry, Roster, Usage};
 use tokio::time::Instant;
@@ -30,15 +30,15 @@
     }
 
     /// What all live entry instances report now.
-    pub fn observe(&self) -> Observed {
+    pub fn observe(&self) -> Observations {
         let usages = self.roster.usages();
         let live = self.roster.live(None);
-        Observed {
+        Observations {
             confirmed: usages.iter().map(|(_, usage)| usage.fleet_number).min().unwrap_or(0),
             running: running(&usages),
             symptoms: self.symptoms(&usages, &live),
             demand: demand(&usages),
-            silent_zones: self.silent_zones(&live),
+            unconfirmed_zones: self.unconfirmed_zones(&live),
         }
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Zones whose entry instances may be at work without being heard.
-    fn silent_zones(&self, live: &[LiveEntry]) -> BTreeSet<ZoneId> {
+    fn unconfirmed_zones(&self, live: &[LiveEntry]) -> BTreeSet<ZoneId> {
         let now = Instant::now();
         let mut heard = self.zones_heard.lock().unwrap_or_else(PoisonError::into_inner);
         for entry in live {
--- a/crates/cassiafold/src/observer/tests.rs
+++ b/crates/cassiafold/src/observer/tests.rs
@@ -113,7 +113,7 @@
     let roster = roster();
     hear(&roster, "b1", "b", Usage::default());
     let observer = observer(&roster).await;
-    assert!(observer.observe().silent_zones.is_empty());
+    assert!(observer.observe().unconfirmed_zones.is_empty());
     tokio::time::sleep(HEARD_MAX).await;
-    assert!(observer.observe().silent_zones.contains("b"));
+    assert!(observer.observe().unconfirmed_zones.contains("b"));
 }
--- a/crates/cassiafold/src/parts.rs
+++ b/crates/cassiafold/src/parts.rs
@@ -108,7 +108,7 @@
             (self.instances.clone(), platform.list.clone(), self.fleet.clone());
         following.spawn(async move { view.follow(list, fleet).await });
         let (fleet, store) = (self.fleet.clone(), platform.store.clone());
-        following.spawn(async move { fleet.follow(store).await });
+        following.spawn(async move { fleet.watch_store(store).await });
         let isolation = self.isolation.clone();
         let (contact, roster) = (self.contact.clone(), self.roster.clone());
         following.spawn(isolation.follow(contact, roster, self.config.clone()));
--- a/crates/fleet/benches/round.rs
+++ b/crates/fleet/benches/round.rs
@@ -5,7 +5,10 @@
 use cassiafold_config::raw::RawConfig;
 use cassiafold_config::{Config, InstanceState};
 use cassiafold_fleet::demand::Trends;
-use cassiafold_fleet::{Answers, Domains, FleetDocument, Listed, Observed, Policy, View, plan};
+use cassiafold_fleet::{
+    CompletedRequests, FleetDocument, LearnedDomains, ListedInstances, Observations, Policy, View,
+    plan,
+};
 use cassiafold_platform::ListedInstance;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
@@ -33,7 +36,7 @@
     Config::try_from(raw).expect("the configuration is valid")
 }
 
-fn listed(instances: usize) -> Listed {
+fn listed(instances: usize) -> ListedInstances {
     let instance = |number: usize| {
         let service = number / PER_SERVICE;
         let id: std::sync::Arc<str> = format!("s{service:02}-{number}").into();
@@ -60,10 +63,10 @@
             config: &config,
             document: &empty,
             listed: &listed,
-            observed: &Observed::default(),
-            domains: &Domains::default(),
+            observations: &Observations::default(),
+            domains: &LearnedDomains::default(),
             trends: &Trends::default(),
-            answers: &Answers::default(),
+            completed: &CompletedRequests::default(),
         };
         let policy = Policy::default();
         let document = plan(&view, &policy).next;
--- a/crates/fleet/examples/measure/deployment.rs
+++ b/crates/fleet/examples/measure/deployment.rs
@@ -6,8 +6,8 @@
 use cassiafold_config::{Config, InstanceId};
 use cassiafold_fleet::demand::Trends;
 use cassiafold_fleet::{
-    Answers, Demand, Domains, FleetDocument, FleetEvent, Listed, Observed, Phase, Policy, StepKind,
-    Symptom, View, plan, wave_status,
+    CompletedRequests, Demand, FleetDocument, FleetEvent, LearnedDomains, ListedInstances,
+    Observations, Phase, Policy, StepKind, Symptom, View, plan, wave_status,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -98,15 +98,15 @@
     trial: &'a Trial,
     planner: Planner,
     config: Config,
-    listed: Listed,
+    listed: ListedInstances,
     feeds: Vec<Vec<InstanceId>>,
     rng: StdRng,
     policy: Policy,
-    domains: Domains,
+    domains: LearnedDomains,
     document: FleetDocument,
     trends: Trends,
-    answers: Answers,
-    observed: Observed,
+    completed: CompletedRequests,
+    observations: Observations,
     now: SystemTime,
     /// Failing instances; those without an end need a reboot.
     failing: BTreeMap<InstanceId, Option<SystemTime>>,
@@ -134,8 +134,8 @@
             policy,
             document: FleetDocument::default(),
             trends: Trends::default(),
-            answers: Answers::default(),
-            observed: Observed::default(),
+            completed: CompletedRequests::default(),
+            observations: Observations::default(),
             now: start(),
             failing: BTreeMap::new(),
             zone_back: None,
@@ -207,15 +207,16 @@
     }
 
     fn observe(&mut self) {
-        let mut observed = Observed { confirmed: self.document.number, ..Observed::default() };
+        let mut observations =
+            Observations { confirmed: self.document.number, ..Observations::default() };
         for (number, service) in self.config.services.keys().enumerate() {
             let waiting = self.asked(number);
-            observed.demand.insert(service.clone(), Demand { running: 0, waiting });
+            observations.demand.insert(service.clone(), Demand { running: 0, waiting });
         }
         for id in self.failing.keys() {
-            observed.symptoms.insert(id.clone(), Symptom::Unreachable);
+            observations.symptoms.insert(id.clone(), Symptom::Unreachable);
         }
-        self.observed = observed;
+        self.observations = observations;
     }
 
     fn view(&self) -> View<'_> {
@@ -224,10 +225,10 @@
             config: &self.config,
             document: &self.document,
             listed: &self.listed,
-            observed: &self.observed,
+            observations: &self.observations,
             domains: &self.domains,
             trends: &self.trends,
-            answers: &self.answers,
+            completed: &self.completed,
         }
     }
 
@@ -247,9 +248,9 @@
         self.sums.moves += moves;
         next.number = self.document.number + 1;
         self.document = next;
-        for (id, place) in &self.document.placements {
-            if let Some(failure) = &place.failure {
-                self.domains.note(id, failure.since, &self.listed);
+        for (id, placement) in &self.document.placements {
+            if let Some(failure) = &placement.failure {
+                self.domains.record_failure(id, failure.since, &self.listed);
             }
         }
         self.domains.advance(self.now, &self.listed);
@@ -257,17 +258,17 @@
 
     /// Every reboot is carried out; an instance passes its trial once it is up again.
     fn answer(&mut self) {
-        self.answers = Answers::default();
-        for (id, place) in &self.document.placements {
-            let Some(step) = &place.step else { continue };
-            self.answers.rebooted.insert(step.request_id(id));
+        self.completed = CompletedRequests::default();
+        for (id, placement) in &self.document.placements {
+            let Some(step) = &placement.step else { continue };
+            self.completed.reboots.insert(step.request_id(id));
             let waited = self.now.duration_since(step.phase_started).unwrap_or_default();
             if step.phase == Phase::Trying && waited >= REBOOT {
                 if self.failing.get(id).is_some_and(Option::is_none) {
                     self.failing.remove(id);
                 }
                 if !self.failing.contains_key(id) {
-                    self.answers.tried.insert(step.request_id(id));
+                    self.completed.trials.insert(step.request_id(id));
                 }
             }
         }
@@ -279,13 +280,15 @@
         let mut sums = [0.0; 6];
         for (number, (service, settings)) in self.config.services.iter().enumerate() {
             let (mut up, mut maintained) = (0, 0);
-            for (id, place) in &self.document.placements {
+            for (id, placement) in &self.document.placements {
                 let open = self.config.zone_open(&self.listed[id].zone);
-                if view.service_of(place) != Some(service) || self.failing.contains_key(id) || !open
+                if view.service_of(placement) != Some(service)
+                    || self.failing.contains_key(id)
+                    || !open
                 {
                     continue;
                 }
-                match place.step.as_ref().map(|step| &step.kind) {
+                match placement.step.as_ref().map(|step| &step.kind) {
                     None => up += 1,
                     Some(StepKind::Maintain { .. } | StepKind::Move { .. }) => maintained += 1,
                     Some(StepKind::Repair) => {}
@@ -301,7 +304,8 @@
             sums[4] += (slots - asked).max(0.0) * tick_s;
             sums[5] += slots * tick_s;
         }
-        let done = self.document.placements.values().all(|place| place.maintained.is_some());
+        let done =
+            self.document.placements.values().all(|placement| placement.maintained_at.is_some());
         self.sums.broken_s += sums[0];
         self.sums.broken_by_plan_s += sums[1];
         self.sums.asked += sums[2];
@@ -338,7 +342,7 @@
 }
 
 /// Failure domains after a few shared failures of each feed.
-fn learned_before(listed: &Listed, feeds: &[Vec<InstanceId>]) -> Domains {
+fn learned_before(listed: &ListedInstances, feeds: &[Vec<InstanceId>]) -> LearnedDomains {
     let mut rng = StdRng::seed_from_u64(2);
     let mut failures = Vec::new();
     for (number, feed) in feeds.iter().enumerate() {
--- a/crates/fleet/examples/measure/domains.rs
+++ b/crates/fleet/examples/measure/domains.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime};
 
 use cassiafold_config::InstanceId;
-use cassiafold_fleet::{Domains, Listed};
+use cassiafold_fleet::{LearnedDomains, ListedInstances};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -35,7 +35,7 @@
     }
 }
 
-fn measure_shared(layout: &Layout, listed: &Listed, shared: u32) {
+fn measure_shared(layout: &Layout, listed: &ListedInstances, shared: u32) {
     let feeds = feeds(listed);
     let (mut right, mut found, mut truth) = (0, 0, 0);
     for seed in 0..SEEDS {
@@ -65,7 +65,7 @@
     println!("{line}");
 }
 
-fn measure_false_alarms(layout: &Layout, listed: &Listed) {
+fn measure_false_alarms(layout: &Layout, listed: &ListedInstances) {
     let mut alarms = Vec::new();
     for seed in 0..SEEDS {
         let mut rng = StdRng::seed_from_u64(1_000 + seed);
@@ -79,7 +79,7 @@
     println!("{line}");
 }
 
-fn ordinary(rng: &mut StdRng, listed: &Listed, days: u32) -> Failures {
+fn ordinary(rng: &mut StdRng, listed: &ListedInstances, days: u32) -> Failures {
     let ids: Vec<&InstanceId> = listed.keys().collect();
     let count = (FAILURES_PER_DAY * f64::from(days)) as usize;
     let failure = |_| {
@@ -98,12 +98,12 @@
     }
 }
 
-pub fn learn(listed: &Listed, mut failures: Failures) -> Domains {
+pub fn learn(listed: &ListedInstances, mut failures: Failures) -> LearnedDomains {
     failures.sort();
-    let mut domains = Domains::default();
+    let mut domains = LearnedDomains::default();
     for (at, id) in &failures {
         domains.advance(*at, listed);
-        domains.note(id, *at, listed);
+        domains.record_failure(id, *at, listed);
     }
     let last = failures.last().map_or(start(), |(at, _)| *at);
     domains.advance(last + DAY, listed);
--- a/crates/fleet/examples/measure/naive.rs
+++ b/crates/fleet/examples/measure/naive.rs
@@ -14,7 +14,7 @@
     let mut moves = 0;
     for id in view.listed.keys() {
         if !next.placements.contains_key(id) {
-            let pool = cassiafold_fleet::census::adopting_pool(view.config, id);
+            let pool = cassiafold_fleet::reconcile::initial_pool(view.config, id);
             let pool = pool.expect("there is a spare pool").clone();
             next.placements.insert(id.clone(), Placement::new(pool));
         }
@@ -25,21 +25,24 @@
     }
     let ids: Vec<InstanceId> = next.placements.keys().cloned().collect();
     for id in &ids {
-        if view.observed.symptoms.contains_key(id) && next.placements[id].step.is_none() {
+        if view.observations.symptoms.contains_key(id) && next.placements[id].step.is_none() {
             begin(view, &mut next, id, StepKind::Repair);
         }
     }
     let limit = (policy.maintenance_share_max * ids.len() as f64) as usize;
-    let maintaining = |place: &&Placement| {
-        place.step.as_ref().is_some_and(|it| matches!(it.kind, StepKind::Maintain { .. }))
+    let maintaining = |placement: &&Placement| {
+        placement.step.as_ref().is_some_and(|it| matches!(it.kind, StepKind::Maintain { .. }))
     };
     let mut maintained = next.placements.values().filter(maintaining).count();
     for id in &ids {
         if maintained >= limit.max(1) {
             break;
         }
-        let place = &next.placements[id];
-        if place.maintained.is_none() && view.available(id, place) && above_floor(view, &next, id) {
+        let placement = &next.placements[id];
+        if placement.maintained_at.is_none()
+            && view.available(id, placement)
+            && above_floor(view, &next, id)
+        {
             begin(view, &mut next, id, StepKind::Maintain { wave: "w".into() });
             maintained += 1;
         }
@@ -51,10 +54,9 @@
     let Some(service) = view.service_of(&next.placements[id]) else {
         return true;
     };
-    let serving = next
-        .placements
-        .iter()
-        .filter(|(id, place)| view.service_of(place) == Some(service) && view.available(id, place));
+    let serving = next.placements.iter().filter(|(id, placement)| {
+        view.service_of(placement) == Some(service) && view.available(id, placement)
+    });
     let home = next.placements.values().filter(|it| home_service(view, it) == Some(service));
     serving.count() > view.config.services[service].floor.instances(home.count())
 }
@@ -63,7 +65,7 @@
     let step = Step {
         kind,
         phase: Phase::Draining,
-        number: view.document.number + 1,
+        document_number: view.document.number + 1,
         started: view.now,
         phase_started: view.now,
     };
@@ -71,27 +73,29 @@
 }
 
 fn advance(view: &View<'_>, next: &mut FleetDocument, id: &InstanceId) -> u32 {
-    let place = next.placements.get_mut(id).expect("placed");
-    let Some(step) = &mut place.step else { return 0 };
+    let placement = next.placements.get_mut(id).expect("placed");
+    let Some(step) = &mut placement.step else { return 0 };
     let waited = view.now.duration_since(step.phase_started).unwrap_or_default();
     let request = step.request_id(id);
     match step.phase {
-        Phase::Draining if waited >= Duration::from_secs(2) && view.observed.running(id) == 0 => {
+        Phase::Draining
+            if waited >= Duration::from_secs(2) && view.observations.running(id) == 0 =>
+        {
             if let StepKind::Move { to, .. } = &step.kind {
-                place.pool = to.clone();
-                place.step = None;
+                placement.pool = to.clone();
+                placement.step = None;
                 return 1;
             }
             (step.phase, step.phase_started) = (Phase::Rebooting, view.now);
         }
-        Phase::Rebooting if view.answers.rebooted.contains(&request) => {
+        Phase::Rebooting if view.completed.reboots.contains(&request) => {
             (step.phase, step.phase_started) = (Phase::Trying, view.now);
         }
-        Phase::Trying if view.answers.tried.contains(&request) => {
+        Phase::Trying if view.completed.trials.contains(&request) => {
             if matches!(step.kind, StepKind::Maintain { .. }) {
-                place.maintained = Some(view.now);
+                placement.maintained_at = Some(view.now);
             }
-            place.step = None;
+            placement.step = None;
         }
         _ => {}
     }
@@ -103,14 +107,15 @@
     let serving: Vec<InstanceId> = next
         .placements
         .iter()
-        .filter(|(id, place)| view.service_of(place) == Some(service) && view.available(id, place))
+        .filter(|(id, placement)| {
+            view.service_of(placement) == Some(service) && view.available(id, placement)
+        })
         .map(|(id, _)| id.clone())
         .collect();
     if serving.len() < need {
-        let spare = next
-            .placements
-            .iter()
-            .find(|(id, place)| view.service_of(place).is_none() && view.available(id, place));
+        let spare = next.placements.iter().find(|(id, placement)| {
+            view.service_of(placement).is_none() && view.available(id, placement)
+        });
         let Some(id) = spare.map(|(id, _)| id.clone()) else { return 0 };
         next.placements.get_mut(&id).expect("placed").pool = service.clone();
         return 1;
@@ -118,7 +123,7 @@
     let loaned = serving.iter().find(|id| next.placements[*id].home != next.placements[*id].pool);
     if let Some(id) = loaned.filter(|_| serving.len() > need).cloned() {
         let to = next.placements[&id].home.clone();
-        begin(view, next, &id, StepKind::Move { to, settle: false });
+        begin(view, next, &id, StepKind::Move { to, permanent: false });
     }
     0
 }
--- a/crates/fleet/examples/measure/rounds.rs
+++ b/crates/fleet/examples/measure/rounds.rs
@@ -4,7 +4,8 @@
 
 use cassiafold_fleet::demand::Trends;
 use cassiafold_fleet::{
-    Answers, Budgets, Demand, Domains, FleetDocument, Observed, Plan, Policy, View, plan,
+    Budgets, CompletedRequests, Demand, FleetDocument, LearnedDomains, Observations, Plan, Policy,
+    View, plan,
 };
 
 use crate::world::{Layout, start};
@@ -35,18 +36,19 @@
 
 fn measure_size(layout: &Layout) -> (Duration, usize) {
     let (config, listed) = (layout.config(), layout.listed());
-    let (observed, domains) = (Observed::default(), Domains::default());
-    let (trends, answers, policy) = (Trends::default(), Answers::default(), Policy::default());
+    let (observations, domains) = (Observations::default(), LearnedDomains::default());
+    let (trends, completed, policy) =
+        (Trends::default(), CompletedRequests::default(), Policy::default());
     let empty = FleetDocument::default();
     let view = View {
         now: start(),
         config: &config,
         document: &empty,
         listed: &listed,
-        observed: &observed,
+        observations: &observations,
         domains: &domains,
         trends: &trends,
-        answers: &answers,
+        completed: &completed,
     };
     let document = plan(&view, &policy).next;
     let view = View { document: &document, now: start() + Duration::from_secs(1), ..view };
@@ -73,19 +75,19 @@
 
 /// A fifth of the services asks for more than its pool holds, and the spare pool is used up.
 fn measure_busy(view: &View<'_>, layout: &Layout) {
-    let mut observed = Observed { confirmed: u64::MAX, ..Observed::default() };
+    let mut observations = Observations { confirmed: u64::MAX, ..Observations::default() };
     for service in view.config.services.keys().step_by(5) {
         let waiting = layout.per_service as u32 * 8 * 13 / 10;
-        observed.demand.insert(service.clone(), Demand { running: 0, waiting });
+        observations.demand.insert(service.clone(), Demand { running: 0, waiting });
     }
-    let policy = Policy { donate_after: Duration::ZERO, ..Policy::default() };
+    let policy = Policy { reassign_after: Duration::ZERO, ..Policy::default() };
     let mut document = view.document.clone();
     for second in 0..30 {
         let now = start() + Duration::from_secs(second);
-        let busy = View { document: &document, observed: &observed, now, ..*view };
+        let busy = View { document: &document, observations: &observations, now, ..*view };
         document = plan(&busy, &policy).next;
     }
-    let busy = View { document: &document, observed: &observed, ..*view };
+    let busy = View { document: &document, observations: &observations, ..*view };
     let round = time(&busy, &policy);
     let line = serde_json::json!({
         "measure": "planning round at a peak", "instances": view.listed.len(), "rounds": ROUNDS,
--- a/crates/fleet/examples/measure/world.rs
+++ b/crates/fleet/examples/measure/world.rs
@@ -5,7 +5,7 @@
 
 use cassiafold_config::raw::RawConfig;
 use cassiafold_config::{Config, InstanceId, InstanceState};
-use cassiafold_fleet::Listed;
+use cassiafold_fleet::ListedInstances;
 use cassiafold_platform::ListedInstance;
 
 /// Monday, 2026-01-05, 00:00 UTC.
@@ -53,13 +53,13 @@
     }
 
     /// Instances: zones in turn; in a zone, racks in turn, so that a rack mixes services.
-    pub fn listed(&self) -> Listed {
+    pub fn listed(&self) -> ListedInstances {
         let pools = (0..self.services).map(|service| (format!("s{service:02}"), self.per_service));
         let pools: Vec<(String, usize)> = pools.chain([("spare".to_owned(), self.spare)]).collect();
         let total: usize = pools.iter().map(|(_, count)| count).sum();
         let racks = total.div_ceil(self.zones * INSTANCES_PER_RACK).max(1);
         let mut placed = vec![0; self.zones];
-        let mut listed = Listed::new();
+        let mut listed = ListedInstances::new();
         let numbered = pools.iter().flat_map(|(pool, count)| (0..*count).map(move |n| (pool, n)));
         for (index, (pool, number)) in numbered.enumerate() {
             let zone = index % self.zones;
@@ -79,7 +79,7 @@
 }
 
 /// Power feeds: each feeds four racks of one zone that lie apart.
-pub fn feeds(listed: &Listed) -> Vec<Vec<InstanceId>> {
+pub fn feeds(listed: &ListedInstances) -> Vec<Vec<InstanceId>> {
     let mut racks: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for instance in listed.values() {
         let known = racks.entry(&instance.zone).or_default();
--- a/crates/fleet/src/advance.rs
+++ b/crates/fleet/src/advance.rs
@@ -46,8 +46,9 @@
 
 fn drain_state(round: &Round<'_>, id: &InstanceId, placement: &Placement, step: &Step) -> Drain {
     let waited = round.now.duration_since(step.started).unwrap_or_default();
-    let confirmed = round.view.observed.confirmed >= step.number && !zone_silent(round, id);
-    let empty = round.view.observed.running(id) == 0;
+    let confirmed =
+        round.view.observations.confirmed >= step.document_number && !zone_silent(round, id);
+    let empty = round.view.observations.running(id) == 0;
     if confirmed && empty && waited >= round.policy.drain_min {
         return Drain::Empty;
     }
@@ -63,7 +64,7 @@
 
 fn zone_silent(round: &Round<'_>, id: &InstanceId) -> bool {
     let zone = round.view.listed.get(id).map(|listed| &listed.zone);
-    zone.is_some_and(|zone| round.view.observed.silent_zones.contains(zone))
+    zone.is_some_and(|zone| round.view.observations.unconfirmed_zones.contains(zone))
 }
 
 /// Longest wait for a drain; a failing instance gets at least the longest deadline of a request.
@@ -89,16 +90,16 @@
         Drain::OverdueFailing => FleetEvent::RebootForced,
     };
     match &step.kind {
-        StepKind::Move { to, settle } => {
+        StepKind::Move { to, permanent } => {
             set(round, id, |placement| {
                 placement.pool = to.clone();
-                if *settle {
+                if *permanent {
                     placement.home = to.clone();
                 }
                 placement.step = None;
             });
             let inputs = drain_inputs(round, id, &step);
-            round.decide(FleetEvent::InstanceMoved, id, to, inputs);
+            round.record(FleetEvent::InstanceMoved, id, to, inputs);
         }
         StepKind::Maintain { .. } | StepKind::Repair => {
             let inputs = drain_inputs(round, id, &step);
@@ -110,7 +111,7 @@
 
 fn drain_inputs(round: &Round<'_>, id: &InstanceId, step: &Step) -> Inputs {
     let waited = round.now.duration_since(step.started).unwrap_or_default();
-    let running = round.view.observed.running(id);
+    let running = round.view.observations.running(id);
     Inputs::Drain { running, waited_ms: waited.as_millis() as u64 }
 }
 
@@ -125,7 +126,7 @@
 }
 
 fn note_reboot(round: &mut Round<'_>, id: &InstanceId, placement: Placement, step: Step) {
-    if !round.view.answers.rebooted.contains(&step.request_id(id)) {
+    if !round.view.completed.reboots.contains(&step.request_id(id)) {
         return give_up_return(round, id, &placement, &step);
     }
     enter(round, id, &step, Phase::Trying);
@@ -133,7 +134,7 @@
 }
 
 fn note_trial(round: &mut Round<'_>, id: &InstanceId, placement: Placement, step: Step) {
-    if round.view.answers.tried.contains(&step.request_id(id)) {
+    if round.view.completed.trials.contains(&step.request_id(id)) {
         return bring_back(round, id, &step);
     }
     give_up_return(round, id, &placement, &step);
@@ -143,7 +144,7 @@
 /// that a reboot carried out late cuts nothing off.
 fn give_up_return(round: &mut Round<'_>, id: &InstanceId, placement: &Placement, step: &Step) {
     let waited = round.now.duration_since(step.phase_started).unwrap_or_default();
-    if waited < round.policy.return_max {
+    if waited < round.policy.reboot_timeout {
         return;
     }
     let failure = failed_again(round, placement);
@@ -167,7 +168,7 @@
         placement.failure = None;
         placement.not_before = None;
         if maintained {
-            placement.maintained = Some(now);
+            placement.maintained_at = Some(now);
         }
     });
     push(round, FleetEvent::InstanceReturned, id, step, Inputs::None);
@@ -205,7 +206,7 @@
     let Some(pool) = round.next.placements.get(id).map(|placement| placement.pool.clone()) else {
         return;
     };
-    round.push(event, id, &pool, wave, inputs);
+    round.record_in_wave(event, id, &pool, wave, inputs);
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/advance/tests.rs
+++ b/crates/fleet/src/advance/tests.rs
@@ -17,7 +17,7 @@
     let mut fixture = Fixture::with_wave(&SMALL);
     fixture.round();
     let id = fixture.maintaining().first().cloned().expect("maintenance has started");
-    fixture.observed.running.insert(id.clone(), 3);
+    fixture.observations.running.insert(id.clone(), 3);
     fixture.config.waves.get_mut("w").expect("the wave exists").paused = true;
     (fixture, id)
 }
@@ -31,7 +31,7 @@
     let (mut fixture, id) = draining();
     fixture.after(MINUTE);
     assert_eq!(phase(&fixture, &id), Some(Phase::Draining));
-    fixture.observed.running.clear();
+    fixture.observations.running.clear();
     fixture.after(SECOND);
     assert_eq!(phase(&fixture, &id), Some(Phase::Rebooting));
     fixture.after(SECOND);
@@ -42,16 +42,16 @@
     fixture.answer_all();
     fixture.after(SECOND);
     let placement = fixture.placement(&id);
-    assert_eq!((placement.step.clone(), placement.maintained), (None, Some(fixture.now)));
+    assert_eq!((placement.step.clone(), placement.maintained_at), (None, Some(fixture.now)));
 }
 
 #[test]
 fn drain_waits_until_every_entry_has_acted_on_it() {
     let (mut fixture, id) = draining();
-    fixture.observed.running.clear();
-    let number = fixture.step(&id).expect("a step is in progress").number;
+    fixture.observations.running.clear();
+    let number = fixture.step(&id).expect("a step is in progress").document_number;
     fixture.now += MINUTE;
-    fixture.observed.confirmed = number - 1;
+    fixture.observations.confirmed = number - 1;
     fixture.round();
     assert_eq!(phase(&fixture, &id), Some(Phase::Draining));
     fixture.after(SECOND);
@@ -61,8 +61,8 @@
 #[test]
 fn drain_waits_for_a_silent_zone() {
     let (mut fixture, id) = draining();
-    fixture.observed.running.clear();
-    fixture.observed.silent_zones.insert(fixture.listed[&id].zone.clone());
+    fixture.observations.running.clear();
+    fixture.observations.unconfirmed_zones.insert(fixture.listed[&id].zone.clone());
     fixture.after(MINUTE);
     assert_eq!(phase(&fixture, &id), Some(Phase::Draining));
 }
@@ -70,7 +70,7 @@
 #[test]
 fn drain_lasts_at_least_two_seconds() {
     let (mut fixture, id) = draining();
-    fixture.observed.running.clear();
+    fixture.observations.running.clear();
     fixture.after(Duration::from_millis(1_999));
     assert_eq!(phase(&fixture, &id), Some(Phase::Draining));
     fixture.after(Duration::from_millis(1));
@@ -83,10 +83,10 @@
     let plan = fixture.after(10 * MINUTE);
     assert!(events(&plan).contains(&FleetEvent::DrainGivenUp));
     assert_eq!(phase(&fixture, &id), None);
-    assert_eq!(fixture.placement(&id).maintained, None);
+    assert_eq!(fixture.placement(&id).maintained_at, None);
     fixture.after(59 * MINUTE);
     assert_eq!(phase(&fixture, &id), None);
-    fixture.observed.running.clear();
+    fixture.observations.running.clear();
     fixture.config.waves.get_mut("w").expect("the wave exists").paused = false;
     fixture.after(MINUTE);
     assert_eq!(phase(&fixture, &id), Some(Phase::Draining));
@@ -97,7 +97,7 @@
     let mut fixture = Fixture::new(&SMALL);
     let service = fixture.config.services.get_mut("s0").expect("the service exists");
     service.deadline_max = 20 * MINUTE;
-    fixture.observed.running.insert("s0-0".into(), 8);
+    fixture.observations.running.insert("s0-0".into(), 8);
     fixture.fail("s0-0", Symptom::Hanging);
     fixture.round();
     fixture.after(MINUTE);
@@ -111,7 +111,7 @@
 #[test]
 fn instance_that_does_not_return_counts_as_failing_and_waits_longer_each_time() {
     let (mut fixture, id) = draining();
-    fixture.observed.running.clear();
+    fixture.observations.running.clear();
     let mut waits = Vec::new();
     for _ in 0..3 {
         fixture.until(false, |fixture| phase(fixture, &id) == Some(Phase::Rebooting));
@@ -129,7 +129,7 @@
 #[test]
 fn request_id_of_a_reboot_differs_between_steps_and_not_between_rounds() {
     let (mut fixture, id) = draining();
-    fixture.observed.running.clear();
+    fixture.observations.running.clear();
     fixture.after(MINUTE);
     let first = fixture.step(&id).expect("a step is in progress").request_id(&id);
     fixture.after(MINUTE);
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -10,7 +10,7 @@
 use cassiafold_config::{InstanceId, ServiceId};
 
 use crate::document::{FleetDocument, Placement};
-use crate::domain::{DomainId, DomainIndex, DomainSlot};
+use crate::domain::{DomainId, DomainIndex, DomainPosition};
 use crate::view::View;
 
 /// Budget of one service.
@@ -22,7 +22,7 @@
     pub floor: usize,
     /// Instances available now.
     pub available: usize,
-    domains: HashMap<DomainSlot, usize>,
+    domains: HashMap<DomainPosition, usize>,
 }
 
 /// Why an instance may not be taken out of service.
@@ -64,7 +64,7 @@
     }
 
     /// Instances to keep for the worst domain once an instance in `without` has gone.
-    pub fn reserve(&self, without: &[DomainSlot]) -> (usize, Option<DomainSlot>) {
+    pub fn reserve(&self, without: &[DomainPosition]) -> (usize, Option<DomainPosition>) {
         let remaining = self
             .domains
             .iter()
@@ -74,7 +74,7 @@
         (count.min(self.reserve_max()), slot)
     }
 
-    fn allows(&self, slots: &[DomainSlot]) -> bool {
+    fn allows(&self, slots: &[DomainPosition]) -> bool {
         let (reserve, _) = self.reserve(slots);
         self.available > self.floor + reserve
     }
@@ -147,7 +147,7 @@
     }
 
     /// Counts an instance as taken out of `service`.
-    pub fn take(&mut self, service: &ServiceId, id: &InstanceId) {
+    pub fn remove(&mut self, service: &ServiceId, id: &InstanceId) {
         let slots = self.index.of(id);
         if let Some(budget) = self.services.get_mut(service) {
             budget.remove(slots);
@@ -155,7 +155,7 @@
     }
 
     /// Counts an instance as added to `service`.
-    pub fn give(&mut self, service: &ServiceId, id: &InstanceId) {
+    pub fn add(&mut self, service: &ServiceId, id: &InstanceId) {
         let slots = self.index.of(id);
         if let Some(budget) = self.services.get_mut(service) {
             budget.add(slots);
@@ -163,7 +163,7 @@
     }
 
     /// Available instances of `service` that share a failure domain with `id`.
-    pub fn neighbours(&self, service: &ServiceId, id: &InstanceId) -> usize {
+    pub fn shared_domain_count(&self, service: &ServiceId, id: &InstanceId) -> usize {
         let Some(budget) = self.services.get(service) else {
             return 0;
         };
@@ -173,14 +173,14 @@
 }
 
 impl Budget {
-    fn add(&mut self, slots: &[DomainSlot]) {
+    fn add(&mut self, slots: &[DomainPosition]) {
         self.available += 1;
         for slot in slots {
             *self.domains.entry(*slot).or_default() += 1;
         }
     }
 
-    fn remove(&mut self, slots: &[DomainSlot]) {
+    fn remove(&mut self, slots: &[DomainPosition]) {
         self.available = self.available.saturating_sub(1);
         for slot in slots {
             if let Some(count) = self.domains.get_mut(slot) {
--- a/crates/fleet/src/budget/tests.rs
+++ b/crates/fleet/src/budget/tests.rs
@@ -82,9 +82,9 @@
     let fixture = Fixture::new(&SMALL);
     let mut budgets = budgets(&fixture);
     let before: BTreeMap<_, _> = budgets.iter().map(|(id, b)| (id.clone(), b.clone())).collect();
-    budgets.take(&"s0".into(), &"s0-3".into());
+    budgets.remove(&"s0".into(), &"s0-3".into());
     assert_eq!(budgets.get(&"s0".into()).map(|budget| budget.available), Some(8));
-    budgets.give(&"s0".into(), &"s0-3".into());
+    budgets.add(&"s0".into(), &"s0-3".into());
     let after: BTreeMap<_, _> = budgets.iter().map(|(id, b)| (id.clone(), b.clone())).collect();
     assert_eq!(before, after);
 }
--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -17,7 +17,7 @@
 use futures_util::future::join_all;
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 
-use crate::controller::keep::Kept;
+use crate::controller::persistence::PersistentState;
 use crate::demand::Trends;
 use crate::document::{DOCUMENT_KEY, FleetDocument, Phase};
 use crate::environment::Environment;
@@ -26,9 +26,9 @@
 use crate::plan::{Plan, plan};
 use crate::policy::Policy;
 use crate::raw::{from_unix_ms, unix_ms};
-use crate::view::{Answers, Listed, Observed, View};
+use crate::view::{CompletedRequests, ListedInstances, Observations, View};
 
-pub(crate) mod keep;
+pub(crate) mod persistence;
 
 /// Time between planning rounds.
 pub const ROUND_INTERVAL: Duration = Duration::from_secs(1);
@@ -63,9 +63,9 @@
     writer: Writer,
     handle: FleetHandle,
     in_control: bool,
-    answers: Answers,
+    completed: CompletedRequests,
     trends: Trends,
-    kept: Kept,
+    persistent: PersistentState,
 }
 
 /// Why a round leaves the document as it is.
@@ -83,9 +83,9 @@
             writer: Writer::new(instance),
             handle,
             in_control: false,
-            answers: Answers::default(),
+            completed: CompletedRequests::default(),
             trends: Trends::default(),
-            kept: Kept::default(),
+            persistent: PersistentState::default(),
         }
     }
 
@@ -111,28 +111,28 @@
         if !self.in_control && !self.take_control().await {
             return RoundOutcome::Waiting;
         }
-        let Some((config, listed, observed)) = self.inputs().await else {
+        let Some((config, listed, observations)) = self.inputs().await else {
             return RoundOutcome::Waiting;
         };
         self.learn(&listed);
-        let outcome = self.decide(&config, &listed, &observed).await;
+        let outcome = self.decide(&config, &listed, &observations).await;
         if self.environment.holds_control() {
             self.carry_out(&listed).await;
             let holds = || self.environment.holds_control();
-            self.kept.save(self.environment.store(), &self.writer, &holds).await;
+            self.persistent.save(self.environment.store(), &self.writer, &holds).await;
         }
         outcome
     }
 
     /// State that explanations are made of.
     pub fn history(&self) -> crate::history::History {
-        self.kept.history.clone()
+        self.persistent.history.clone()
     }
 
     fn leave(&mut self) {
         if std::mem::take(&mut self.in_control) {
             emit!(FleetEvent::ControlLost);
-            self.answers = Answers::default();
+            self.completed = CompletedRequests::default();
             self.trends = Trends::default();
         }
     }
@@ -140,7 +140,7 @@
     /// Reads the stored state and writes the document once, which refuses every write that was
     /// prepared before.
     async fn take_control(&mut self) -> bool {
-        if let Err(error) = self.kept.load(self.environment.store()).await {
+        if let Err(error) = self.persistent.load(self.environment.store()).await {
             emit!(FleetEvent::StoreFailed, error = error);
             return false;
         }
@@ -158,16 +158,16 @@
         self.in_control
     }
 
-    async fn inputs(&self) -> Option<(Arc<Config>, Listed, Observed)> {
+    async fn inputs(&self) -> Option<(Arc<Config>, ListedInstances, Observations)> {
         let config = self.environment.config()?;
-        let Some(observed) = self.environment.observe() else {
+        let Some(observations) = self.environment.observations() else {
             emit!(FleetEvent::StaleObservations);
             return None;
         };
         match self.environment.list().list().await {
             Ok(listed) => {
                 let listed = listed.into_iter().map(|instance| (instance.id.clone(), instance));
-                Some((config, listed.collect(), observed))
+                Some((config, listed.collect(), observations))
             }
             Err(error) => {
                 emit!(FleetEvent::ListFailed, error = error);
@@ -177,20 +177,20 @@
     }
 
     /// Notes operators' moves, and the failures of the document as evidence for failure domains.
-    fn learn(&mut self, listed: &Listed) {
+    fn learn(&mut self, listed: &ListedInstances) {
         let document = self.handle.load().document;
-        self.kept.history.note_moves(&document);
-        self.kept.note_failures(&document, self.environment.now(), listed);
+        self.persistent.history.record_operator_moves(&document);
+        self.persistent.record_failures(&document, self.environment.now(), listed);
     }
 
     async fn decide(
         &mut self,
         config: &Config,
-        listed: &Listed,
-        observed: &Observed,
+        listed: &ListedInstances,
+        observations: &Observations,
     ) -> RoundOutcome {
-        let (answers, trends) = (self.answers.clone(), self.trends.clone());
-        let (domains, policy) = (self.kept.domains.clone(), self.policy.clone());
+        let (completed, trends) = (self.completed.clone(), self.trends.clone());
+        let (domains, policy) = (self.persistent.domains.clone(), self.policy.clone());
         let now = from_unix_ms(unix_ms(self.environment.now()));
         let known = self.handle.load().document;
         let view = View {
@@ -198,10 +198,10 @@
             config,
             document: &known,
             listed,
-            observed,
+            observations,
             domains: &domains,
             trends: &trends,
-            answers: &answers,
+            completed: &completed,
         };
         let first = plan(&view, &policy);
         if first.next == *known {
@@ -245,7 +245,7 @@
         let store = self.environment.store();
         match update(store, &self.writer, DOCUMENT_KEY, deadline, change).await {
             UpdateOutcome::Applied { value, .. } => {
-                self.handle.offer(Arc::new(value));
+                self.handle.update_if_newer(Arc::new(value));
                 RoundOutcome::Applied
             }
             UpdateOutcome::NotApplied(NotApplied::Refused(Left::NoControl)) => {
@@ -279,18 +279,18 @@
 
     /// Takes over the results of a round that is in force.
     fn finish(&mut self, view: &View<'_>, plan: Plan) {
-        self.kept.note_round(view, &self.policy, &plan);
+        self.persistent.record_round(view, &self.policy, &plan);
         self.trends = plan.trends;
         let steps = plan.next.placements.iter();
         let open: BTreeSet<_> = steps
             .filter_map(|(id, placement)| Some(placement.step.as_ref()?.request_id(id)))
             .collect();
-        self.answers.rebooted.retain(|id| open.contains(id));
-        self.answers.tried.retain(|id| open.contains(id));
+        self.completed.reboots.retain(|id| open.contains(id));
+        self.completed.trials.retain(|id| open.contains(id));
     }
 
     /// Sends the reboot and trial requests that the stored document asks for.
-    async fn carry_out(&mut self, listed: &Listed) {
+    async fn carry_out(&mut self, listed: &ListedInstances) {
         let document = self.handle.load().document;
         let now = self.environment.now();
         let mut requests = Vec::new();
@@ -299,10 +299,10 @@
             let request_id = step.request_id(id);
             match step.phase {
                 Phase::Draining => {}
-                Phase::Rebooting if !self.answers.rebooted.contains(&request_id) => {
+                Phase::Rebooting if !self.completed.reboots.contains(&request_id) => {
                     requests.push(Request::Reboot(id.clone(), request_id));
                 }
-                Phase::Trying if !self.answers.tried.contains(&request_id) => {
+                Phase::Trying if !self.completed.trials.contains(&request_id) => {
                     if let Some(instance) = listed.get(id)
                         && waited(step.phase_started, now) >= TRIAL_WAIT
                     {
@@ -315,8 +315,8 @@
         let sent = requests.into_iter().map(|request| self.send(request));
         for answer in join_all(sent).await.into_iter().flatten() {
             match answer {
-                Answer::Rebooted(id) => self.answers.rebooted.insert(id),
-                Answer::Tried(id) => self.answers.tried.insert(id),
+                Answer::Rebooted(id) => self.completed.reboots.insert(id),
+                Answer::Tried(id) => self.completed.trials.insert(id),
             };
         }
     }
@@ -333,8 +333,9 @@
                 None
             }
             Request::Try(instance, request_id) => {
-                let tried = timeout(REQUEST_TIMEOUT, self.environment.try_instance(&instance));
-                tried.await.unwrap_or(false).then_some(Answer::Tried(request_id))
+                let trial =
+                    timeout(REQUEST_TIMEOUT, self.environment.send_trial_request(&instance));
+                trial.await.unwrap_or(false).then_some(Answer::Tried(request_id))
             }
         }
     }
--- a/crates/fleet/src/controller/keep.rs
+++ b/crates/fleet/src/controller/persistence.rs
@@ -13,14 +13,14 @@
 use crate::code::FleetCode;
 use crate::decision::{Decision, Inputs};
 use crate::document::FleetDocument;
-use crate::domain::{DOMAINS_KEY, Domains, Group};
+use crate::domain::{DOMAINS_KEY, Group, LearnedDomains};
 use crate::event::FleetEvent;
 use crate::explain::wave_status;
 use crate::history::History;
 use crate::plan::Plan;
 use crate::policy::Policy;
 use crate::timeline::{TIMELINE_KEY, Timeline};
-use crate::view::{Listed, View};
+use crate::view::{ListedInstances, View};
 
 /// Time between two saves of the history.
 const SAVE_INTERVAL: Duration = Duration::from_secs(30);
@@ -29,8 +29,8 @@
 
 /// Learned failure domains, last decisions and samples.
 #[derive(Debug, Default)]
-pub(super) struct Kept {
-    pub(super) domains: Domains,
+pub(super) struct PersistentState {
+    pub(super) domains: LearnedDomains,
     pub(super) history: History,
     pub(super) timeline: Timeline,
     paused: BTreeMap<WaveId, FleetCode>,
@@ -39,7 +39,7 @@
     history_saved: Option<Instant>,
 }
 
-impl Kept {
+impl PersistentState {
     /// Reads everything that is stored.
     pub(super) async fn load<S: Store>(&mut self, store: &S) -> Result<(), StoreError> {
         self.domains = read(store, DOMAINS_KEY).await?.unwrap_or_default();
@@ -49,11 +49,11 @@
     }
 
     /// Notes the failures in `document` as evidence, in order of time.
-    pub(super) fn note_failures(
+    pub(super) fn record_failures(
         &mut self,
         document: &FleetDocument,
         now: SystemTime,
-        listed: &Listed,
+        listed: &ListedInstances,
     ) {
         let failures = document.placements.iter().filter_map(|(id, placement)| {
             let failure = placement.failure.as_ref()?;
@@ -63,7 +63,7 @@
         failures.sort();
         let before = self.domains.clone();
         for (since, id) in failures {
-            self.domains_changed |= self.domains.note(id, since, listed);
+            self.domains_changed |= self.domains.record_failure(id, since, listed);
         }
         if self.domains.advance(now, listed) {
             self.domains.retain(|id| document.placements.contains_key(id));
@@ -73,8 +73,8 @@
     }
 
     /// Notes each member of a domain that is suspected now or no longer.
-    fn note_domains(&mut self, before: &Domains, now: SystemTime) {
-        let decisions = |event, from: &Domains, to: &Domains| {
+    fn note_domains(&mut self, before: &LearnedDomains, now: SystemTime) {
+        let decisions = |event, from: &LearnedDomains, to: &LearnedDomains| {
             let known: BTreeSet<u64> = to.suspected().map(|group| group.number).collect();
             let changed = from.suspected().filter(|group| !known.contains(&group.number));
             let members = changed.flat_map(|group| {
@@ -89,8 +89,8 @@
     }
 
     /// Notes the decisions of a round that is in force.
-    pub(super) fn note_round(&mut self, view: &View<'_>, policy: &Policy, plan: &Plan) {
-        self.timeline_changed |= self.timeline.note(view, policy, plan);
+    pub(super) fn record_round(&mut self, view: &View<'_>, policy: &Policy, plan: &Plan) {
+        self.timeline_changed |= self.timeline.record_round(view, policy, plan);
         self.note(plan.decisions.iter().cloned());
         self.note_pauses(view, policy);
     }
@@ -164,7 +164,7 @@
 
 fn domain_decision(event: FleetEvent, group: &Group, id: &InstanceId, at: SystemTime) -> Decision {
     let inputs = Inputs::Domain {
-        domain: group.domain(),
+        domain: group.domain_id(),
         members: group.members.len(),
         bursts: group.bursts,
         score_nats: group.score_nats,
--- a/crates/fleet/src/controller/tests.rs
+++ b/crates/fleet/src/controller/tests.rs
@@ -5,7 +5,7 @@
 
 use crate::controller::RoundOutcome;
 use crate::document::{DOCUMENT_KEY, FleetDocument, Phase};
-use crate::domain::{DOMAINS_KEY, Domains};
+use crate::domain::{DOMAINS_KEY, LearnedDomains};
 use crate::event::FleetEvent;
 use crate::history::History;
 use crate::tests::race::Race;
@@ -17,7 +17,7 @@
 }
 
 fn rebooting(document: &FleetDocument) -> usize {
-    let steps = document.placements.values().filter_map(|place| place.step.as_ref());
+    let steps = document.placements.values().filter_map(|placement| placement.step.as_ref());
     steps.filter(|step| step.phase == Phase::Rebooting).count()
 }
 
@@ -29,7 +29,7 @@
         race.wait(Duration::from_secs(1)).await;
     }
     let before = document(&race);
-    assert!(before.placements.values().any(|place| place.step.is_some()));
+    assert!(before.placements.values().any(|placement| placement.step.is_some()));
     race.store.faults().set_outage(true);
     let reboots = race.instances.reboots().len();
     let sent = reboots + rebooting(&before);
@@ -45,9 +45,11 @@
         race.wait(Duration::from_secs(20)).await;
         race.first.round().await;
     }
-    let maintained = |id: &std::sync::Arc<str>| document(&race).placements[id].maintained;
-    for (id, place) in before.placements.iter().filter(|(_, place)| place.step.is_some()) {
-        assert!(maintained(id).is_some(), "{id} did not end {:?}", place.step);
+    let maintained = |id: &std::sync::Arc<str>| document(&race).placements[id].maintained_at;
+    for (id, placement) in
+        before.placements.iter().filter(|(_, placement)| placement.step.is_some())
+    {
+        assert!(maintained(id).is_some(), "{id} did not end {:?}", placement.step);
     }
 }
 
@@ -71,11 +73,12 @@
         race.second.round().await;
     }
     let ended = document(&race);
-    assert!(started.placements.values().any(|place| place.step.is_some()));
-    assert!(ended.placements.values().all(|place| place.maintained.is_some()));
+    assert!(started.placements.values().any(|placement| placement.step.is_some()));
+    assert!(ended.placements.values().all(|placement| placement.maintained_at.is_some()));
     let record = race.store.get(DOMAINS_KEY).await.expect("the store is up");
     let record = record.expect("the evidence is stored");
-    let domains = Envelope::<Domains>::decode(&record.value).expect("it is well formed").value;
+    let domains =
+        Envelope::<LearnedDomains>::decode(&record.value).expect("it is well formed").value;
     let group = domains.suspected().next().expect("the feed is suspected");
     assert_eq!(group.members.keys().cloned().collect::<BTreeSet<_>>(), feed);
     let history = History::load(&race.store).await.expect("the store is up");
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -20,8 +20,8 @@
 /// controller between rounds; losing it only delays moves.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Trends {
-    short: BTreeMap<ServiceId, SystemTime>,
-    quiet: BTreeMap<ServiceId, SystemTime>,
+    short_since: BTreeMap<ServiceId, SystemTime>,
+    surplus_since: BTreeMap<ServiceId, SystemTime>,
 }
 
 /// Instances that a service needs.
@@ -32,14 +32,14 @@
     /// Floor of the availability budget.
     pub floor: usize,
     /// Floor and the reserve for the worst failure domain.
-    pub cover: usize,
+    pub floor_with_reserve: usize,
     /// Instances available, with those on their way.
     pub available: usize,
 }
 
 impl Need {
     fn target(&self) -> usize {
-        self.demand.max(self.cover)
+        self.demand.max(self.floor_with_reserve)
     }
 
     fn short(&self) -> usize {
@@ -66,7 +66,7 @@
 
     fn surplus(&self, factor: f64) -> usize {
         let kept = (self.demand as f64 * factor).ceil() as usize;
-        self.available.saturating_sub(kept.max(self.cover))
+        self.available.saturating_sub(kept.max(self.floor_with_reserve))
     }
 
     fn inputs(&self) -> Inputs {
@@ -79,7 +79,7 @@
     let Some(service) = view.config.services.get(id) else {
         return 0;
     };
-    let demand = view.observed.demand.get(id).copied().unwrap_or_default();
+    let demand = view.observations.demand.get(id).copied().unwrap_or_default();
     let requests = demand.running.saturating_add(demand.waiting);
     requests.div_ceil(service.slots_per_instance.max(1)) as usize
 }
@@ -115,7 +115,7 @@
         let need = Need {
             demand: demand_instances(round.view, id),
             floor: budget.floor,
-            cover: budget.floor + budget.reserve(&[]).0,
+            floor_with_reserve: budget.floor + budget.reserve(&[]).0,
             available: budget.available + incoming.get(id).copied().unwrap_or(0),
         };
         (id.clone(), need)
@@ -130,10 +130,10 @@
         let since =
             |times: &BTreeMap<ServiceId, SystemTime>| times.get(id).copied().unwrap_or(round.now);
         if need.short() > 0 {
-            trends.short.insert(id.clone(), since(&known.short));
+            trends.short_since.insert(id.clone(), since(&known.short_since));
         }
         if need.surplus(round.policy.surplus_factor) > 1 {
-            trends.quiet.insert(id.clone(), since(&known.quiet));
+            trends.surplus_since.insert(id.clone(), since(&known.surplus_since));
         }
     }
     round.trends = trends;
@@ -164,14 +164,14 @@
         if self.ids.len() <= kept {
             return None;
         }
-        let shared = |id: &InstanceId| round.budgets.neighbours(service, id);
+        let shared = |id: &InstanceId| round.budgets.shared_domain_count(service, id);
         let (best, _) = self.ids.iter().enumerate().min_by_key(|(_, id)| shared(id))?;
         Some(self.ids.swap_remove(best))
     }
 }
 
 fn steady(round: &Round<'_>, id: &InstanceId) -> bool {
-    round.view.listed.get(id).is_some_and(|listed| round.view.zone_steady(listed))
+    round.view.listed.get(id).is_some_and(|listed| round.view.zone_allows_steps(listed))
 }
 
 /// Where instances can come from besides the spare pool.
@@ -197,18 +197,19 @@
     sources: &Sources<'_>,
     spares: &mut Spares,
 ) {
-    let since = round.trends.short.get(service);
+    let since = round.trends.short_since.get(service);
     if !need.urgent() && !lasted(round, since, round.policy.return_after) {
         return;
     }
-    let donate = need.below_floor() || lasted(round, since, round.policy.donate_after);
+    let donate = need.below_floor() || lasted(round, since, round.policy.reassign_after);
     let Some(pool) = receiving_pool(round, service) else {
         return;
     };
     let mut shortfall = Shortfall { service, pool, need, donate };
     while shortfall.need.short() > 0 {
         let need = &shortfall.need;
-        let kept = if need.available < need.cover { 0 } else { round.policy.spare_kept };
+        let kept =
+            if need.available < need.floor_with_reserve { 0 } else { round.policy.spare_reserved };
         if let Some(id) = spares.take(round, service, kept) {
             assign(round, &id, &shortfall);
         } else if !take_from_donor(round, &shortfall, sources) {
@@ -238,9 +239,9 @@
 fn assign(round: &mut Round<'_>, id: &InstanceId, shortfall: &Shortfall<'_>) {
     if let Some(placement) = round.next.placements.get_mut(id) {
         placement.pool = shortfall.pool.clone();
-        round.budgets.give(shortfall.service, id);
+        round.budgets.add(shortfall.service, id);
         let inputs = shortfall.need.inputs();
-        round.decide(FleetEvent::InstanceAssigned, id, &shortfall.pool, inputs);
+        round.record(FleetEvent::InstanceAssigned, id, &shortfall.pool, inputs);
     }
 }
 
@@ -267,8 +268,8 @@
         return false;
     };
     let pool = &shortfall.pool;
-    round.start_step(&id, StepKind::Move { to: pool.clone(), settle: false });
-    round.decide(FleetEvent::MoveStarted, &id, pool, shortfall.need.inputs());
+    round.start_step(&id, StepKind::Move { to: pool.clone(), permanent: false });
+    round.record(FleetEvent::MoveStarted, &id, pool, shortfall.need.inputs());
     true
 }
 
@@ -287,7 +288,7 @@
     });
     let cost = |(id, placement): &(&InstanceId, &Placement)| {
         let at_home = placement.home == placement.pool;
-        (placement.home != shortfall.pool, at_home, round.view.observed.running(id))
+        (placement.home != shortfall.pool, at_home, round.view.observations.running(id))
     };
     let mut candidates: Vec<_> = candidates.collect();
     candidates.sort_by_key(cost);
@@ -327,7 +328,7 @@
 
 /// Sends one instance on loan back home when its service has asked for little for some time.
 fn return_one(round: &mut Round<'_>, service: &ServiceId, need: &Need, movable: &Movable) {
-    if !lasted(round, round.trends.quiet.get(service), round.policy.return_after) {
+    if !lasted(round, round.trends.surplus_since.get(service), round.policy.return_after) {
         return;
     }
     let loaned = movable.of(service).iter().filter_map(|id| {
@@ -335,15 +336,15 @@
         let loaned = placement.home != placement.pool && placement.step.is_none();
         (loaned && round.budgets.check(service, id).is_ok()).then_some((id, placement))
     });
-    let running = |id: &InstanceId| round.view.observed.running(id);
+    let running = |id: &InstanceId| round.view.observations.running(id);
     let Some((id, home)) = loaned
         .min_by_key(|(id, _)| running(id))
         .map(|(id, placement)| (id.clone(), placement.home.clone()))
     else {
         return;
     };
-    round.start_step(&id, StepKind::Move { to: home.clone(), settle: false });
-    round.decide(FleetEvent::MoveStarted, &id, &home, need.inputs());
+    round.start_step(&id, StepKind::Move { to: home.clone(), permanent: false });
+    round.record(FleetEvent::MoveStarted, &id, &home, need.inputs());
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/demand/tests.rs
+++ b/crates/fleet/src/demand/tests.rs
@@ -8,7 +8,7 @@
 const SLOTS: u32 = 8;
 
 fn size(fixture: &Fixture, pool: &str) -> usize {
-    fixture.document.placements.values().filter(|place| &*place.pool == pool).count()
+    fixture.document.placements.values().filter(|placement| &*placement.pool == pool).count()
 }
 
 fn count(plan: &Plan, event: FleetEvent) -> usize {
@@ -57,13 +57,13 @@
     let mut fixture = Fixture::new(&SMALL);
     fixture.demand("s0", 40 * SLOTS);
     for id in fixture.listed.keys() {
-        fixture.observed.running.insert(id.clone(), 1);
+        fixture.observations.running.insert(id.clone(), 1);
     }
     fixture.round();
     fixture.after(2 * SECOND);
     fixture.after(10 * SECOND);
     assert_eq!(size(&fixture, "s0"), 11);
-    fixture.observed.running.clear();
+    fixture.observations.running.clear();
     fixture.after(SECOND);
     assert!(size(&fixture, "s0") > 11);
 }
@@ -104,7 +104,11 @@
     fixture.demand("s0", 8 * SLOTS);
     fixture.config.zones.get_mut("z1").expect("the zone exists").out = true;
     fixture.round();
-    let moved = fixture.document.placements.iter().filter(|(_, place)| place.pool != place.home);
+    let moved = fixture
+        .document
+        .placements
+        .iter()
+        .filter(|(_, placement)| placement.pool != placement.home);
     let zones: Vec<&str> = moved.map(|(id, _)| &*fixture.listed[id].zone).collect();
     assert_eq!(zones, ["z0", "z2"]);
 }
--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -33,9 +33,9 @@
     /// Pool to which it returns when demand no longer needs it elsewhere.
     pub home: PoolId,
     /// When the last maintenance ended.
-    pub maintained: Option<SystemTime>,
+    pub maintained_at: Option<SystemTime>,
     /// Since when the platform's list no longer shows the instance.
-    pub vanished: Option<SystemTime>,
+    pub missing_since: Option<SystemTime>,
     /// Earliest start of the next maintenance step after one was given up.
     pub not_before: Option<SystemTime>,
     /// Failure that has not ended.
@@ -80,7 +80,7 @@
     pub phase: Phase,
     /// Document number at which the step started; a drain ends only after every entry instance
     /// has acted on it.
-    pub number: DocumentNumber,
+    pub document_number: DocumentNumber,
     /// Start of the step.
     pub started: SystemTime,
     /// Start of the phase.
@@ -90,7 +90,7 @@
 impl Step {
     /// Request id of the step's reboot, the same whoever sends it.
     pub fn request_id(&self, instance: &InstanceId) -> RequestId {
-        format!("{instance}/{}", self.number).into()
+        format!("{instance}/{}", self.document_number).into()
     }
 }
 
@@ -109,7 +109,7 @@
         /// The pool to which the instance moves.
         to: PoolId,
         /// Whether the move makes `to` the instance's home.
-        settle: bool,
+        permanent: bool,
     },
 }
 
@@ -118,8 +118,8 @@
         match self {
             Self::Maintain { wave } => write!(f, "maintenance in wave {wave}"),
             Self::Repair => f.write_str("repair"),
-            Self::Move { to, settle: true } => write!(f, "move to {to} for good"),
-            Self::Move { to, settle: false } => write!(f, "move to {to} while it is needed"),
+            Self::Move { to, permanent: true } => write!(f, "move to {to} for good"),
+            Self::Move { to, permanent: false } => write!(f, "move to {to} while it is needed"),
         }
     }
 }
@@ -152,8 +152,8 @@
         Self {
             home: pool.clone(),
             pool,
-            maintained: None,
-            vanished: None,
+            maintained_at: None,
+            missing_since: None,
             not_before: None,
             failure: None,
             step: None,
@@ -162,7 +162,7 @@
 
     /// Whether the instance may be given new work as far as the document says.
     pub fn takes_work(&self) -> bool {
-        self.step.is_none() && self.vanished.is_none()
+        self.step.is_none() && self.missing_since.is_none()
     }
 }
 
--- a/crates/fleet/src/document/tests.rs
+++ b/crates/fleet/src/document/tests.rs
@@ -31,7 +31,7 @@
     let members = raw.pools.get_mut("s1").expect("the pool exists");
     members.ids[0] = "s0-0".into();
     let result = FleetDocument::try_from(raw);
-    assert_eq!(result, Err(FleetDocumentError::TwoPools("s0-0".into())));
+    assert_eq!(result, Err(FleetDocumentError::DuplicateInstance("s0-0".into())));
 }
 
 #[test]
@@ -40,7 +40,7 @@
     let mut raw = RawDocument::from(&fixture.document);
     raw.homes.insert("nobody".into(), "s0".into());
     let result = FleetDocument::try_from(raw);
-    assert_eq!(result, Err(FleetDocumentError::NoPool("nobody".into())));
+    assert_eq!(result, Err(FleetDocumentError::UnplacedInstance("nobody".into())));
 }
 
 #[test]
@@ -49,10 +49,10 @@
     let mut fixture = Fixture::with_wave(&layout);
     assert_eq!(fixture.document.placements.len(), 870);
     for placement in fixture.document.placements.values_mut() {
-        placement.maintained = Some(fixture.now);
+        placement.maintained_at = Some(fixture.now);
     }
     let at_rest = encoded(&fixture.document);
-    fixture.document.placements.values_mut().for_each(|placement| placement.maintained = None);
+    fixture.document.placements.values_mut().for_each(|placement| placement.maintained_at = None);
     fixture.policy.maintenance_share_max = 1.0;
     fixture.round();
     let step = fixture.step("s0-0").cloned().expect("maintenance has started");
@@ -62,8 +62,8 @@
     for placement in fixture.document.placements.values_mut() {
         placement.step = Some(step.clone());
         placement.failure = Some(failure.clone());
-        placement.maintained = Some(fixture.now);
-        placement.vanished = Some(fixture.now);
+        placement.maintained_at = Some(fixture.now);
+        placement.missing_since = Some(fixture.now);
         placement.home = "s1".into();
     }
     let worst = encoded(&fixture.document);
@@ -81,8 +81,8 @@
     let shown = [
         StepKind::Maintain { wave: "weekly".into() },
         StepKind::Repair,
-        StepKind::Move { to: "portal".into(), settle: true },
-        StepKind::Move { to: "portal".into(), settle: false },
+        StepKind::Move { to: "portal".into(), permanent: true },
+        StepKind::Move { to: "portal".into(), permanent: false },
     ]
     .map(|kind| kind.to_string());
     assert_eq!(
--- a/crates/fleet/src/domain.rs
+++ b/crates/fleet/src/domain.rs
@@ -1,6 +1,6 @@
 //! Failure domains learned from failures that come together.
 //!
-//! Failures that follow each other within [`GAP`] form a burst. A burst within one zone is
+//! Failures that follow each other within [`BURST_GAP_MAX`] form a burst. A burst within one zone is
 //! evidence that its instances share a failure domain, weighed by how unlikely it would be among
 //! independent failures at the rate seen lately (a log likelihood ratio, in nats). Declared racks
 //! are the prior: a burst within one rack teaches nothing new. A burst that takes most of a zone
@@ -14,19 +14,19 @@
 use cassiafold_config::{InstanceId, RackId, ZoneId};
 use cassiafold_platform::ListedInstance;
 
-use crate::view::Listed;
+use crate::view::ListedInstances;
 
 mod index;
 mod raw;
 
-pub use index::{DomainIndex, DomainSlot};
+pub use index::{DomainIndex, DomainPosition};
 pub use raw::{DOMAINS_KEY, DomainsError, RawDomains};
 
 /// Name of a failure domain: a declared rack or a learned group.
 pub type DomainId = Arc<str>;
 
 /// Longest time between two failures of one burst.
-pub const GAP: Duration = Duration::from_secs(15);
+pub const BURST_GAP_MAX: Duration = Duration::from_secs(15);
 /// Longest time from the first to the last failure of a burst.
 pub const BURST_MAX: Duration = Duration::from_secs(60);
 /// Most groups kept.
@@ -80,7 +80,7 @@
     /// Bursts that counted for the group.
     pub bursts: u32,
     /// When the score was last brought up to date.
-    pub scored: SystemTime,
+    pub scored_at: SystemTime,
 }
 
 impl Group {
@@ -90,23 +90,23 @@
     }
 
     /// Name of the group as a failure domain.
-    pub fn domain(&self) -> DomainId {
+    pub fn domain_id(&self) -> DomainId {
         format!("learned-{}", self.number).into()
     }
 }
 
 /// Learned failure domains and the evidence for them.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Domains {
+pub struct LearnedDomains {
     groups: Vec<Group>,
     burst: BTreeMap<InstanceId, SystemTime>,
     closed_until: SystemTime,
     next_number: u64,
     rate_per_s: f64,
-    rated: SystemTime,
+    rate_updated_at: SystemTime,
 }
 
-impl Default for Domains {
+impl Default for LearnedDomains {
     fn default() -> Self {
         Self {
             groups: Vec::new(),
@@ -114,12 +114,12 @@
             closed_until: SystemTime::UNIX_EPOCH,
             next_number: 1,
             rate_per_s: RATE_MIN_PER_S,
-            rated: SystemTime::UNIX_EPOCH,
+            rate_updated_at: SystemTime::UNIX_EPOCH,
         }
     }
 }
 
-impl Domains {
+impl LearnedDomains {
     /// Groups with enough evidence.
     pub fn suspected(&self) -> impl Iterator<Item = &Group> {
         self.groups.iter().filter(|group| group.suspected())
@@ -139,12 +139,17 @@
     pub fn domain_of(&self, listed: &ListedInstance) -> DomainId {
         let groups = self.suspected().filter(|group| group.members.contains_key(&listed.id));
         let best = groups.max_by(|a, b| a.score_nats.total_cmp(&b.score_nats));
-        best.map_or_else(|| rack_domain(&listed.zone, &listed.rack), Group::domain)
+        best.map_or_else(|| rack_domain(&listed.zone, &listed.rack), Group::domain_id)
     }
 
     /// Takes in the failure of `id` first seen at `since`. A repeat has no effect. Returns whether
     /// the state changed.
-    pub fn note(&mut self, id: &InstanceId, since: SystemTime, listed: &Listed) -> bool {
+    pub fn record_failure(
+        &mut self,
+        id: &InstanceId,
+        since: SystemTime,
+        listed: &ListedInstances,
+    ) -> bool {
         if since <= self.closed_until || self.burst.contains_key(id) {
             return false;
         }
@@ -157,7 +162,7 @@
 
     /// Ends a burst that no further failure can join, lets evidence decay and forgets what left.
     /// Returns whether the state changed.
-    pub fn advance(&mut self, now: SystemTime, listed: &Listed) -> bool {
+    pub fn advance(&mut self, now: SystemTime, listed: &ListedInstances) -> bool {
         if self.burst.is_empty() || !self.ends_before(now) {
             return false;
         }
@@ -171,10 +176,10 @@
         else {
             return false;
         };
-        time > *last + GAP || time > *first + BURST_MAX
+        time > *last + BURST_GAP_MAX || time > *first + BURST_MAX
     }
 
-    fn close_burst(&mut self, listed: &Listed) {
+    fn close_burst(&mut self, listed: &ListedInstances) {
         let burst = std::mem::take(&mut self.burst);
         let Some(last) = burst.values().max().copied() else {
             return;
@@ -192,15 +197,15 @@
 
     /// Updates the rate of independent failures; a burst counts once.
     fn rate(&mut self, now: SystemTime) {
-        let elapsed_s = now.duration_since(self.rated).unwrap_or_default().as_secs_f64();
+        let elapsed_s = now.duration_since(self.rate_updated_at).unwrap_or_default().as_secs_f64();
         let tau_s = RATE_HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
         self.rate_per_s = self.rate_per_s * (-elapsed_s / tau_s).exp() + 1.0 / tau_s;
-        self.rated = now;
+        self.rate_updated_at = now;
     }
 
     /// Nats that each further failure of a burst adds.
     fn nats_per_failure(&self) -> f64 {
-        -(self.rate_per_s.max(RATE_MIN_PER_S) * GAP.as_secs_f64()).min(0.5).ln()
+        -(self.rate_per_s.max(RATE_MIN_PER_S) * BURST_GAP_MAX.as_secs_f64()).min(0.5).ln()
     }
 
     fn learn(
@@ -208,7 +213,7 @@
         zone: &ZoneId,
         failed: &[&ListedInstance],
         at: SystemTime,
-        listed: &Listed,
+        listed: &ListedInstances,
     ) {
         let one_rack = failed.iter().all(|instance| instance.rack == failed[0].rack);
         let in_zone = listed.values().filter(|instance| instance.zone == *zone).count();
@@ -247,7 +252,7 @@
             members,
             score_nats: score_nats.min(SCORE_MAX_NATS),
             bursts: 1,
-            scored: at,
+            scored_at: at,
         };
         self.next_number += 1;
         self.groups.push(group);
@@ -281,9 +286,9 @@
 
 impl Group {
     fn decay(&mut self, now: SystemTime) {
-        let elapsed = now.duration_since(self.scored).unwrap_or_default();
+        let elapsed = now.duration_since(self.scored_at).unwrap_or_default();
         self.score_nats *= 0.5_f64.powf(elapsed.as_secs_f64() / SCORE_HALF_LIFE.as_secs_f64());
-        self.scored = now.max(self.scored);
+        self.scored_at = now.max(self.scored_at);
     }
 
     fn update(&mut self, ids: &[&InstanceId], at: SystemTime, nats: f64) {
--- a/crates/fleet/src/domain/index.rs
+++ b/crates/fleet/src/domain/index.rs
@@ -4,22 +4,22 @@
 
 use cassiafold_config::InstanceId;
 
-use crate::domain::{DomainId, Domains, rack_domain};
-use crate::view::Listed;
+use crate::domain::{DomainId, LearnedDomains, rack_domain};
+use crate::view::ListedInstances;
 
 /// Position of a failure domain in a [`DomainIndex`].
-pub type DomainSlot = usize;
+pub type DomainPosition = usize;
 
 /// Failure domains of each listed instance: its declared rack and the suspected groups.
 #[derive(Debug, Clone, Default)]
 pub struct DomainIndex {
     names: Vec<DomainId>,
-    slots: HashMap<InstanceId, Vec<DomainSlot>>,
+    slots: HashMap<InstanceId, Vec<DomainPosition>>,
 }
 
 impl DomainIndex {
     /// Numbers the domains of all listed instances.
-    pub fn new(listed: &Listed, domains: &Domains) -> Self {
+    pub fn new(listed: &ListedInstances, domains: &LearnedDomains) -> Self {
         let mut index = Self::default();
         let mut racks = HashMap::new();
         for (id, instance) in listed {
@@ -31,7 +31,7 @@
         }
         for group in domains.suspected() {
             let slot = index.names.len();
-            index.names.push(group.domain());
+            index.names.push(group.domain_id());
             for id in group.members.keys() {
                 if let Some(slots) = index.slots.get_mut(id) {
                     slots.push(slot);
@@ -42,12 +42,12 @@
     }
 
     /// Domains of an instance; none when it is not listed.
-    pub fn of(&self, id: &InstanceId) -> &[DomainSlot] {
+    pub fn of(&self, id: &InstanceId) -> &[DomainPosition] {
         self.slots.get(id).map_or(&[], Vec::as_slice)
     }
 
     /// Name of a domain.
-    pub fn name(&self, slot: DomainSlot) -> &DomainId {
+    pub fn name(&self, slot: DomainPosition) -> &DomainId {
         &self.names[slot]
     }
 
--- a/crates/fleet/src/domain/raw.rs
+++ b/crates/fleet/src/domain/raw.rs
@@ -7,7 +7,7 @@
 use cassiafold_platform::Document;
 use serde::{Deserialize, Serialize};
 
-use crate::domain::{Domains, GROUPS_MAX, Group, MEMBERS_MAX, Member};
+use crate::domain::{GROUPS_MAX, Group, LearnedDomains, MEMBERS_MAX, Member};
 use crate::raw::{from_unix_ms, unix_ms};
 
 /// Key of the learned failure domains in the key-value service.
@@ -16,7 +16,7 @@
 /// Format of the wire form that this program reads and writes.
 const FORMAT: u32 = 1;
 
-/// Wire form of [`Domains`].
+/// Wire form of [`LearnedDomains`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawDomains {
@@ -65,17 +65,17 @@
     TooLarge,
 }
 
-impl Document for Domains {
+impl Document for LearnedDomains {
     type Wire = RawDomains;
 }
 
-impl From<Domains> for RawDomains {
-    fn from(domains: Domains) -> Self {
+impl From<LearnedDomains> for RawDomains {
+    fn from(domains: LearnedDomains) -> Self {
         Self::from(&domains)
     }
 }
 
-impl TryFrom<RawDomains> for Domains {
+impl TryFrom<RawDomains> for LearnedDomains {
     type Error = DomainsError;
 
     fn try_from(raw: RawDomains) -> Result<Self, DomainsError> {
@@ -94,13 +94,13 @@
             closed_until: from_unix_ms(raw.closed_until_unix_ms),
             next_number: raw.next_number,
             rate_per_s: raw.rate_per_s,
-            rated: from_unix_ms(raw.rated_unix_ms),
+            rate_updated_at: from_unix_ms(raw.rated_unix_ms),
         })
     }
 }
 
-impl From<&Domains> for RawDomains {
-    fn from(domains: &Domains) -> Self {
+impl From<&LearnedDomains> for RawDomains {
+    fn from(domains: &LearnedDomains) -> Self {
         let burst = domains.burst.iter().map(|(id, time)| (id.clone(), unix_ms(*time)));
         Self {
             format: FORMAT,
@@ -109,7 +109,7 @@
             closed_until_unix_ms: unix_ms(domains.closed_until),
             next_number: domains.next_number,
             rate_per_s: domains.rate_per_s,
-            rated_unix_ms: unix_ms(domains.rated),
+            rated_unix_ms: unix_ms(domains.rate_updated_at),
         }
     }
 }
@@ -123,7 +123,7 @@
             members: raw.members.into_iter().map(|(id, counts)| (id, member(counts))).collect(),
             score_nats: raw.score_nats,
             bursts: raw.bursts,
-            scored: from_unix_ms(raw.scored_unix_ms),
+            scored_at: from_unix_ms(raw.scored_unix_ms),
         }
     }
 }
@@ -137,7 +137,7 @@
             members: group.members.iter().map(|(id, m)| (id.clone(), counts(m))).collect(),
             score_nats: group.score_nats,
             bursts: group.bursts,
-            scored_unix_ms: unix_ms(group.scored),
+            scored_unix_ms: unix_ms(group.scored_at),
         }
     }
 }
--- a/crates/fleet/src/domain/tests.rs
+++ b/crates/fleet/src/domain/tests.rs
@@ -6,24 +6,24 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::{Domains, GROUPS_MAX, Group, MEMBERS_MAX, RawDomains};
+use super::{GROUPS_MAX, Group, LearnedDomains, MEMBERS_MAX, RawDomains};
 use crate::tests::fixture::{Layout, listed, monday};
-use crate::view::Listed;
+use crate::view::ListedInstances;
 
 const DAY: Duration = Duration::from_secs(86_400);
 /// Failures of single instances on an ordinary day.
 const FAILURES_PER_DAY: f64 = 6.0;
 
-fn fleet_of_50() -> Listed {
+fn fleet_of_50() -> ListedInstances {
     listed(&Layout { zones: 3, services: 5, per_service: 10, spare: 0, floor: 0.5 })
 }
 
-fn fleet_of_870() -> Listed {
+fn fleet_of_870() -> ListedInstances {
     listed(&Layout { zones: 8, services: 43, per_service: 20, spare: 10, floor: 0.5 })
 }
 
 /// Instances of zone `z0`, every `step`th from `first`, so that no rack holds them.
-fn feed(fleet: &Listed, first: usize, step: usize, size: usize) -> BTreeSet<InstanceId> {
+fn feed(fleet: &ListedInstances, first: usize, step: usize, size: usize) -> BTreeSet<InstanceId> {
     let zone = fleet.values().filter(|instance| &*instance.zone == "z0");
     zone.skip(first).step_by(step).take(size).map(|instance| instance.id.clone()).collect()
 }
@@ -35,7 +35,7 @@
 }
 
 impl Failures {
-    fn ordinary(seed: u64, fleet: &Listed, days: u32) -> Self {
+    fn ordinary(seed: u64, fleet: &ListedInstances, days: u32) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let ids: Vec<&InstanceId> = fleet.keys().collect();
         let count = (FAILURES_PER_DAY * f64::from(days)) as usize;
@@ -58,12 +58,12 @@
         }
     }
 
-    fn learn(mut self, fleet: &Listed) -> Domains {
+    fn learn(mut self, fleet: &ListedInstances) -> LearnedDomains {
         self.failures.sort();
-        let mut domains = Domains::default();
+        let mut domains = LearnedDomains::default();
         for (at, id) in &self.failures {
             domains.advance(*at, fleet);
-            domains.note(id, *at, fleet);
+            domains.record_failure(id, *at, fleet);
         }
         let last = self.failures.last().map_or(monday(), |(at, _)| *at);
         domains.advance(last + DAY, fleet);
@@ -81,7 +81,7 @@
 }
 
 /// Precision and recall over pairs of instances that share a feed.
-fn quality(domains: &Domains, feed: &BTreeSet<InstanceId>) -> (f64, f64) {
+fn quality(domains: &LearnedDomains, feed: &BTreeSet<InstanceId>) -> (f64, f64) {
     let truth = pairs(feed);
     let groups = domains.suspected().map(|group| pairs(group.members.keys()));
     let found: BTreeSet<_> = groups.flatten().collect();
@@ -89,7 +89,7 @@
     (right / found.len().max(1) as f64, right / truth.len() as f64)
 }
 
-fn after_shared(fleet: &Listed, count: u32, seed: u64) -> (f64, f64) {
+fn after_shared(fleet: &ListedInstances, count: u32, seed: u64) -> (f64, f64) {
     let feed = feed(fleet, 0, 2, 8);
     let days = count * 45;
     let mut failures = Failures::ordinary(seed, fleet, days);
@@ -131,9 +131,14 @@
     }
 }
 
-fn fail_together(domains: &mut Domains, fleet: &Listed, ids: &[&str], at: SystemTime) {
+fn fail_together(
+    domains: &mut LearnedDomains,
+    fleet: &ListedInstances,
+    ids: &[&str],
+    at: SystemTime,
+) {
     for id in ids {
-        domains.note(&(*id).into(), at, fleet);
+        domains.record_failure(&(*id).into(), at, fleet);
     }
     domains.advance(at + DAY, fleet);
 }
@@ -141,7 +146,7 @@
 #[test]
 fn one_coincidence_of_two_is_not_suspected_and_a_second_one_is() {
     let fleet = fleet_of_50();
-    let mut domains = Domains::default();
+    let mut domains = LearnedDomains::default();
     fail_together(&mut domains, &fleet, &["s0-0", "s2-6"], monday());
     assert_eq!(domains.suspected().count(), 0);
     fail_together(&mut domains, &fleet, &["s0-0", "s2-6"], monday() + DAY);
@@ -158,7 +163,7 @@
         .filter(|instance| (&*instance.zone, &*instance.rack) == ("z0", "r1"))
         .map(|instance| &*instance.id)
         .collect();
-    let mut domains = Domains::default();
+    let mut domains = LearnedDomains::default();
     fail_together(&mut domains, &fleet, &rack, monday());
     assert!(rack.len() > 2 && domains.is_empty());
     assert_eq!(&*domains.domain_of(&fleet[rack[0]]), "z0/r1");
@@ -172,7 +177,7 @@
         .filter(|instance| &*instance.zone == "z0")
         .map(|instance| &*instance.id)
         .collect();
-    let mut domains = Domains::default();
+    let mut domains = LearnedDomains::default();
     fail_together(&mut domains, &fleet, &zone, monday());
     assert!(domains.is_empty());
 }
@@ -180,7 +185,7 @@
 #[test]
 fn repeated_notes_of_one_failure_count_once() {
     let fleet = fleet_of_50();
-    let mut domains = Domains::default();
+    let mut domains = LearnedDomains::default();
     for _ in 0..10 {
         fail_together(&mut domains, &fleet, &["s0-0", "s2-6"], monday());
     }
@@ -190,7 +195,7 @@
 #[test]
 fn member_that_keeps_running_leaves_the_group() {
     let fleet = fleet_of_50();
-    let mut domains = Domains::default();
+    let mut domains = LearnedDomains::default();
     fail_together(&mut domains, &fleet, &["s0-0", "s1-3", "s2-6", "s4-9"], monday());
     for day in 1..4 {
         let at = monday() + DAY * day;
@@ -203,7 +208,7 @@
 #[test]
 fn old_evidence_fades() {
     let fleet = fleet_of_50();
-    let mut domains = Domains::default();
+    let mut domains = LearnedDomains::default();
     fail_together(&mut domains, &fleet, &["s0-0", "s1-3", "s2-6"], monday());
     assert_eq!(domains.suspected().count(), 1);
     fail_together(&mut domains, &fleet, &["s0-1"], monday() + DAY * 365);
@@ -215,11 +220,11 @@
     let fleet = fleet_of_870();
     let ids: Vec<&InstanceId> = fleet.keys().collect();
     let mut rng = StdRng::seed_from_u64(7);
-    let mut domains = Domains::default();
+    let mut domains = LearnedDomains::default();
     for hour in 0..2_000 {
         let at = monday() + Duration::from_secs(3_600 * hour);
         for _ in 0..200 {
-            domains.note(ids[rng.random_range(0..ids.len())], at, &fleet);
+            domains.record_failure(ids[rng.random_range(0..ids.len())], at, &fleet);
         }
         domains.advance(at + Duration::from_secs(120), &fleet);
     }
@@ -229,7 +234,7 @@
     let bytes = encode(&domains);
     println!("{} groups, {bytes} bytes", domains.len());
     assert!(bytes < 1_000_000);
-    assert_eq!(Domains::try_from(raw), Ok(domains));
+    assert_eq!(LearnedDomains::try_from(raw), Ok(domains));
 }
 
 fn encode<T: Document>(value: &T) -> usize {
--- a/crates/fleet/src/environment.rs
+++ b/crates/fleet/src/environment.rs
@@ -7,7 +7,7 @@
 use cassiafold_config::Config;
 use cassiafold_platform::{InstanceControl, InstanceList, ListedInstance, Store};
 
-use crate::view::Observed;
+use crate::view::Observations;
 
 /// What surrounds the controller: the platform, the entry instances' reports and the lease.
 pub trait Environment: Send + Sync + 'static {
@@ -31,10 +31,10 @@
     fn config(&self) -> Option<Arc<Config>>;
 
     /// Reports of the entry instances; `None` when they are too old to plan on.
-    fn observe(&self) -> Option<Observed>;
+    fn observations(&self) -> Option<Observations>;
 
     /// Sends one idempotent trial request to an instance that takes no other work.
-    fn try_instance(&self, instance: &ListedInstance) -> impl Future<Output = bool> + Send;
+    fn send_trial_request(&self, instance: &ListedInstance) -> impl Future<Output = bool> + Send;
 
     /// Whether this process surely holds the control lease at this moment.
     fn holds_control(&self) -> bool;
--- a/crates/fleet/src/explain.rs
+++ b/crates/fleet/src/explain.rs
@@ -13,7 +13,7 @@
 use crate::plan::Round;
 use crate::policy::Policy;
 use crate::view::View;
-use crate::wave::{WaveStatus, status, why_not};
+use crate::wave::{WaveStatus, maintenance_refusal, status};
 use crate::{demand, repair};
 
 /// Most decisions in an explanation.
@@ -43,7 +43,7 @@
 
 /// Why something does not happen now.
 #[derive(Debug, Clone, PartialEq)]
-pub struct WhyNot {
+pub struct BlockedStep {
     /// What does not happen.
     pub step: &'static str,
     /// The rule that decided, with its inputs.
@@ -56,7 +56,7 @@
     /// What is known.
     pub facts: Vec<Fact>,
     /// Steps that do not start now, with the rule that decided.
-    pub why_not: Vec<WhyNot>,
+    pub blocked_steps: Vec<BlockedStep>,
     /// Last decisions, newest first.
     pub decisions: Vec<Decision>,
 }
@@ -69,7 +69,7 @@
     subject: &Subject,
 ) -> Result<Explanation, FleetCode> {
     let mut round = Round::new(view, policy);
-    round.count();
+    round.count_budgets();
     match subject {
         Subject::Instance(id) => explain_instance(&round, history, id),
         Subject::Pool(id) => explain_pool(&round, history, id),
@@ -81,7 +81,7 @@
 /// Progress of a maintenance wave; `None` when the configuration holds no such wave.
 pub fn wave_status(view: &View<'_>, policy: &Policy, wave: &WaveId) -> Option<WaveStatus> {
     let mut round = Round::new(view, policy);
-    round.count();
+    round.count_budgets();
     status(&round, wave)
 }
 
@@ -105,10 +105,10 @@
         explanation.fact("failure domain", round.view.domains.domain_of(listed));
     }
     explanation.fact("available", round.view.available(id, placement));
-    let refusal = why_not(round, id);
-    explanation.why_not.push(WhyNot { step: "maintenance", refusal });
+    let refusal = maintenance_refusal(round, id);
+    explanation.blocked_steps.push(BlockedStep { step: "maintenance", refusal });
     let refusal = repair::check(round, id).err().unwrap_or(FleetCode::Due.into());
-    explanation.why_not.push(WhyNot { step: "repair", refusal });
+    explanation.blocked_steps.push(BlockedStep { step: "repair", refusal });
     explanation.decisions = history.of_instance(id, DECISIONS_MAX);
     Ok(explanation)
 }
@@ -191,11 +191,11 @@
     explanation.fact("instances", status.total);
     explanation.fact("done", status.done);
     explanation.fact("in progress", status.in_progress);
-    explanation.fact("set back", status.set_back);
+    explanation.fact("set back", status.deferred);
     explanation.fact("overdue", status.overdue);
     explanation.fact("late", status.late(round.now));
     if let Some(code) = status.paused {
-        explanation.why_not.push(WhyNot { step: "wave", refusal: code.into() });
+        explanation.blocked_steps.push(BlockedStep { step: "wave", refusal: code.into() });
     }
     explanation.decisions = history.of_wave(id, DECISIONS_MAX);
     Ok(explanation)
--- a/crates/fleet/src/explain/tests.rs
+++ b/crates/fleet/src/explain/tests.rs
@@ -16,8 +16,8 @@
     for fact in &explanation.facts {
         let _ = writeln!(text, "{}: {}", fact.name, fact.value);
     }
-    for why_not in &explanation.why_not {
-        let _ = writeln!(text, "no {}: {}", why_not.step, why_not.refusal);
+    for blocked in &explanation.blocked_steps {
+        let _ = writeln!(text, "no {}: {}", blocked.step, blocked.refusal);
     }
     for decision in &explanation.decisions {
         let _ = writeln!(text, "{:?}: {}", decision.event, decision.inputs);
--- a/crates/fleet/src/handle.rs
+++ b/crates/fleet/src/handle.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use crate::document::{DOCUMENT_KEY, DocumentNumber, FleetDocument};
-use crate::domain::{DOMAINS_KEY, DomainId, Domains};
+use crate::domain::{DOMAINS_KEY, DomainId, LearnedDomains};
 use crate::event::FleetEvent;
 
 /// Prefix of the keys that entry instances follow.
@@ -23,7 +23,7 @@
     /// Highest fleet document seen.
     pub document: Arc<FleetDocument>,
     /// Learned failure domains last seen.
-    pub domains: Arc<Domains>,
+    pub domains: Arc<LearnedDomains>,
 }
 
 impl FleetState {
@@ -86,7 +86,7 @@
     }
 
     /// Offers a document; a lower number than the one known has no effect.
-    pub fn offer(&self, document: Arc<FleetDocument>) -> bool {
+    pub fn update_if_newer(&self, document: Arc<FleetDocument>) -> bool {
         self.state.send_if_modified(|state| {
             let newer = document.number > state.document.number;
             if newer {
@@ -97,7 +97,7 @@
     }
 
     /// Follows the fleet in the store until dropped.
-    pub async fn follow<S: Store>(&self, store: S) {
+    pub async fn watch_store<S: Store>(&self, store: S) {
         loop {
             if let Err(error) = self.follow_once(&store).await {
                 emit!(FleetEvent::StoreFailed, error = error);
@@ -129,11 +129,11 @@
         match &*record.key {
             DOCUMENT_KEY => match Envelope::<FleetDocument>::decode(&record.value) {
                 Ok(document) => {
-                    self.offer(Arc::new(document.value));
+                    self.update_if_newer(Arc::new(document.value));
                 }
                 Err(error) => emit!(FleetEvent::DocumentRefused, error = error),
             },
-            DOMAINS_KEY => match Envelope::<Domains>::decode(&record.value) {
+            DOMAINS_KEY => match Envelope::<LearnedDomains>::decode(&record.value) {
                 Ok(domains) => {
                     self.state.send_modify(|state| state.domains = Arc::new(domains.value));
                 }
--- a/crates/fleet/src/handle/tests.rs
+++ b/crates/fleet/src/handle/tests.rs
@@ -22,7 +22,7 @@
     let mut fixture = Fixture::with_wave(&SMALL);
     fixture.round();
     let handle = FleetHandle::default();
-    handle.offer(Arc::new(fixture.document.clone()));
+    handle.update_if_newer(Arc::new(fixture.document.clone()));
     let state = handle.load();
     let draining = fixture.maintaining();
     for listed in fixture.listed.values() {
@@ -40,9 +40,9 @@
 fn lower_number_is_refused() {
     let handle = FleetHandle::default();
     let document = |number| Arc::new(FleetDocument { number, ..FleetDocument::default() });
-    assert!(handle.offer(document(5)));
-    assert!(!handle.offer(document(4)));
-    assert!(!handle.offer(document(5)));
+    assert!(handle.update_if_newer(document(5)));
+    assert!(!handle.update_if_newer(document(4)));
+    assert!(!handle.update_if_newer(document(5)));
     assert_eq!(handle.load().number(), 5);
 }
 
@@ -54,7 +54,7 @@
     store_document(&store, &fixture.document).await;
     let follower = {
         let (handle, store) = (handle.clone(), store.clone());
-        tokio::spawn(async move { handle.follow(store).await })
+        tokio::spawn(async move { handle.watch_store(store).await })
     };
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(handle.load().number(), fixture.document.number);
--- a/crates/fleet/src/history.rs
+++ b/crates/fleet/src/history.rs
@@ -86,10 +86,10 @@
     }
 
     /// Notes the start of moves in progress that no round has decided: operators have.
-    pub fn note_moves(&mut self, document: &FleetDocument) {
+    pub fn record_operator_moves(&mut self, document: &FleetDocument) {
         for (id, placement) in &document.placements {
             let Some(step) = &placement.step else { continue };
-            let StepKind::Move { to, settle: true } = &step.kind else { continue };
+            let StepKind::Move { to, permanent: true } = &step.kind else { continue };
             let known = |decision: &Decision| {
                 decision.at == step.started && decision.instance.as_ref() == Some(id)
             };
@@ -111,9 +111,9 @@
         self.decisions.iter()
     }
 
-    /// Last `count` decisions that `choose` picks, newest first.
-    pub fn last(&self, count: usize, choose: impl Fn(&Decision) -> bool) -> Vec<Decision> {
-        self.iter().rev().filter(|decision| choose(decision)).take(count).cloned().collect()
+    /// Last `count` decisions that `predicate` picks, newest first.
+    pub fn last(&self, count: usize, predicate: impl Fn(&Decision) -> bool) -> Vec<Decision> {
+        self.iter().rev().filter(|decision| predicate(decision)).take(count).cloned().collect()
     }
 
     /// Last decisions on an instance.
--- a/crates/fleet/src/history/tests.rs
+++ b/crates/fleet/src/history/tests.rs
@@ -3,7 +3,7 @@
 use super::{History, RawSegment, SEGMENT_MAX, SEGMENTS};
 use crate::decision::{Decision, Inputs};
 use crate::event::FleetEvent;
-use crate::operate::request_move;
+use crate::operator::plan_move;
 use crate::tests::fixture::{Fixture, SMALL, monday};
 
 fn decision(number: u64) -> Decision {
@@ -69,14 +69,14 @@
     let pools = &fixture.config.pools;
     let other = pools.iter().find(|(_, pool)| pool.service.is_some()).unwrap().0.clone();
     for id in &ids {
-        let plan = request_move(&fixture.view(), &fixture.policy, id, &other).unwrap();
+        let plan = plan_move(&fixture.view(), &fixture.policy, id, &other).unwrap();
         fixture.document = plan.next;
         if *id == ids[1] {
             history.extend(plan.decisions);
         }
     }
     for _ in 0..2 {
-        history.note_moves(&fixture.document);
+        history.record_operator_moves(&fixture.document);
     }
     for id in &ids {
         let noted = history.of_instance(id, 9);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -12,7 +12,6 @@
 
 mod advance;
 pub mod budget;
-pub mod census;
 pub mod code;
 pub mod controller;
 pub mod decision;
@@ -24,10 +23,11 @@
 pub mod explain;
 pub mod handle;
 pub mod history;
-pub mod operate;
+pub mod operator;
 pub mod plan;
 pub mod policy;
 pub mod raw;
+pub mod reconcile;
 mod repair;
 pub mod report;
 pub mod timeline;
@@ -39,18 +39,18 @@
 pub use controller::{Controller, RoundOutcome};
 pub use decision::{Decision, Inputs, Refusal};
 pub use document::{FleetDocument, Phase, Placement, Step, StepKind, Symptom};
-pub use domain::{DomainId, Domains};
+pub use domain::{DomainId, LearnedDomains};
 pub use environment::Environment;
 pub use event::FleetEvent;
 pub use explain::{Explanation, Subject, explain, wave_status};
 pub use handle::{FleetHandle, FleetState};
 pub use history::History;
-pub use operate::{move_instance, request_move};
+pub use operator::{move_instance, plan_move};
 pub use plan::{Plan, plan};
 pub use policy::Policy;
 pub use report::report;
 pub use timeline::Timeline;
-pub use view::{Answers, Demand, Listed, Observed, View};
+pub use view::{CompletedRequests, Demand, ListedInstances, Observations, View};
 pub use wave::WaveStatus;
 
 #[cfg(test)]
--- a/crates/fleet/src/operate.rs
+++ b/crates/fleet/src/operator.rs
@@ -14,14 +14,14 @@
 
 /// Plans the move of one instance to `pool` for good: drain, reassign, admit. Refused where the
 /// availability budget does not allow it.
-pub fn request_move(
+pub fn plan_move(
     view: &View<'_>,
     policy: &Policy,
     id: &InstanceId,
     pool: &PoolId,
 ) -> Result<Plan, Refusal> {
     let mut round = Round::new(view, policy);
-    round.count();
+    round.count_budgets();
     let placement = round.next.placements.get(id).ok_or(FleetCode::UnknownInstance)?;
     if !view.config.pools.contains_key(pool) {
         return Err(FleetCode::UnknownPool.into());
@@ -37,8 +37,8 @@
     {
         round.budgets.check(service, id)?;
     }
-    round.start_step(id, StepKind::Move { to: pool.clone(), settle: true });
-    round.decide(FleetEvent::MoveStarted, id, pool, Inputs::None);
+    round.start_step(id, StepKind::Move { to: pool.clone(), permanent: true });
+    round.record(FleetEvent::MoveStarted, id, pool, Inputs::None);
     Ok(round.into_plan())
 }
 
@@ -55,7 +55,7 @@
 ) -> UpdateOutcome<FleetDocument, Refusal> {
     let change = |current: Option<&FleetDocument>| {
         let document = current.ok_or(FleetCode::UnknownInstance)?;
-        let mut plan = request_move(&View { document, ..*view }, policy, id, pool)?;
+        let mut plan = plan_move(&View { document, ..*view }, policy, id, pool)?;
         plan.next.number = document.number + 1;
         for decision in &plan.decisions {
             decision.log();
--- a/crates/fleet/src/operate/tests.rs
+++ b/crates/fleet/src/operator/tests.rs
@@ -5,13 +5,13 @@
 use cassiafold_standin::faults::WriteFault;
 use tokio::time::Instant;
 
-use super::{move_instance, request_move};
+use super::{move_instance, plan_move};
 use crate::code::FleetCode;
 use crate::document::{DOCUMENT_KEY, FleetDocument};
 use crate::tests::fixture::{Fixture, SMALL};
 
 fn code(fixture: &Fixture, id: &str, pool: &str) -> Option<FleetCode> {
-    let result = request_move(&fixture.view(), &fixture.policy, &id.into(), &pool.into());
+    let result = plan_move(&fixture.view(), &fixture.policy, &id.into(), &pool.into());
     result.err().map(|refusal| refusal.code)
 }
 
@@ -50,7 +50,7 @@
     };
     assert_eq!(refusal.code, FleetCode::StepInProgress);
     fixture.document = value;
-    fixture.observed.confirmed = fixture.document.number;
+    fixture.observations.confirmed = fixture.document.number;
     fixture.after(Duration::from_secs(5));
     let placement = fixture.placement("s0-0");
     assert_eq!((&*placement.pool, &*placement.home, &placement.step), ("s1", "s1", &None));
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -14,12 +14,12 @@
 use crate::decision::{Decision, Inputs};
 use crate::demand::Trends;
 use crate::document::{FleetDocument, Phase, Placement, Step, StepKind};
-use crate::domain::{DomainIndex, Domains};
+use crate::domain::{DomainIndex, LearnedDomains};
 use crate::event::FleetEvent;
 use crate::policy::Policy;
 use crate::raw::{from_unix_ms, unix_ms};
 use crate::view::View;
-use crate::{advance, census, demand, repair, wave};
+use crate::{advance, demand, reconcile, repair, wave};
 
 /// Result of a planning round.
 #[derive(Debug, Clone)]
@@ -35,9 +35,9 @@
 /// Plans one round.
 pub fn plan(view: &View<'_>, policy: &Policy) -> Plan {
     let mut round = Round::new(view, policy);
-    census::take(&mut round);
+    reconcile::instances(&mut round);
     advance::steps(&mut round);
-    round.count();
+    round.count_budgets();
     repair::start(&mut round);
     demand::start(&mut round);
     wave::start(&mut round);
@@ -59,7 +59,7 @@
 }
 
 impl<'a> Round<'a> {
-    /// Starts a round; budgets are counted by [`Round::count`].
+    /// Starts a round; budgets are counted by [`Round::count_budgets`].
     pub(crate) fn new(view: &'a View<'a>, policy: &'a Policy) -> Self {
         Self {
             view,
@@ -74,8 +74,8 @@
     }
 
     /// Counts budgets and failures of the document as it stands.
-    pub(crate) fn count(&mut self) {
-        let nothing = Domains::default();
+    pub(crate) fn count_budgets(&mut self) {
+        let nothing = LearnedDomains::default();
         let domains = if self.policy.use_learned_domains { self.view.domains } else { &nothing };
         let index = DomainIndex::new(self.view.listed, domains);
         self.budgets = Budgets::new(self.view, &self.next, index);
@@ -90,18 +90,18 @@
     }
 
     /// Notes a decision on an instance.
-    pub(crate) fn decide(
+    pub(crate) fn record(
         &mut self,
         event: FleetEvent,
         instance: &InstanceId,
         pool: &PoolId,
         inputs: Inputs,
     ) {
-        self.push(event, instance, pool, None, inputs);
+        self.record_in_wave(event, instance, pool, None, inputs);
     }
 
     /// Notes a decision on an instance within a wave.
-    pub(crate) fn push(
+    pub(crate) fn record_in_wave(
         &mut self,
         event: FleetEvent,
         instance: &InstanceId,
@@ -124,7 +124,7 @@
         let step = Step {
             kind,
             phase: Phase::Draining,
-            number: self.view.document.number + 1,
+            document_number: self.view.document.number + 1,
             started: self.now,
             phase_started: self.now,
         };
@@ -136,7 +136,7 @@
         if let Some(service) = self.view.service_of(placement)
             && available
         {
-            self.budgets.take(service, id);
+            self.budgets.remove(service, id);
         }
     }
 
@@ -145,10 +145,10 @@
         self.next.placements.iter()
     }
 
-    /// Number of steps in progress that `choose` picks.
-    pub(crate) fn steps(&self, choose: impl Fn(&Step) -> bool) -> usize {
+    /// Number of steps in progress that `predicate` picks.
+    pub(crate) fn steps(&self, predicate: impl Fn(&Step) -> bool) -> usize {
         let steps = self.next.placements.values().filter_map(|placement| placement.step.as_ref());
-        steps.filter(|step| choose(step)).count()
+        steps.filter(|step| predicate(step)).count()
     }
 
     pub(crate) fn into_plan(self) -> Plan {
--- a/crates/fleet/src/policy.rs
+++ b/crates/fleet/src/policy.rs
@@ -12,9 +12,9 @@
     /// Wait before maintenance is tried again after a drain was given up.
     pub maintenance_retry: Duration,
     /// Longest wait for a trial request after a reboot.
-    pub return_max: Duration,
+    pub reboot_timeout: Duration,
     /// How long an instance must be missing from the list before its step ends.
-    pub vanished_step_max: Duration,
+    pub missing_step_timeout: Duration,
     /// How long an instance that is no longer listed is kept in the document.
     pub forget_after: Duration,
     /// How long an instance must fail before it is repaired.
@@ -28,9 +28,9 @@
     /// Share of the fleet under repair at once; at least one instance.
     pub repair_share_max: f64,
     /// Share of a zone that fails from which its instances are not rebooted.
-    pub storm_share: f64,
+    pub zone_outage_share: f64,
     /// Fewest failing instances that make a storm.
-    pub storm_min: usize,
+    pub zone_outage_min: usize,
     /// Share of the fleet under maintenance at once; at least one instance.
     pub maintenance_share_max: f64,
     /// Share of a spare pool under maintenance at once; at least one instance.
@@ -46,13 +46,13 @@
     /// Time for which every instance must be maintained once.
     pub maintenance_period: Duration,
     /// How long a service must be short before instances are drained for it elsewhere.
-    pub donate_after: Duration,
+    pub reassign_after: Duration,
     /// How long a service must ask for little before it returns instances.
     pub return_after: Duration,
     /// Factor on what a service needs below which it gives instances away.
     pub surplus_factor: f64,
     /// Spare instances that demand alone does not take.
-    pub spare_kept: usize,
+    pub spare_reserved: usize,
     /// Whether learned failure domains count, besides declared racks.
     pub use_learned_domains: bool,
 }
@@ -65,16 +65,16 @@
             drain_min: Duration::from_secs(2),
             drain_max: minutes(10),
             maintenance_retry: hours(1),
-            return_max: minutes(10),
-            vanished_step_max: minutes(15),
+            reboot_timeout: minutes(10),
+            missing_step_timeout: minutes(15),
             forget_after: hours(24),
             repair_after: Duration::from_secs(30),
             repair_retry: minutes(5),
             repair_retry_max: hours(24),
             repair_attempts_max: 3,
             repair_share_max: 0.01,
-            storm_share: 0.3,
-            storm_min: 4,
+            zone_outage_share: 0.3,
+            zone_outage_min: 4,
             maintenance_share_max: 0.05,
             spare_share_max: 0.25,
             recent_failure: minutes(10),
@@ -82,16 +82,16 @@
             pause_min: 2,
             wave_failures_max: 2,
             maintenance_period: hours(21 * 24),
-            donate_after: Duration::from_secs(2),
+            reassign_after: Duration::from_secs(2),
             return_after: Duration::from_secs(60),
             surplus_factor: 1.5,
-            spare_kept: 1,
+            spare_reserved: 1,
             use_learned_domains: true,
         }
     }
 }
 
 /// Number of instances that `share` of `total` allows; at least one.
-pub fn at_least_one(share: f64, total: usize) -> usize {
+pub fn limit_for_share(share: f64, total: usize) -> usize {
     ((share * total as f64) as usize).max(1)
 }
--- a/crates/fleet/src/raw.rs
+++ b/crates/fleet/src/raw.rs
@@ -96,7 +96,8 @@
         /// The other pool.
         to: Arc<str>,
         /// Whether the other pool becomes the home.
-        settle: bool,
+        #[serde(rename = "settle")]
+        permanent: bool,
     },
 }
 
@@ -108,13 +109,13 @@
     UnknownFormat(u32),
     /// An instance stands in two pools.
     #[error("instance {0} stands in two pools")]
-    TwoPools(InstanceId),
+    DuplicateInstance(InstanceId),
     /// The two lists of a pool differ in length.
     #[error("pool {0} has lists of different lengths")]
-    Lengths(PoolId),
+    LengthMismatch(PoolId),
     /// An entry names an instance that stands in no pool.
     #[error("instance {0} stands in no pool")]
-    NoPool(InstanceId),
+    UnplacedInstance(InstanceId),
 }
 
 /// Milliseconds since the Unix epoch; zero before it.
@@ -156,21 +157,21 @@
         let mut seen = BTreeSet::new();
         for (pool, members) in raw.pools {
             if members.ids.len() != members.maintained_unix_s.len() {
-                return Err(FleetDocumentError::Lengths(pool));
+                return Err(FleetDocumentError::LengthMismatch(pool));
             }
             for (id, maintained) in members.ids.into_iter().zip(members.maintained_unix_s) {
                 if !seen.insert(id.clone()) {
-                    return Err(FleetDocumentError::TwoPools(id));
+                    return Err(FleetDocumentError::DuplicateInstance(id));
                 }
                 let mut placement = Placement::new(pool.clone());
-                placement.maintained = (maintained > 0).then(|| from_unix_s(maintained));
+                placement.maintained_at = (maintained > 0).then(|| from_unix_s(maintained));
                 placements.insert(id, placement);
             }
         }
         let mut document = Self { number: raw.number, placements };
         document.merge(raw.homes, |placement, home| placement.home = home)?;
         document.merge(raw.vanished_unix_s, |placement, time| {
-            placement.vanished = Some(from_unix_s(time));
+            placement.missing_since = Some(from_unix_s(time));
         })?;
         document.merge(raw.not_before_unix_s, |placement, time| {
             placement.not_before = Some(from_unix_s(time));
@@ -189,7 +190,7 @@
     ) -> Result<(), FleetDocumentError> {
         for (id, entry) in entries {
             let Some(placement) = self.placements.get_mut(&id) else {
-                return Err(FleetDocumentError::NoPool(id));
+                return Err(FleetDocumentError::UnplacedInstance(id));
             };
             set(placement, entry);
         }
@@ -220,11 +221,11 @@
     fn push(&mut self, id: &InstanceId, placement: &Placement) {
         let members = self.pools.entry(placement.pool.clone()).or_default();
         members.ids.push(id.clone());
-        members.maintained_unix_s.push(placement.maintained.map_or(0, unix_s));
+        members.maintained_unix_s.push(placement.maintained_at.map_or(0, unix_s));
         if placement.home != placement.pool {
             self.homes.insert(id.clone(), placement.home.clone());
         }
-        if let Some(time) = placement.vanished {
+        if let Some(time) = placement.missing_since {
             self.vanished_unix_s.insert(id.clone(), unix_s(time));
         }
         if let Some(time) = placement.not_before {
@@ -266,12 +267,12 @@
         let kind = match raw.kind {
             RawStepKind::Maintain { wave } => StepKind::Maintain { wave },
             RawStepKind::Repair => StepKind::Repair,
-            RawStepKind::Move { to, settle } => StepKind::Move { to, settle },
+            RawStepKind::Move { to, permanent } => StepKind::Move { to, permanent },
         };
         Self {
             kind,
             phase: raw.phase,
-            number: raw.number,
+            document_number: raw.number,
             started: from_unix_ms(raw.started_unix_ms),
             phase_started: from_unix_ms(raw.phase_started_unix_ms),
         }
@@ -283,12 +284,12 @@
         let kind = match step.kind.clone() {
             StepKind::Maintain { wave } => RawStepKind::Maintain { wave },
             StepKind::Repair => RawStepKind::Repair,
-            StepKind::Move { to, settle } => RawStepKind::Move { to, settle },
+            StepKind::Move { to, permanent } => RawStepKind::Move { to, permanent },
         };
         Self {
             kind,
             phase: step.phase,
-            number: step.number,
+            number: step.document_number,
             started_unix_ms: unix_ms(step.started),
             phase_started_unix_ms: unix_ms(step.phase_started),
         }
--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/reconcile.rs
@@ -10,7 +10,7 @@
 /// Pool that adopts an instance: the longest pool id that is followed by `-` at the start of the
 /// instance id, else the first spare pool. The instance id is the label that operators set when
 /// they create an instance.
-pub fn adopting_pool<'a>(config: &'a Config, id: &str) -> Option<&'a PoolId> {
+pub fn initial_pool<'a>(config: &'a Config, id: &str) -> Option<&'a PoolId> {
     let labelled = config
         .pools
         .keys()
@@ -24,7 +24,7 @@
 }
 
 /// Brings the next document in line with the platform's list and what was observed.
-pub(crate) fn take(round: &mut Round<'_>) {
+pub(crate) fn instances(round: &mut Round<'_>) {
     adopt(round);
     let ids: Vec<InstanceId> = round.next.placements.keys().cloned().collect();
     for id in &ids {
@@ -39,12 +39,12 @@
         if round.next.placements.contains_key(id) {
             continue;
         }
-        let Some(pool) = adopting_pool(view.config, id) else {
+        let Some(pool) = initial_pool(view.config, id) else {
             continue;
         };
         take_vacancy(round, pool);
         round.next.placements.insert(id.clone(), Placement::new(pool.clone()));
-        round.decide(FleetEvent::InstanceAdopted, id, pool, Inputs::None);
+        round.record(FleetEvent::InstanceAdopted, id, pool, Inputs::None);
     }
 }
 
@@ -53,7 +53,7 @@
     let vacant = round
         .placements()
         .filter(|(_, placement)| placement.home == *pool)
-        .filter_map(|(id, placement)| Some((placement.vanished?, id.clone())))
+        .filter_map(|(id, placement)| Some((placement.missing_since?, id.clone())))
         .min();
     if let Some((_, id)) = vacant {
         forget(round, &id);
@@ -62,7 +62,7 @@
 
 fn forget(round: &mut Round<'_>, id: &InstanceId) {
     if let Some(placement) = round.next.placements.remove(id) {
-        round.decide(FleetEvent::InstanceForgotten, id, &placement.pool, Inputs::None);
+        round.record(FleetEvent::InstanceForgotten, id, &placement.pool, Inputs::None);
     }
 }
 
@@ -73,16 +73,16 @@
         return;
     };
     let pool = placement.pool.clone();
-    match (listed, placement.vanished) {
-        (true, Some(_)) => placement.vanished = None,
+    match (listed, placement.missing_since) {
+        (true, Some(_)) => placement.missing_since = None,
         (false, None) => {
-            placement.vanished = Some(now);
-            round.decide(FleetEvent::InstanceVanished, id, &pool, Inputs::None);
+            placement.missing_since = Some(now);
+            round.record(FleetEvent::InstanceVanished, id, &pool, Inputs::None);
         }
         (false, Some(since)) => {
             let gone = now.duration_since(since).unwrap_or_default();
-            if gone >= round.policy.vanished_step_max && placement.step.take().is_some() {
-                round.decide(FleetEvent::StepDropped, id, &pool, Inputs::None);
+            if gone >= round.policy.missing_step_timeout && placement.step.take().is_some() {
+                round.record(FleetEvent::StepDropped, id, &pool, Inputs::None);
             }
             if gone >= round.policy.forget_after {
                 forget(round, id);
@@ -94,7 +94,7 @@
 
 fn note_health(round: &mut Round<'_>, id: &InstanceId) {
     let now = round.now;
-    let symptom = round.view.observed.symptoms.get(id).copied();
+    let symptom = round.view.observations.symptoms.get(id).copied();
     let Some(placement) = round.next.placements.get_mut(id) else {
         return;
     };
@@ -104,13 +104,13 @@
         (Some(symptom), None) if !rebooted => {
             placement.failure = Some(Failure { since: now, symptom, attempts: 0, retry_at: now });
             let inputs = Inputs::Failure { symptom, attempts: 0, failing_in_zone: 0 };
-            round.decide(FleetEvent::InstanceFailed, id, &pool, inputs);
+            round.record(FleetEvent::InstanceFailed, id, &pool, inputs);
         }
         (None, Some(failure))
             if placement.step.is_none() && failure.symptom != Symptom::NotReturned =>
         {
             placement.failure = None;
-            round.decide(FleetEvent::InstanceRecovered, id, &pool, Inputs::None);
+            round.record(FleetEvent::InstanceRecovered, id, &pool, Inputs::None);
         }
         _ => {}
     }
--- a/crates/fleet/src/repair.rs
+++ b/crates/fleet/src/repair.rs
@@ -4,13 +4,13 @@
 
 use cassiafold_config::{InstanceId, PoolId};
 
-use crate::census::spare_pool;
 use crate::code::FleetCode;
 use crate::decision::{Inputs, Refusal};
 use crate::document::{Failure, StepKind};
 use crate::event::FleetEvent;
 use crate::plan::Round;
-use crate::policy::at_least_one;
+use crate::policy::limit_for_share;
+use crate::reconcile::spare_pool;
 
 /// Starts repairs, the oldest failure first.
 pub(crate) fn start(round: &mut Round<'_>) {
@@ -38,11 +38,11 @@
     if !round.view.config.zone_open(&listed.zone) {
         return Err(FleetCode::ZoneOut.into());
     }
-    if !round.view.zone_steady(listed) {
+    if !round.view.zone_allows_steps(listed) {
         return Err(FleetCode::ZoneSilent.into());
     }
     let inputs = inputs(round, id, failure);
-    if zone_storm(round, id) {
+    if zone_outage(round, id) {
         return Err(Refusal { code: FleetCode::ZoneStorm, inputs });
     }
     if round.now < failure.since + round.policy.repair_after {
@@ -51,7 +51,7 @@
     if round.now < failure.retry_at {
         return Err(Refusal { code: FleetCode::RetryLater, inputs });
     }
-    let limit = at_least_one(round.policy.repair_share_max, round.next.placements.len());
+    let limit = limit_for_share(round.policy.repair_share_max, round.next.placements.len());
     if round.steps(|step| step.kind == StepKind::Repair) >= limit {
         return Err(FleetCode::RepairLimit.into());
     }
@@ -59,13 +59,14 @@
 }
 
 /// Whether so much of the zone of `id` fails that the cause is not in the instances.
-pub(crate) fn zone_storm(round: &Round<'_>, id: &InstanceId) -> bool {
+pub(crate) fn zone_outage(round: &Round<'_>, id: &InstanceId) -> bool {
     let Some(listed) = round.view.listed.get(id) else {
         return false;
     };
     let failing = round.failing.get(&listed.zone).copied().unwrap_or(0);
     let in_zone = round.view.listed.values().filter(|other| other.zone == listed.zone).count();
-    failing >= round.policy.storm_min && failing as f64 >= round.policy.storm_share * in_zone as f64
+    failing >= round.policy.zone_outage_min
+        && failing as f64 >= round.policy.zone_outage_share * in_zone as f64
 }
 
 fn inputs(round: &Round<'_>, id: &InstanceId, failure: &Failure) -> Inputs {
@@ -87,7 +88,7 @@
     }
     let inputs = inputs(round, id, &failure);
     round.start_step(id, StepKind::Repair);
-    round.decide(FleetEvent::RepairStarted, id, &home, inputs);
+    round.record(FleetEvent::RepairStarted, id, &home, inputs);
 }
 
 /// Makes a spare instance at home in `home` and moves `id` to the spare pool for good. Returns
@@ -105,11 +106,11 @@
     placement.home = home.clone();
     placement.pool = home.clone();
     if let Some(service) = round.view.config.service_of_pool(home) {
-        round.budgets.give(service, &substitute);
+        round.budgets.add(service, &substitute);
     }
-    round.decide(FleetEvent::InstanceReplaced, id, home, Inputs::None);
-    round.decide(FleetEvent::InstanceAssigned, &substitute, home, Inputs::None);
-    round.start_step(id, StepKind::Move { to: spare, settle: true });
+    round.record(FleetEvent::InstanceReplaced, id, home, Inputs::None);
+    round.record(FleetEvent::InstanceAssigned, &substitute, home, Inputs::None);
+    round.start_step(id, StepKind::Move { to: spare, permanent: true });
     true
 }
 
@@ -119,7 +120,8 @@
     let idle = round.placements().filter(|(id, placement)| {
         placement.pool == *spare && placement.home == *spare && round.view.available(id, placement)
     });
-    idle.min_by_key(|(id, _)| round.budgets.neighbours(service, id)).map(|(id, _)| id.clone())
+    idle.min_by_key(|(id, _)| round.budgets.shared_domain_count(service, id))
+        .map(|(id, _)| id.clone())
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/repair/tests.rs
+++ b/crates/fleet/src/repair/tests.rs
@@ -11,7 +11,7 @@
 fn code(fixture: &Fixture, id: &str) -> Option<FleetCode> {
     let view = fixture.view();
     let mut round = Round::new(&view, &fixture.policy);
-    round.count();
+    round.count_budgets();
     check(&round, &id.into()).err().map(|refusal| refusal.code)
 }
 
@@ -25,7 +25,7 @@
     fixture.fail("s0-0", Symptom::Unreachable);
     fixture.round();
     assert_eq!(code(&fixture, "s0-0"), Some(FleetCode::RepairTooSoon));
-    fixture.observed.symptoms.clear();
+    fixture.observations.symptoms.clear();
     fixture.after(MINUTE);
     assert_eq!(code(&fixture, "s0-0"), Some(FleetCode::NotFailing));
     assert_eq!(repairing(&fixture), 0);
@@ -79,7 +79,7 @@
     fixture.document.placements.get_mut("s0-0").expect("placed").failure = Some(failure);
     fixture.after(MINUTE);
     let home = |fixture: &Fixture| {
-        fixture.document.placements.values().filter(|place| &*place.home == "s0").count()
+        fixture.document.placements.values().filter(|placement| &*placement.home == "s0").count()
     };
     fixture.after(MINUTE);
     assert_eq!(&*fixture.placement("s0-0").home, "spare");
@@ -96,9 +96,9 @@
         fixture.after(MINUTE);
         fixture.answer_all();
     }
-    fixture.observed.symptoms.clear();
+    fixture.observations.symptoms.clear();
     fixture.after(MINUTE);
     let placement = fixture.placement("s0-0");
     assert_eq!((placement.failure.clone(), placement.step.clone()), (None, None));
-    assert_eq!(placement.maintained, None);
+    assert_eq!(placement.maintained_at, None);
 }
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use crate::domain::Domains;
+use crate::domain::LearnedDomains;
 use crate::history::History;
 use crate::raw::unix_s;
 use crate::report::chart::{Chart, ChartError, Line};
@@ -18,7 +18,7 @@
 /// Writes the page.
 pub fn report(
     timeline: &Timeline,
-    domains: &Domains,
+    domains: &LearnedDomains,
     history: &History,
 ) -> Result<String, ChartError> {
     let mut page = String::from(HEAD);
@@ -80,7 +80,7 @@
     lines.into_iter().map(|(name, points)| Line { name, points }).collect()
 }
 
-fn write_domains(page: &mut String, domains: &Domains) {
+fn write_domains(page: &mut String, domains: &LearnedDomains) {
     page.push_str("<section><h2>Suspected failure domains</h2><table><tr><th>domain</th>");
     page.push_str("<th>zone</th><th>shared failures</th><th>nats</th><th>instances</th></tr>");
     for group in domains.suspected() {
@@ -88,7 +88,7 @@
         let _ = write!(
             page,
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{:.1}</td><td>{}</td></tr>",
-            group.domain(),
+            group.domain_id(),
             escape(&group.zone),
             group.bursts,
             group.score_nats,
--- a/crates/fleet/src/report/tests.rs
+++ b/crates/fleet/src/report/tests.rs
@@ -12,19 +12,19 @@
     let mut history = History::default();
     for minute in 0..3_000_u64 {
         if minute == 120 {
-            fixture.observed.symptoms.clear();
+            fixture.observations.symptoms.clear();
         }
         if minute == 100 {
             for id in ["s0-1", "s0-4", "s1-7"] {
                 fixture.fail(id, Symptom::Hanging);
-                fixture.domains.note(&id.into(), fixture.now, &fixture.listed);
+                fixture.domains.record_failure(&id.into(), fixture.now, &fixture.listed);
             }
         }
         fixture.now = monday() + Duration::from_secs(minute * 60);
         fixture.domains.advance(fixture.now, &fixture.listed);
         let plan = fixture.round();
         fixture.answer_all();
-        timeline.note(&fixture.view(), &fixture.policy, &plan);
+        timeline.record_round(&fixture.view(), &fixture.policy, &plan);
         history.extend(plan.decisions);
     }
     (fixture, timeline, history)
@@ -64,13 +64,13 @@
     let mut timeline = Timeline::default();
     let mut note = |fixture: &mut Fixture| {
         let plan = fixture.after(Duration::from_secs(60));
-        timeline.note(&fixture.view(), &fixture.policy, &plan);
+        timeline.record_round(&fixture.view(), &fixture.policy, &plan);
         timeline.samples[0].services["s0"].available
     };
     let before = note(&mut fixture);
     fixture.fail("s0-0", Symptom::Hanging);
     let during = note(&mut fixture);
-    fixture.observed.symptoms.clear();
+    fixture.observations.symptoms.clear();
     let after = note(&mut fixture);
     assert_eq!((before, during, after), (9, 8, 8));
 }
--- a/crates/fleet/src/tests/fixture.rs
+++ b/crates/fleet/src/tests/fixture.rs
@@ -8,10 +8,10 @@
 
 use crate::demand::Trends;
 use crate::document::{FleetDocument, Phase, Placement, Step, StepKind, Symptom};
-use crate::domain::Domains;
+use crate::domain::LearnedDomains;
 use crate::plan::{Plan, plan};
 use crate::policy::Policy;
-use crate::view::{Answers, Demand, Listed, Observed, View};
+use crate::view::{CompletedRequests, Demand, ListedInstances, Observations, View};
 
 /// Monday, 2026-01-05, 00:00 UTC.
 pub fn monday() -> SystemTime {
@@ -33,12 +33,12 @@
 
 pub struct Fixture {
     pub config: Config,
-    pub listed: Listed,
-    pub observed: Observed,
+    pub listed: ListedInstances,
+    pub observations: Observations,
     pub document: FleetDocument,
-    pub domains: Domains,
+    pub domains: LearnedDomains,
     pub trends: Trends,
-    pub answers: Answers,
+    pub completed: CompletedRequests,
     pub policy: Policy,
     pub now: SystemTime,
 }
@@ -49,11 +49,11 @@
         let mut fixture = Self {
             config: config(layout, |_| {}),
             listed: listed(layout),
-            observed: Observed::default(),
+            observations: Observations::default(),
             document: FleetDocument::default(),
-            domains: Domains::default(),
+            domains: LearnedDomains::default(),
             trends: Trends::default(),
-            answers: Answers::default(),
+            completed: CompletedRequests::default(),
             policy: Policy::default(),
             now: monday(),
         };
@@ -77,10 +77,10 @@
             config: &self.config,
             document: &self.document,
             listed: &self.listed,
-            observed: &self.observed,
+            observations: &self.observations,
             domains: &self.domains,
             trends: &self.trends,
-            answers: &self.answers,
+            completed: &self.completed,
         }
     }
 
@@ -92,7 +92,7 @@
         }
         self.document = plan.next.clone();
         self.trends = plan.trends.clone();
-        self.observed.confirmed = self.document.number;
+        self.observations.confirmed = self.document.number;
         plan
     }
 
@@ -123,18 +123,18 @@
             let Some(step) = &placement.step else { continue };
             match step.phase {
                 Phase::Draining => {}
-                Phase::Rebooting => drop(self.answers.rebooted.insert(step.request_id(id))),
-                Phase::Trying => drop(self.answers.tried.insert(step.request_id(id))),
+                Phase::Rebooting => drop(self.completed.reboots.insert(step.request_id(id))),
+                Phase::Trying => drop(self.completed.trials.insert(step.request_id(id))),
             }
         }
     }
 
     pub fn fail(&mut self, id: &str, symptom: Symptom) {
-        self.observed.symptoms.insert(id.into(), symptom);
+        self.observations.symptoms.insert(id.into(), symptom);
     }
 
     pub fn demand(&mut self, service: &str, waiting: u32) {
-        self.observed.demand.insert(service.into(), Demand { running: 0, waiting });
+        self.observations.demand.insert(service.into(), Demand { running: 0, waiting });
     }
 
     pub fn placement(&self, id: &str) -> &Placement {
@@ -145,11 +145,11 @@
         self.placement(id).step.as_ref()
     }
 
-    /// Ids of the instances with a step that `choose` picks.
-    pub fn stepping(&self, choose: impl Fn(&StepKind) -> bool) -> Vec<InstanceId> {
+    /// Ids of the instances with a step that `predicate` picks.
+    pub fn stepping(&self, predicate: impl Fn(&StepKind) -> bool) -> Vec<InstanceId> {
         let placements = self.document.placements.iter();
         let chosen = placements.filter(|(_, placement)| {
-            placement.step.as_ref().is_some_and(|step| choose(&step.kind))
+            placement.step.as_ref().is_some_and(|step| predicate(&step.kind))
         });
         chosen.map(|(id, _)| id.clone()).collect()
     }
@@ -187,10 +187,10 @@
 }
 
 /// Instances of `layout`: zones in turn, four to a rack, racks shared by all services.
-pub fn listed(layout: &Layout) -> Listed {
+pub fn listed(layout: &Layout) -> ListedInstances {
     let pools = (0..layout.services).map(|service| (format!("s{service}"), layout.per_service));
     let mut racked = vec![0; layout.zones];
-    let mut listed = Listed::new();
+    let mut listed = ListedInstances::new();
     for (pool, count) in pools.chain([("spare".to_owned(), layout.spare)]) {
         for number in 0..count {
             let zone = number % layout.zones;
--- a/crates/fleet/src/tests/race.rs
+++ b/crates/fleet/src/tests/race.rs
@@ -20,7 +20,7 @@
 use crate::policy::Policy;
 use crate::tests::fixture::{Layout, config, listed, monday};
 use crate::tests::schedule::broken_by_plan;
-use crate::view::{Listed, Observed};
+use crate::view::{ListedInstances, Observations};
 
 const LAYOUT: Layout = Layout { zones: 3, services: 2, per_service: 8, spare: 2, floor: 0.6 };
 
@@ -61,14 +61,14 @@
         Some(self.config.clone())
     }
 
-    fn observe(&self) -> Option<Observed> {
+    fn observations(&self) -> Option<Observations> {
         let world = self.world.lock().expect("no test panics while it holds the lock");
         let failing = world.failing.iter().map(|id| (id.clone(), Symptom::Unreachable));
         let confirmed = self.handle.load().number();
-        Some(Observed { confirmed, symptoms: failing.collect(), ..Observed::default() })
+        Some(Observations { confirmed, symptoms: failing.collect(), ..Observations::default() })
     }
 
-    async fn try_instance(&self, instance: &ListedInstance) -> bool {
+    async fn send_trial_request(&self, instance: &ListedInstance) -> bool {
         let world = self.world.lock().expect("no test panics while it holds the lock");
         !world.failing.contains(&instance.id)
     }
@@ -121,7 +121,7 @@
     pub instances: MemoryInstances,
     world: Arc<Mutex<World>>,
     config: Arc<Config>,
-    listed: Listed,
+    listed: ListedInstances,
     /// Worlds since the last document was written.
     worlds: Vec<World>,
     document: FleetDocument,
@@ -145,7 +145,7 @@
             let handle = FleetHandle::default();
             let client = store.client(name);
             let (follower, followed) = (handle.clone(), client.clone());
-            tokio::spawn(async move { follower.follow(followed).await });
+            tokio::spawn(async move { follower.watch_store(followed).await });
             let surroundings = Surroundings {
                 store: client,
                 instances: instances.clone(),
@@ -246,8 +246,9 @@
         assert_eq!(document.number, self.document.number + 1);
         let fits = self.worlds.iter().any(|world| self.fits(&document, &world.failing));
         assert!(fits, "document {} breaks a budget", document.number);
-        for (id, place) in &document.placements {
-            if let Some(step) = place.step.as_ref().filter(|step| step.phase != Phase::Draining) {
+        for (id, placement) in &document.placements {
+            if let Some(step) = placement.step.as_ref().filter(|step| step.phase != Phase::Draining)
+            {
                 self.reboots.insert(step.request_id(id));
             }
         }
--- a/crates/fleet/src/tests/schedule.rs
+++ b/crates/fleet/src/tests/schedule.rs
@@ -10,7 +10,7 @@
 
 use crate::document::{FleetDocument, Phase, StepKind, Symptom};
 use crate::tests::fixture::{Fixture, Layout};
-use crate::view::Listed;
+use crate::view::ListedInstances;
 
 const LAYOUT: Layout = Layout { zones: 3, services: 3, per_service: 8, spare: 4, floor: 0.6 };
 
@@ -49,19 +49,19 @@
 /// Instances that serve `service`, counted one by one.
 pub fn serving(
     config: &Config,
-    listed: &Listed,
+    listed: &ListedInstances,
     failing: &BTreeSet<InstanceId>,
     document: &FleetDocument,
     service: &ServiceId,
 ) -> Vec<InstanceId> {
     let serves = |id: &InstanceId| {
-        let Some(place) = document.placements.get(id) else { return false };
+        let Some(placement) = document.placements.get(id) else { return false };
         let Some(instance) = listed.get(id) else { return false };
-        config.pools[&place.pool].service.as_ref() == Some(service)
+        config.pools[&placement.pool].service.as_ref() == Some(service)
             && !config.zones[&instance.zone].out
             && !failing.contains(id)
-            && place.failure.is_none()
-            && place.step.is_none()
+            && placement.failure.is_none()
+            && placement.step.is_none()
     };
     listed.keys().filter(|id| serves(id)).cloned().collect()
 }
@@ -73,8 +73,8 @@
     service: &ServiceId,
 ) -> (usize, usize) {
     let at_home = |id: &&InstanceId| {
-        let place = &document.placements[*id];
-        config.pools[&place.home].service.as_ref() == Some(service)
+        let placement = &document.placements[*id];
+        config.pools[&placement.home].service.as_ref() == Some(service)
     };
     let home = document.placements.keys().filter(at_home).count();
     (home, config.services[service].floor.instances(home))
@@ -84,7 +84,7 @@
 /// rack may fail, as far as a service at full strength could ever bear it.
 fn needed(
     config: &Config,
-    listed: &Listed,
+    listed: &ListedInstances,
     document: &FleetDocument,
     up: &[InstanceId],
     service: &ServiceId,
@@ -102,7 +102,7 @@
 /// service that is below its floor may use the reserve.
 pub fn broken_by_plan(
     config: &Config,
-    listed: &Listed,
+    listed: &ListedInstances,
     failing: &BTreeSet<InstanceId>,
     before: &FleetDocument,
     after: &FleetDocument,
@@ -111,11 +111,11 @@
     let below_floor =
         |service: &ServiceId| serving(service).len() < home_and_floor(config, after, service).1;
     let mut rescues: BTreeMap<ServiceId, bool> = BTreeMap::new();
-    for (id, place) in &after.placements {
+    for (id, placement) in &after.placements {
         let Some(old) = before.placements.get(id) else { continue };
-        let Some(step) = place.step.as_ref().filter(|_| old.step.is_none()) else { continue };
+        let Some(step) = placement.step.as_ref().filter(|_| old.step.is_none()) else { continue };
         let Some(service) = &config.pools[&old.pool].service else { continue };
-        if place.failure.is_some() || failing.contains(id) {
+        if placement.failure.is_some() || failing.contains(id) {
             continue;
         }
         let rescue = match &step.kind {
@@ -168,7 +168,7 @@
                 let hit: Vec<InstanceId> = hit.map(|instance| instance.id.clone()).collect();
                 hit.iter().for_each(|id| self.fixture.fail(id, Symptom::Hanging));
             }
-            Event::Recover => self.fixture.observed.symptoms.clear(),
+            Event::Recover => self.fixture.observations.symptoms.clear(),
             Event::ToggleZone(zone) => {
                 let zone = self.fixture.config.zones.get_mut(&*format!("z{zone}"));
                 let zone = zone.expect("the zone exists");
@@ -177,9 +177,9 @@
             Event::Demand(service, count) => self.fixture.demand(&format!("s{service}"), *count),
             Event::Run(number, count) => {
                 let id = self.id(*number);
-                self.fixture.observed.running.insert(id, *count);
+                self.fixture.observations.running.insert(id, *count);
             }
-            Event::Idle => self.fixture.observed.running.clear(),
+            Event::Idle => self.fixture.observations.running.clear(),
             Event::Confirm(confirming) => self.confirming = *confirming,
             Event::Answer => self.fixture.answer_all(),
             Event::Wait(seconds) => self.fixture.now += Duration::from_secs(*seconds),
@@ -188,34 +188,34 @@
 
     fn round(&mut self) {
         let before = self.fixture.document.clone();
-        let confirmed = self.fixture.observed.confirmed;
+        let confirmed = self.fixture.observations.confirmed;
         self.fixture.round();
         if !self.confirming {
-            self.fixture.observed.confirmed = confirmed;
+            self.fixture.observations.confirmed = confirmed;
         }
         self.check_budgets(&before);
         self.check_steps(&before, confirmed);
     }
 
     fn check_budgets(&self, before: &FleetDocument) {
-        let Fixture { config, listed, document, observed, .. } = &self.fixture;
-        let failing: BTreeSet<InstanceId> = observed.symptoms.keys().cloned().collect();
+        let Fixture { config, listed, document, observations, .. } = &self.fixture;
+        let failing: BTreeSet<InstanceId> = observations.symptoms.keys().cloned().collect();
         let broken = broken_by_plan(config, listed, &failing, before, document);
         assert_eq!(broken, None, "the budget of a service is broken");
     }
 
     /// Reboots and moves only what is drained, everywhere confirmed, or failing for long.
     fn check_steps(&self, before: &FleetDocument, confirmed: u64) {
-        for (id, place) in &self.fixture.document.placements {
+        for (id, placement) in &self.fixture.document.placements {
             let Some(old) = before.placements.get(id) else { continue };
             let Some(step) = &old.step else { continue };
-            let running = self.fixture.observed.running(id);
-            let rebooting = place.step.as_ref().is_some_and(|it| it.phase == Phase::Rebooting);
+            let running = self.fixture.observations.running(id);
+            let rebooting = placement.step.as_ref().is_some_and(|it| it.phase == Phase::Rebooting);
             // Nothing runs on a spare instance, so it needs no drain.
-            let moved = place.pool != old.pool && &*old.pool != "spare";
+            let moved = placement.pool != old.pool && &*old.pool != "spare";
             if step.phase == Phase::Draining && (rebooting || moved) {
-                assert!(confirmed >= step.number, "{id} was not out of work everywhere");
-                assert!(running == 0 || old.failure.is_some() || place.failure.is_some());
+                assert!(confirmed >= step.document_number, "{id} was not out of work everywhere");
+                assert!(running == 0 || old.failure.is_some() || placement.failure.is_some());
             }
             if moved && step.phase != Phase::Trying {
                 assert!(matches!(step.kind, StepKind::Move { .. }));
--- a/crates/fleet/src/timeline.rs
+++ b/crates/fleet/src/timeline.rs
@@ -7,7 +7,7 @@
 use cassiafold_platform::{Document, Store, StoreError};
 use serde::{Deserialize, Serialize};
 
-use crate::controller::keep::read;
+use crate::controller::persistence::read;
 use crate::document::StepKind;
 use crate::domain::DomainIndex;
 use crate::event::FleetEvent;
@@ -102,7 +102,7 @@
     }
 
     /// Takes a planning round in. Returns whether a new interval began.
-    pub fn note(&mut self, view: &View<'_>, policy: &Policy, plan: &Plan) -> bool {
+    pub fn record_round(&mut self, view: &View<'_>, policy: &Policy, plan: &Plan) -> bool {
         let sample = Sample::of(view, policy, plan);
         let now = unix_s(view.now);
         let begins = self
@@ -139,7 +139,7 @@
             sample.waves.insert(id.clone(), done);
         }
         for group in view.domains.suspected() {
-            sample.suspected.insert(group.domain(), group.members.len() as u32);
+            sample.suspected.insert(group.domain_id(), group.members.len() as u32);
         }
         sample.moves = plan.decisions.iter().filter(|decision| is_move(decision)).count() as u32;
         sample
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -8,10 +8,10 @@
 
 use crate::demand::Trends;
 use crate::document::{DocumentNumber, FleetDocument, Placement, RequestId, Symptom};
-use crate::domain::Domains;
+use crate::domain::LearnedDomains;
 
 /// Instances as the platform lists them, by id.
-pub type Listed = BTreeMap<InstanceId, ListedInstance>;
+pub type ListedInstances = BTreeMap<InstanceId, ListedInstance>;
 
 /// Demand for a service over all entry instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -24,7 +24,7 @@
 
 /// What the entry instances report, merged over all of them.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Observed {
+pub struct Observations {
     /// Lowest document number on which every live entry instance acts: none of them gives new
     /// work to an instance that has a step in a document up to this number.
     pub confirmed: DocumentNumber,
@@ -36,10 +36,10 @@
     /// Demand by service.
     pub demand: BTreeMap<ServiceId, Demand>,
     /// Zones whose entry instances may be at work without confirming. No step starts there.
-    pub silent_zones: BTreeSet<ZoneId>,
+    pub unconfirmed_zones: BTreeSet<ZoneId>,
 }
 
-impl Observed {
+impl Observations {
     /// Requests that run on `instance`.
     pub fn running(&self, instance: &InstanceId) -> u32 {
         self.running.get(instance).copied().unwrap_or(0)
@@ -56,34 +56,34 @@
     /// Fleet document on which the round builds.
     pub document: &'a FleetDocument,
     /// Instances that the platform lists.
-    pub listed: &'a Listed,
+    pub listed: &'a ListedInstances,
     /// Reports of the entry instances.
-    pub observed: &'a Observed,
+    pub observations: &'a Observations,
     /// Learned failure domains.
-    pub domains: &'a Domains,
+    pub domains: &'a LearnedDomains,
     /// Since when each service has been short or quiet.
     pub trends: &'a Trends,
     /// What the platform and the instances have answered.
-    pub answers: &'a Answers,
+    pub completed: &'a CompletedRequests,
 }
 
 /// Answers to reboot and trial requests, kept by the controller. Losing them only repeats a
 /// request that is idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Answers {
+pub struct CompletedRequests {
     /// Reboots that the platform has carried out.
-    pub rebooted: BTreeSet<RequestId>,
+    pub reboots: BTreeSet<RequestId>,
     /// Reboots after which a trial request has succeeded.
-    pub tried: BTreeSet<RequestId>,
+    pub trials: BTreeSet<RequestId>,
 }
 
 impl View<'_> {
     /// Whether an instance is up and in an open zone, apart from steps.
     pub fn healthy(&self, id: &InstanceId, placement: &Placement) -> bool {
         let listed = self.listed.get(id);
-        placement.vanished.is_none()
+        placement.missing_since.is_none()
             && placement.failure.is_none()
-            && !self.observed.symptoms.contains_key(id)
+            && !self.observations.symptoms.contains_key(id)
             && listed.is_some_and(|listed| {
                 listed.state == InstanceState::Live && self.config.zone_open(&listed.zone)
             })
@@ -100,7 +100,8 @@
     }
 
     /// Whether steps may start in the zone of `listed`.
-    pub fn zone_steady(&self, listed: &ListedInstance) -> bool {
-        self.config.zone_open(&listed.zone) && !self.observed.silent_zones.contains(&listed.zone)
+    pub fn zone_allows_steps(&self, listed: &ListedInstance) -> bool {
+        self.config.zone_open(&listed.zone)
+            && !self.observations.unconfirmed_zones.contains(&listed.zone)
     }
 }
--- a/crates/fleet/src/wave.rs
+++ b/crates/fleet/src/wave.rs
@@ -14,10 +14,10 @@
 use crate::domain::DomainId;
 use crate::event::FleetEvent;
 use crate::plan::Round;
-use crate::policy::at_least_one;
-use crate::wave::hours::in_blackout;
+use crate::policy::limit_for_share;
+use crate::wave::blackout::in_blackout;
 
-pub mod hours;
+pub mod blackout;
 mod status;
 
 pub use status::WaveStatus;
@@ -27,7 +27,7 @@
 pub(crate) fn start(round: &mut Round<'_>) {
     let config = round.view.config;
     for (id, wave) in &config.waves {
-        if pause(round, wave).is_some() {
+        if pause_reason(round, wave).is_some() {
             continue;
         }
         let Some(zone) = active_zone(round, wave) else {
@@ -51,7 +51,7 @@
     let pool = placement.pool.clone();
     let inputs = budget_inputs(round, id, placement);
     round.start_step(id, StepKind::Maintain { wave: wave.clone() });
-    round.push(FleetEvent::MaintenanceStarted, id, &pool, Some(wave.clone()), inputs);
+    round.record_in_wave(FleetEvent::MaintenanceStarted, id, &pool, Some(wave.clone()), inputs);
 }
 
 fn budget_inputs(round: &Round<'_>, id: &InstanceId, placement: &Placement) -> Inputs {
@@ -70,19 +70,24 @@
 }
 
 /// Whether a wave covers an instance: by zone, and by home pool.
-pub(crate) fn covers(round: &Round<'_>, wave: &Wave, id: &InstanceId, place: &Placement) -> bool {
+pub(crate) fn covers(
+    round: &Round<'_>,
+    wave: &Wave,
+    id: &InstanceId,
+    placement: &Placement,
+) -> bool {
     let listed = round.view.listed.get(id);
     listed.is_some_and(|listed| wave.zones.contains(&listed.zone))
-        && (wave.pools.is_empty() || wave.pools.contains(&place.home))
+        && (wave.pools.is_empty() || wave.pools.contains(&placement.home))
 }
 
 /// Whether the instance was maintained in this wave.
-pub(crate) fn done(wave: &Wave, placement: &Placement) -> bool {
-    placement.maintained.is_some_and(|time| time >= wave.start)
+pub(crate) fn is_done(wave: &Wave, placement: &Placement) -> bool {
+    placement.maintained_at.is_some_and(|time| time >= wave.start)
 }
 
 /// Rule that holds back the whole wave, if any.
-pub(crate) fn pause(round: &Round<'_>, wave: &Wave) -> Option<FleetCode> {
+pub(crate) fn pause_reason(round: &Round<'_>, wave: &Wave) -> Option<FleetCode> {
     if round.now < wave.start {
         return Some(FleetCode::WaveNotStarted);
     }
@@ -107,7 +112,7 @@
 }
 
 fn pause_limit(round: &Round<'_>) -> usize {
-    let share = at_least_one(round.policy.pause_share, round.next.placements.len());
+    let share = limit_for_share(round.policy.pause_share, round.next.placements.len());
     share.max(round.policy.pause_min)
 }
 
@@ -128,7 +133,7 @@
         round.placements().any(|(id, placement)| {
             round.view.listed.get(id).is_some_and(|listed| listed.zone == *zone)
                 && covers(round, wave, id, placement)
-                && !done(wave, placement)
+                && !is_done(wave, placement)
                 && holds_up(round, id, placement)
         })
     };
@@ -145,7 +150,7 @@
     let waiting = round.placements().filter(|(id, placement)| {
         round.view.listed.get(*id).is_some_and(|listed| listed.zone == *zone)
             && covers(round, wave, id, placement)
-            && !done(wave, placement)
+            && !is_done(wave, placement)
             && placement.step.is_none()
     });
     let mut waiting: Vec<(DomainId, InstanceId)> =
@@ -161,7 +166,7 @@
 }
 
 fn parallel_limit(round: &Round<'_>) -> bool {
-    let limit = at_least_one(round.policy.maintenance_share_max, round.next.placements.len());
+    let limit = limit_for_share(round.policy.maintenance_share_max, round.next.placements.len());
     round.steps(|step| matches!(step.kind, StepKind::Maintain { .. })) >= limit
 }
 
@@ -175,10 +180,10 @@
     if !round.view.config.zone_open(&listed.zone) {
         return Err(FleetCode::ZoneOut.into());
     }
-    if !round.view.zone_steady(listed) {
+    if !round.view.zone_allows_steps(listed) {
         return Err(FleetCode::ZoneSilent.into());
     }
-    if placement.failure.is_some() || round.view.observed.symptoms.contains_key(id) {
+    if placement.failure.is_some() || round.view.observations.symptoms.contains_key(id) {
         return Err(FleetCode::Failing.into());
     }
     if !round.view.healthy(id, placement) {
@@ -190,9 +195,9 @@
     check_service(round, id, placement)
 }
 
-fn check_service(round: &Round<'_>, id: &InstanceId, place: &Placement) -> Result<(), Refusal> {
-    let Some(service) = round.view.service_of(place) else {
-        return check_spare(round, place);
+fn check_service(round: &Round<'_>, id: &InstanceId, placement: &Placement) -> Result<(), Refusal> {
+    let Some(service) = round.view.service_of(placement) else {
+        return check_spare(round, placement);
     };
     round.budgets.check(service, id)?;
     let available = round.budgets.get(service).map_or(0, |budget| budget.available);
@@ -212,27 +217,27 @@
         total += 1;
         stepping += usize::from(other.step.is_some());
     }
-    if stepping >= at_least_one(round.policy.spare_share_max, total) {
+    if stepping >= limit_for_share(round.policy.spare_share_max, total) {
         return Err(FleetCode::ParallelLimit.into());
     }
     Ok(())
 }
 
 /// Why maintenance of `id` does not start now; [`FleetCode::Due`] when nothing holds it back.
-pub(crate) fn why_not(round: &Round<'_>, id: &InstanceId) -> Refusal {
+pub(crate) fn maintenance_refusal(round: &Round<'_>, id: &InstanceId) -> Refusal {
     let Some(placement) = round.next.placements.get(id) else {
         return FleetCode::UnknownInstance.into();
     };
     let waves = round.view.config.waves.values();
     let covering: Vec<&Wave> = waves.filter(|wave| covers(round, wave, id, placement)).collect();
-    let Some(wave) = covering.iter().find(|wave| !done(wave, placement)).copied() else {
+    let Some(wave) = covering.iter().find(|wave| !is_done(wave, placement)).copied() else {
         let code = if covering.is_empty() { FleetCode::NoWave } else { FleetCode::Maintained };
         return code.into();
     };
     if placement.step.is_some() {
         return FleetCode::StepInProgress.into();
     }
-    if let Some(code) = pause(round, wave) {
+    if let Some(code) = pause_reason(round, wave) {
         return code.into();
     }
     if let Err(refusal) = check_instance(round, id) {
@@ -248,7 +253,7 @@
 
 /// Whether the instance was last maintained longer ago than the period allows.
 pub(crate) fn overdue(round: &Round<'_>, placement: &Placement) -> bool {
-    let since = placement.maintained.unwrap_or(SystemTime::UNIX_EPOCH);
+    let since = placement.maintained_at.unwrap_or(SystemTime::UNIX_EPOCH);
     let age = round.now.duration_since(since).unwrap_or_default();
     age > round.policy.maintenance_period
 }
--- a/crates/fleet/src/wave/hours.rs
+++ b/crates/fleet/src/wave/blackout.rs
@@ -21,7 +21,7 @@
 }
 
 /// Time outside blackout hours from `from` to `to`.
-pub fn open_time(wave: &Wave, from: SystemTime, to: SystemTime) -> Duration {
+pub fn time_outside_blackouts(wave: &Wave, from: SystemTime, to: SystemTime) -> Duration {
     let mut open = Duration::ZERO;
     let mut time = from;
     while time < to {
@@ -35,7 +35,7 @@
 }
 
 /// When `work` outside blackout hours, begun at `from`, ends; `None` beyond `limit`.
-pub fn end_of_work(
+pub fn completion_time(
     wave: &Wave,
     from: SystemTime,
     work: Duration,
--- a/crates/fleet/src/wave/status.rs
+++ b/crates/fleet/src/wave/status.rs
@@ -6,8 +6,8 @@
 
 use crate::code::FleetCode;
 use crate::plan::Round;
-use crate::wave::hours::{end_of_work, open_time};
-use crate::wave::{covers, done, overdue, pause};
+use crate::wave::blackout::{completion_time, time_outside_blackouts};
+use crate::wave::{covers, is_done, overdue, pause_reason};
 
 /// Furthest expected end that is worked out.
 const FORECAST_MAX: Duration = Duration::from_secs(90 * 86_400);
@@ -24,7 +24,7 @@
     /// Instances under maintenance.
     pub in_progress: usize,
     /// Instances that wait for a second try after a drain was given up, or are failing.
-    pub set_back: usize,
+    pub deferred: usize,
     /// Instances last maintained longer ago than the maintenance period.
     pub overdue: usize,
     /// Why no step starts, when the wave as a whole is held back.
@@ -49,7 +49,7 @@
     total: usize,
     done: usize,
     in_progress: usize,
-    set_back: usize,
+    deferred: usize,
     overdue: usize,
 }
 
@@ -64,15 +64,15 @@
         let later = placement.not_before.is_some_and(|time| time > round.now);
         state.total += 1;
         state.overdue += usize::from(overdue(round, placement));
-        if done(wave, placement) {
+        if is_done(wave, placement) {
             state.done += 1;
         } else if placement.step.is_some() {
             state.in_progress += 1;
         } else if later || placement.failure.is_some() {
-            state.set_back += 1;
+            state.deferred += 1;
         }
     }
-    let elapsed = open_time(wave, wave.start, round.now);
+    let elapsed = time_outside_blackouts(wave, wave.start, round.now);
     let remaining = state.total - state.done;
     let work = elapsed.checked_div(state.done as u32).map(|each| each * remaining as u32);
     Some(WaveStatus {
@@ -80,10 +80,10 @@
         total: state.total,
         done: state.done,
         in_progress: state.in_progress,
-        set_back: state.set_back,
+        deferred: state.deferred,
         overdue: state.overdue,
-        paused: pause(round, wave),
+        paused: pause_reason(round, wave),
         deadline: wave.deadline,
-        expected_end: work.and_then(|work| end_of_work(wave, round.now, work, FORECAST_MAX)),
+        expected_end: work.and_then(|work| completion_time(wave, round.now, work, FORECAST_MAX)),
     })
 }
--- a/crates/fleet/src/wave/tests.rs
+++ b/crates/fleet/src/wave/tests.rs
@@ -6,8 +6,8 @@
 use crate::explain::wave_status;
 use crate::plan::Round;
 use crate::tests::fixture::{Fixture, Layout, SMALL, config, monday};
-use crate::wave::hours::{end_of_work, in_blackout, open_time};
-use crate::wave::{WaveStatus, why_not};
+use crate::wave::blackout::{completion_time, in_blackout, time_outside_blackouts};
+use crate::wave::{WaveStatus, maintenance_refusal};
 
 const MINUTE: Duration = Duration::from_secs(60);
 const HOUR: Duration = Duration::from_secs(3_600);
@@ -19,8 +19,8 @@
 fn code(fixture: &Fixture, id: &str) -> FleetCode {
     let view = fixture.view();
     let mut round = Round::new(&view, &fixture.policy);
-    round.count();
-    why_not(&round, &id.into()).code
+    round.count_budgets();
+    maintenance_refusal(&round, &id.into()).code
 }
 
 /// Runs rounds until the wave is done; returns the order in which zones were maintained.
@@ -92,7 +92,7 @@
         fixture.config.zones.get_mut("z0").expect("the zone exists").out = true;
     };
     zone_silent: ZoneSilent, "s0-0", |fixture| {
-        fixture.observed.silent_zones.insert("z0".into());
+        fixture.observations.unconfirmed_zones.insert("z0".into());
     };
     failing: Failing, "s0-0", |fixture| {
         fixture.fail("s0-0", Symptom::Hanging);
@@ -110,7 +110,7 @@
         service.floor = cassiafold_config::Floor::Count(9);
     };
     demand_high: DemandHigh, "s0-0", |fixture| {
-        fixture.policy.spare_kept = 3;
+        fixture.policy.spare_reserved = 3;
         fixture.demand("s0", 9 * 8);
     };
     later_zone: EarlierZone, "s0-1", |_| {};
@@ -144,7 +144,7 @@
     fixture.fail("s1-1", Symptom::Hanging);
     fixture.round();
     assert_eq!(status(&fixture).paused, Some(FleetCode::PausedByFailures));
-    fixture.observed.symptoms.clear();
+    fixture.observations.symptoms.clear();
     fixture.after(MINUTE);
     assert_eq!(status(&fixture).paused, None);
 }
@@ -185,10 +185,10 @@
 #[test]
 fn forecast_leaves_blackout_hours_out() {
     let (wave, six) = saturday_morning();
-    assert_eq!(open_time(&wave, six - HOUR, six + 7 * HOUR), 2 * HOUR);
-    let end = end_of_work(&wave, six - HOUR, 2 * HOUR, 48 * HOUR);
+    assert_eq!(time_outside_blackouts(&wave, six - HOUR, six + 7 * HOUR), 2 * HOUR);
+    let end = completion_time(&wave, six - HOUR, 2 * HOUR, 48 * HOUR);
     assert_eq!(end, Some(six + 7 * HOUR));
-    assert_eq!(end_of_work(&wave, six, 2 * HOUR, HOUR), None);
+    assert_eq!(completion_time(&wave, six, 2 * HOUR, HOUR), None);
 }
 
 #[test]
@@ -215,7 +215,7 @@
             .document
             .placements
             .iter()
-            .filter(|(id, place)| &*place.pool == service && !down.contains(*id))
+            .filter(|(id, placement)| &*placement.pool == service && !down.contains(*id))
             .map(|(id, _)| &fixture.listed[id])
             .collect();
         let racks: BTreeSet<_> = up.iter().map(|it| (&it.zone, &it.rack)).collect();
--- a/crates/operators/src/fleet_wire.rs
+++ b/crates/operators/src/fleet_wire.rs
@@ -5,7 +5,7 @@
 
 use cassiafold_config::{InstanceId, ZoneId};
 use cassiafold_fleet::FleetCode;
-use cassiafold_fleet::explain::WhyNot as FleetWhyNot;
+use cassiafold_fleet::explain::BlockedStep;
 use serde_json::Value;
 
 use crate::source::{Decision, Explanation, Fact, Inputs, Reason, WaveStatus, WhyNot};
@@ -18,18 +18,18 @@
         };
         Self {
             facts: explanation.facts.into_iter().map(fact).collect(),
-            why_not: explanation.why_not.into_iter().map(WhyNot::from).collect(),
+            why_not: explanation.blocked_steps.into_iter().map(WhyNot::from).collect(),
             decisions: explanation.decisions.into_iter().map(Decision::from).collect(),
         }
     }
 }
 
-impl From<FleetWhyNot> for WhyNot {
-    fn from(why_not: FleetWhyNot) -> Self {
+impl From<BlockedStep> for WhyNot {
+    fn from(blocked: BlockedStep) -> Self {
         Self {
-            step: why_not.step.into(),
-            reason: why_not.refusal.code.into(),
-            inputs: inputs(&why_not.refusal.inputs),
+            step: blocked.step.into(),
+            reason: blocked.refusal.code.into(),
+            inputs: inputs(&blocked.refusal.inputs),
         }
     }
 }
@@ -72,7 +72,7 @@
             done: count(status.done),
             in_progress,
             zone,
-            set_back: count(status.set_back),
+            set_back: count(status.deferred),
             overdue: count(status.overdue),
             held_back: status.paused.map(Reason::from),
             deadline_unix_s: unix_s(status.deadline),
--- a/crates/operators/src/fleet_wire/tests.rs
+++ b/crates/operators/src/fleet_wire/tests.rs
@@ -1,7 +1,7 @@
 use std::time::{Duration, UNIX_EPOCH};
 
 use cassiafold_fleet::decision::Inputs;
-use cassiafold_fleet::explain::{Fact, WhyNot};
+use cassiafold_fleet::explain::{BlockedStep, Fact};
 use cassiafold_fleet::{Decision, FleetCode, FleetEvent, Refusal};
 
 use crate::source::Explanation;
@@ -12,7 +12,7 @@
     let refusal = Refusal { code: FleetCode::BudgetShort, inputs: budget };
     let explanation = cassiafold_fleet::Explanation {
         facts: vec![Fact { name: "pool", value: "portal".into() }],
-        why_not: vec![WhyNot { step: "maintenance", refusal }],
+        blocked_steps: vec![BlockedStep { step: "maintenance", refusal }],
         decisions: vec![Decision {
             at: UNIX_EPOCH + Duration::from_millis(1_500),
             event: FleetEvent::MoveStarted,
