--- a/crates/dispatch/src/service_queue.rs
+++ b/crates/dispatch/src/service_queue.rs
@@ -7,13 +7,13 @@
 use cassiafold_config::{Config, Instance, ServiceId, TeamId};
 use tokio::time::Instant;
 
+use crate::accepted_request::AcceptedRequest;
 use crate::code::DispatchCode;
 use crate::estimate::Estimate;
 use crate::fair::FairQueue;
 use crate::observe::TeamUsage;
-use crate::order::Order;
 use crate::problem::Problem;
-use crate::start::{End, Ended};
+use crate::slot_grant::{EndReason, FinishedRequest};
 
 /// Slot time that a first request of a team is charged, in seconds.
 const COST_FIRST_S: f64 = 0.05;
@@ -22,9 +22,9 @@
 
 /// A request that waits for its turn.
 #[derive(Debug)]
-pub struct Waiting<R> {
+pub struct WaitingRequest<R> {
     /// The request.
-    pub order: Arc<Order>,
+    pub request: Arc<AcceptedRequest>,
     /// Instances that failed the request before.
     pub avoid: Vec<Instance>,
     /// Where the outcome of the wait goes.
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct ServiceQueue<R> {
     /// Requests that wait.
-    pub fair: FairQueue<Waiting<R>>,
+    pub waiting: FairQueue<WaitingRequest<R>>,
     /// Requests that hold a slot.
     pub running: u32,
     /// Time that requests hold a slot.
@@ -55,7 +55,7 @@
 impl<R> Default for ServiceQueue<R> {
     fn default() -> Self {
         Self {
-            fair: FairQueue::default(),
+            waiting: FairQueue::default(),
             running: 0,
             service_time: Estimate::default(),
             teams: HashMap::new(),
@@ -67,12 +67,12 @@
     /// Forgets teams that are idle and no longer configured.
     pub fn retain_teams(&mut self, config: &Config) {
         self.teams.retain(|team, known| known.running > 0 || config.teams.contains_key(team));
-        self.fair.retain(|team| config.teams.contains_key(team));
+        self.waiting.retain(|team| config.teams.contains_key(team));
     }
 
     /// Whether nothing runs or waits.
     pub fn is_idle(&self) -> bool {
-        self.running == 0 && self.fair.is_empty()
+        self.running == 0 && self.waiting.is_empty()
     }
 
     /// Requests of `team` that hold a slot.
@@ -81,7 +81,7 @@
     }
 
     /// Notes whether `team` runs its part of the slots, `running_max`, and returns it.
-    pub fn note_share(&mut self, team: &TeamId, running_max: Option<u32>) -> bool {
+    pub fn update_over_share(&mut self, team: &TeamId, running_max: Option<u32>) -> bool {
         let account = self.teams.entry(team.clone()).or_default();
         account.over_share = running_max.is_some_and(|most| account.running >= most.max(1));
         account.over_share
@@ -90,11 +90,11 @@
     /// Whether `team` waits for its upper limit.
     pub fn is_at_limit(&self, team: &TeamId) -> bool {
         let over_share = self.teams.get(team).is_some_and(|account| account.over_share);
-        self.fair.is_blocked(team) && !over_share
+        self.waiting.is_blocked(team) && !over_share
     }
 
     /// Takes in the start of a request of `team`. Returns the slot time to charge, in seconds.
-    pub fn begin(&mut self, team: &TeamId) -> f64 {
+    pub fn record_start(&mut self, team: &TeamId) -> f64 {
         let cost_s = self.mean_s(team).unwrap_or(COST_FIRST_S);
         self.teams.entry(team.clone()).or_default().running += 1;
         self.running += 1;
@@ -102,17 +102,21 @@
     }
 
     /// Takes in the end of a request and corrects what its team was charged.
-    pub fn end(&mut self, ended: &Ended<'_>) {
-        let team = &ended.order.team;
+    pub fn record_end(&mut self, finished: &FinishedRequest<'_>) {
+        let team = &finished.request.team;
         self.running -= 1;
         let account = self.teams.entry(team.clone()).or_default();
         account.running = account.running.saturating_sub(1);
-        if ended.end == End::Completed {
-            account.service_time.record(ended.held);
-            self.service_time.record(ended.held);
+        if finished.end_reason == EndReason::Completed {
+            account.service_time.record(finished.held);
+            self.service_time.record(finished.held);
         }
-        let used_s = if ended.end == End::NotRun { 0.0 } else { ended.held.as_secs_f64() };
-        self.fair.charge(team, used_s - ended.cost_s);
+        let used_s = if finished.end_reason == EndReason::NotRun {
+            0.0
+        } else {
+            finished.held.as_secs_f64()
+        };
+        self.waiting.charge(team, used_s - finished.cost_s);
     }
 
     /// Mean time that requests of `team` hold a slot, or else those of all teams, in seconds.
@@ -122,40 +126,40 @@
     }
 
     /// Mean time that a request of `team` takes once started; zero while nothing is known.
-    pub fn expected_run(&self, team: &TeamId) -> Duration {
+    pub fn expected_service_time(&self, team: &TeamId) -> Duration {
         Duration::try_from_secs_f64(self.mean_s(team).unwrap_or(0.0)).unwrap_or_default()
     }
 
     /// Expected wait of a request of `team` that arrives now: what waits before it over the rate
     /// at which slots come free. `None` while nothing is known, or while nothing waits.
     pub fn expected_wait(&self, team: &TeamId, weight: f64) -> Option<Duration> {
-        if self.fair.is_empty() || self.running == 0 {
+        if self.waiting.is_empty() || self.running == 0 {
             return None;
         }
         let mean_s = self.service_time.mean_s()?;
-        let ahead = self.fair.waiting(team) as f64 + 1.0;
-        if self.fair.is_blocked(team) {
+        let ahead = self.waiting.team_len(team) as f64 + 1.0;
+        if self.waiting.is_blocked(team) {
             let running = self.running_of(team).max(1);
             return Duration::try_from_secs_f64(ahead * mean_s / f64::from(running)).ok();
         }
         let rate = f64::from(self.running) / mean_s.max(f64::MIN_POSITIVE);
-        let joins = self.fair.waiting(team) == 0;
-        let total_weight = self.fair.backlog_weight() + if joins { weight } else { 0.0 };
+        let joins = self.waiting.team_len(team) == 0;
+        let total_weight = self.waiting.backlog_weight() + if joins { weight } else { 0.0 };
         let by_share_s = ahead * total_weight / weight / rate;
-        let by_queue_s = (self.fair.len() as f64 + 1.0) / rate;
+        let by_queue_s = (self.waiting.len() as f64 + 1.0) / rate;
         Duration::try_from_secs_f64(by_share_s.min(by_queue_s)).ok()
     }
 
     /// Why the first request of `team` may not start at all, if so. Where others wait too, a
     /// request that would hardly end in time leaves its slot to them.
     pub fn refusal(&self, team: &TeamId, config: &Config, now: Instant) -> Option<Problem> {
-        let order = &self.fair.first(team)?.order;
-        let alone = self.fair.len() == 1;
-        let end = if alone { now } else { now + self.expected_run(team) };
-        if order.deadline <= end {
+        let request = &self.waiting.first(team)?.request;
+        let alone = self.waiting.len() == 1;
+        let end = if alone { now } else { now + self.expected_service_time(team) };
+        if request.deadline <= end {
             return Some(retry_later(DispatchCode::QueueTimeout, None));
         }
-        let authorized = order.is_authorized(config);
+        let authorized = request.is_authorized(config);
         (!authorized).then(|| Problem::not_run(DispatchCode::InvalidKey))
     }
 
@@ -167,11 +171,10 @@
             running,
             waiting,
         };
-        let known = self
-            .teams
-            .iter()
-            .map(|(team, account)| usage(team, account.running, self.fair.waiting(team) as u32));
-        let unknown = self.fair.backlog().filter(|(team, _)| !self.teams.contains_key(*team));
+        let known = self.teams.iter().map(|(team, account)| {
+            usage(team, account.running, self.waiting.team_len(team) as u32)
+        });
+        let unknown = self.waiting.backlog().filter(|(team, _)| !self.teams.contains_key(*team));
         let unknown = unknown.map(|(team, waiting)| usage(team, 0, waiting as u32));
         known.chain(unknown).filter(|usage| usage.running > 0 || usage.waiting > 0).collect()
     }
--- a/crates/dispatch/src/start.rs
+++ b/crates/dispatch/src/slot_grant.rs
@@ -5,18 +5,18 @@
 
 use cassiafold_config::Instance;
 
+use crate::accepted_request::AcceptedRequest;
 use crate::backend::BackendIndex;
-use crate::edge::Edges;
+use crate::dependencies::Dependencies;
 use crate::limit::LimitSource;
-use crate::order::Order;
 use crate::problem::Problem;
 
 /// Permit type of the upper limits of `E`.
-pub type PermitOf<E> = <<E as Edges>::Limits as LimitSource>::Permit;
+pub type PermitOf<E> = <<E as Dependencies>::Limits as LimitSource>::Permit;
 
 /// Permission to run one request at one backend server.
 #[derive(Debug)]
-pub struct Start<P> {
+pub struct SlotGrant<P> {
     /// Position of the backend server in the index.
     pub index: BackendIndex,
     /// The backend server.
@@ -28,14 +28,14 @@
 }
 
 /// Outcome of a wait, for the request's task.
-pub type Reply<P> = Result<Start<P>, Problem>;
+pub type Reply<P> = Result<SlotGrant<P>, Problem>;
 
 /// Outcomes to deliver, each with where it goes.
-pub type Replies<R, P> = Vec<(R, Arc<Order>, Reply<P>)>;
+pub type Replies<R, P> = Vec<(R, Arc<AcceptedRequest>, Reply<P>)>;
 
 /// How a started request ended, for the accounts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum EndReason {
     /// A whole answer came.
     Completed,
     /// No backend server ran it.
@@ -46,9 +46,9 @@
 
 /// What a started request gives back at its end.
 #[derive(Debug)]
-pub struct Ended<'a> {
+pub struct FinishedRequest<'a> {
     /// The request.
-    pub order: &'a Order,
+    pub request: &'a AcceptedRequest,
     /// Position of the backend server in the index.
     pub index: BackendIndex,
     /// Slot time that the team was charged, in seconds.
@@ -56,5 +56,5 @@
     /// Time for which the slot was held.
     pub held: Duration,
     /// How the request ended.
-    pub end: End,
+    pub end_reason: EndReason,
 }
--- a/crates/dispatch/src/follow.rs
+++ b/crates/dispatch/src/source_watcher.rs
@@ -7,16 +7,16 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::core::Core;
+use crate::dependencies::{Dependencies, PeerLoad, ShareSource};
 use crate::dispatcher::{Instances, Shared};
-use crate::edge::{Edges, PeerLoad, ShareSource};
 use crate::limit::LimitSource;
+use crate::scheduler::RequestScheduler;
 
 /// How often the gauges are brought up to date when nothing else happens.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Notifications of all sources.
-pub(crate) struct Changes {
+pub(crate) struct SourceChanges {
     config: watch::Receiver<Option<Arc<Config>>>,
     instances: Instances,
     limits: watch::Receiver<()>,
@@ -24,39 +24,39 @@
     peers: watch::Receiver<()>,
 }
 
-impl Changes {
-    pub(crate) fn of<E: Edges>(shared: &Shared<E>) -> Self {
+impl SourceChanges {
+    pub(crate) fn of<E: Dependencies>(shared: &Shared<E>) -> Self {
         let state = shared.lock();
         Self {
             config: state.config.clone(),
             instances: state.instances.clone(),
-            limits: shared.edges.limits().changes(),
-            shares: shared.edges.shares().changes(),
-            peers: shared.edges.peers().changes(),
+            limits: shared.dependencies.limits().changes(),
+            shares: shared.dependencies.shares().changes(),
+            peers: shared.dependencies.peers().changes(),
         }
     }
 }
 
 /// Starts what may start whenever a source changes or a hold ends, until the queues are gone.
-pub(crate) async fn run<E: Edges>(weak: Weak<Shared<E>>, mut changes: Changes) {
+pub(crate) async fn run<E: Dependencies>(weak: Weak<Shared<E>>, mut changes: SourceChanges) {
     loop {
         let Some(shared) = weak.upgrade() else {
             return;
         };
-        let hold_end = shared.lock().core.backends.next_hold_end();
-        let holds = shared.holds.notified();
+        let backoff_end = shared.lock().scheduler.backends.next_backoff_end();
+        let backoff_added = shared.backoff_added.notified();
         tokio::select! {
-            () = changed(&mut changes.config) => shared.change(|_| {}),
-            () = changed(&mut changes.instances) => shared.change(|_| {}),
-            () = changed(&mut changes.limits) => shared.change(Core::unblock_all),
-            () = changed(&mut changes.shares) => shared.change(Core::update_shares),
-            () = changed(&mut changes.peers) => shared.change(Core::update_peers),
-            () = holds => {}
-            () = sleep_until(hold_end) => {
+            () = changed(&mut changes.config) => shared.update(|_| {}),
+            () = changed(&mut changes.instances) => shared.update(|_| {}),
+            () = changed(&mut changes.limits) => shared.update(RequestScheduler::unblock_all),
+            () = changed(&mut changes.shares) => shared.update(RequestScheduler::update_shares),
+            () = changed(&mut changes.peers) => shared.update(RequestScheduler::update_peers),
+            () = backoff_added => {}
+            () = sleep_until(backoff_end) => {
                 let now = Instant::now();
-                shared.change(|core| core.backends.end_holds(now));
+                shared.update(|scheduler| scheduler.backends.end_backoffs(now));
             }
-            () = tokio::time::sleep(GAUGE_INTERVAL) => shared.change(|_| {}),
+            () = tokio::time::sleep(GAUGE_INTERVAL) => shared.update(|_| {}),
         }
     }
 }
--- a/crates/dispatch/tests/callers.rs
+++ b/crates/dispatch/tests/callers.rs
@@ -151,7 +151,7 @@
     let get = |path: &str| Call::new(fleet.server.address(), Method::GET, path).send();
     assert_eq!(get("/live").await.status, 200);
     assert_eq!(get("/ready").await.status, 200);
-    fleet.server.callers().enter(cassiafold_dispatch::Phase::Leaving);
+    fleet.server.caller_api().set_phase(cassiafold_dispatch::Phase::Leaving);
     assert_eq!(get("/ready").await.status, 503);
     assert_eq!(get("/live").await.status, 200);
 }
--- a/crates/dispatch/tests/changes.rs
+++ b/crates/dispatch/tests/changes.rs
@@ -42,7 +42,7 @@
 }
 
 fn usage(fleet: &Fleet) -> (u32, u32) {
-    let usage = fleet.server.callers().dispatcher().usage();
+    let usage = fleet.server.caller_api().dispatcher().usage();
     let running = usage.teams.iter().map(|team| team.running).sum();
     (running, usage.teams.iter().map(|team| team.waiting).sum())
 }
@@ -172,8 +172,8 @@
         changes: watch::Sender::new(()),
     };
     let options = BackendOptions { run_time: SLOW, ..BackendOptions::default() };
-    let edges = Sources::with_limits(limits.clone());
-    (Fleet::start_with(&vec![options; 2], edges, config(1, |_| {})).await, limits)
+    let dependencies = Sources::with_limits(limits.clone());
+    (Fleet::start_with(&vec![options; 2], dependencies, config(1, |_| {})).await, limits)
 }
 
 #[tokio::test]
@@ -211,14 +211,14 @@
     let fleet = Fleet { server, backends, counts, config, instances, faults };
     let calls: Vec<_> = (0..3).map(|index| spawn(&fleet, &format!("r{index}"))).collect();
     until("queueing", || usage(&fleet) == (1, 2)).await;
-    let callers = fleet.server.callers().clone();
+    let caller_api = fleet.server.caller_api().clone();
     let refused = fleet.call(Method::POST, "/a", "refused");
     let stop = tokio::spawn(fleet.server.close(SOON, std::future::pending()));
-    until("readiness off", || !callers.is_ready()).await;
+    until("readiness off", || !caller_api.is_ready()).await;
     let during_wait = refused.clone().header("x-note", "still served").deadline_ms(60_000);
     assert_eq!(during_wait.send().await.summary(), "200, whole");
     let report = stop.await.unwrap();
-    assert!(report.cut_off.is_empty());
+    assert!(report.aborted.is_empty());
     for call in calls {
         assert_eq!(call.await.unwrap().summary(), "200, whole");
     }
@@ -227,7 +227,7 @@
 #[tokio::test]
 async fn a_draining_entry_instance_refuses_new_work_as_not_run() {
     let fleet = slow_fleet(1).await;
-    fleet.server.callers().enter(cassiafold_dispatch::Phase::Draining);
+    fleet.server.caller_api().set_phase(cassiafold_dispatch::Phase::Draining);
     let told = spawn(&fleet, "refused").await.unwrap();
     assert_eq!(told.summary(), "503, code 317, not run");
     assert_eq!(told.headers["retry-after"], "1");
@@ -240,7 +240,7 @@
     let call = spawn(&fleet, "cut");
     until("run", || usage(&fleet) == (1, 0)).await;
     let report = fleet.server.close(Duration::ZERO, tokio::time::sleep(SOON)).await;
-    let cut_off: Vec<&str> = report.cut_off.iter().map(|order| &*order.id).collect();
+    let cut_off: Vec<&str> = report.aborted.iter().map(|request| &*request.id).collect();
     assert_eq!(cut_off, ["cut"]);
     call.abort();
 }
@@ -249,7 +249,7 @@
 async fn an_instance_that_fails_fast_is_ejected_and_returns_after_a_trial() {
     let options = [BackendOptions::default(), BackendOptions::default()];
     let fleet = Fleet::start_with(&options, <Sources>::default(), config(1, |_| {})).await;
-    let mut observed = fleet.server.callers().dispatcher().observe();
+    let mut observed = fleet.server.caller_api().dispatcher().observe();
     fleet.faults.set(Some(Fault::ServerError));
     let mut failures = 0;
     for index in 0..60 {
@@ -280,7 +280,7 @@
     for index in 0..20 {
         assert_eq!(get(format!("warm-{index}")).await.summary(), "200, whole");
     }
-    let mut observed = fleet.server.callers().dispatcher().observe();
+    let mut observed = fleet.server.caller_api().dispatcher().observe();
     strike(&fleet);
     let mut silences = 0;
     for index in 0..200 {
--- a/crates/dispatch/tests/storm.rs
+++ b/crates/dispatch/tests/storm.rs
@@ -108,7 +108,7 @@
         .iter()
         .filter(|sent| sent.told.as_ref().is_some_and(|told| told.summary() == "200, whole"));
     assert!(whole.count() * 2 > REQUESTS, "most requests are answered");
-    let usage = fleet.server.callers().dispatcher().usage();
+    let usage = fleet.server.caller_api().dispatcher().usage();
     assert_eq!(usage, cassiafold_dispatch::Usage::default(), "slots have come back");
 }
 
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use cassiafold_config::raw::RawConfig;
 use cassiafold_config::{ActiveConfig, Config, Instance, InstanceState, KeyHash};
-use cassiafold_dispatch::{Callers, Edges, Metrics, Server, Sources};
+use cassiafold_dispatch::{CallerApi, Dependencies, Metrics, Server, Sources};
 use cassiafold_standin::{Backend, BackendCounts, BackendOptions, FaultPlan};
 use http::{HeaderMap, Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -51,7 +51,7 @@
 }
 
 /// A request path over stand-in backend servers.
-pub struct Fleet<E: Edges = Sources> {
+pub struct Fleet<E: Dependencies = Sources> {
     pub server: Server<E>,
     pub config: ActiveConfig,
     pub instances: watch::Sender<Arc<Vec<Instance>>>,
@@ -73,10 +73,14 @@
     }
 }
 
-impl<E: Edges> Fleet<E> {
+impl<E: Dependencies> Fleet<E> {
     /// One backend server of `portal` for each of `options`, each in a rack of its own, in zones
     /// a, b, c in turn from the third on.
-    pub async fn start_with(options: &[BackendOptions], edges: E, document: Arc<Config>) -> Self {
+    pub async fn start_with(
+        options: &[BackendOptions],
+        dependencies: E,
+        document: Arc<Config>,
+    ) -> Self {
         let (counts, faults) = (BackendCounts::default(), options[0].faults.clone());
         let mut backends = Vec::new();
         for (index, options) in options.iter().enumerate() {
@@ -88,10 +92,15 @@
         let (instances, receiver) = watch::channel(Arc::new(listed.collect()));
         let config = ActiveConfig::default();
         config.offer(document);
-        let callers =
-            Callers::start(edges, config.clone(), receiver, "a".into(), Metrics::default());
+        let caller_api = CallerApi::start(
+            dependencies,
+            config.clone(),
+            receiver,
+            "a".into(),
+            Metrics::default(),
+        );
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port is free");
-        let server = Server::start(listener, callers).expect("the server starts");
+        let server = Server::start(listener, caller_api).expect("the server starts");
         Self { server, config, instances, backends, counts, faults }
     }
 
