--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -26,8 +26,8 @@
 use crate::slot_grant::EndReason;
 
 /// Longest body of a refusal that is read so that the connection can be used again.
-const REFUSAL_MAX_BYTES: usize = 16 << 10;
-const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
+const REFUSAL_BODY_MAX_BYTES: usize = 16 << 10;
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A caller's request, ready to be sent.
 #[derive(Debug)]
@@ -124,7 +124,7 @@
     let accepted = running.request().clone();
     let not_run =
         |code| AttemptFailure { code, run_state: RunState::NotRun, instance: instance.clone() };
-    let unknown = |code| AttemptFailure {
+    let outcome_unknown = |code| AttemptFailure {
         code,
         run_state: RunState::OutcomeUnknown,
         instance: instance.clone(),
@@ -132,7 +132,7 @@
     let opening = pool.get(instance.address, options.reuse, options.connections_max);
     let mut connection = match timeout_at(accepted.deadline, opening).await {
         Ok(Ok(connection)) => connection,
-        Ok(Err(error)) => return Err(not_run(connect_failed(running, &error))),
+        Ok(Err(error)) => return Err(not_run(handle_connect_failure(running, &error))),
         Err(_) => {
             running.close(EndReason::NotRun);
             return Err(not_run(DispatchCode::AnswerTimeout));
@@ -149,60 +149,60 @@
         return Err(not_run(DispatchCode::BodyBroken));
     };
     let (body_failure, sent) = (request.body().failure(), Instant::now());
-    let answering = timeout_at(accepted.deadline, connection.send(request, running));
-    let answering = tokio::select! {
-        answering = answering => answering.map_err(|_| DispatchCode::AnswerTimeout),
+    let sending = timeout_at(accepted.deadline, connection.send(request, running));
+    let sending = tokio::select! {
+        sending = sending => sending.map_err(|_| DispatchCode::AnswerTimeout),
         () = options.superseded.cancelled() => Err(DispatchCode::AnswerTimeout),
     };
-    let answer = match answering {
-        Ok(Ok(answer)) => answer,
+    let response = match sending {
+        Ok(Ok(response)) => response,
         Ok(Err(SendError::NotWritten(running))) => {
             running.close(EndReason::NotRun);
             return Err(not_run(body_failure.get().unwrap_or(DispatchCode::ConnectFailed)));
         }
         Ok(Err(SendError::Written)) => {
             if let Some(code) = body_failure.get() {
-                return Err(unknown(code));
+                return Err(outcome_unknown(code));
             }
             connection.with_running(|running| running.record(AttemptResult::Broken));
             emit!(DispatchEvent::AttemptFailed, instance = instance.id, request = accepted.id);
-            return Err(unknown(DispatchCode::AnswerLost));
+            return Err(outcome_unknown(DispatchCode::AnswerLost));
         }
         Err(code) => {
             if sent.elapsed() >= options.hedge_delay {
-                note_silence(pool, &connection, &instance, sent);
+                handle_no_response(pool, &connection, &instance, sent);
             }
-            return Err(unknown(code));
+            return Err(outcome_unknown(code));
         }
     };
-    if is_refusal(&answer) {
-        take_refusal(pool, connection, answer, &instance).await;
+    if is_refusal(&response) {
+        release_refused(pool, connection, response, &instance).await;
         return Err(not_run(DispatchCode::RefusedByInstances));
     }
-    if let Some(code) = answer_fault(&answer, &accepted, &prepared.method) {
+    if let Some(code) = response_error(&response, &accepted, &prepared.method) {
         emit!(DispatchEvent::AnswerCrossed, instance = instance.id, request = accepted.id);
         connection.with_running(|running| running.record(AttemptResult::Broken));
-        return Err(unknown(code));
+        return Err(outcome_unknown(code));
     }
-    let result = if answer.status().is_server_error() {
+    let result = if response.status().is_server_error() {
         AttemptResult::ServerError
     } else {
         AttemptResult::Ok
     };
     let connection =
         ResponseConnection { connection, pool: pool.clone(), address: instance.address, result };
-    let (parts, body) = answer.into_parts();
+    let (parts, body) = response.into_parts();
     let body = ResponseBody::new(body, connection, accepted.deadline).buffer().await;
     let body = body.map_err(|error| match error {
-        ResponseBodyError::Broken(_) => unknown(DispatchCode::AnswerLost),
-        ResponseBodyError::Timeout => unknown(DispatchCode::AnswerTimeout),
+        ResponseBodyError::Broken(_) => outcome_unknown(DispatchCode::AnswerLost),
+        ResponseBodyError::Timeout => outcome_unknown(DispatchCode::AnswerTimeout),
     })?;
     Ok(Response::from_parts(parts, body))
 }
 
 /// Notes that a connection gave no answer in time. Silence on a used connection speaks against
 /// the connections, silence on a new one against the instance.
-fn note_silence<E: Dependencies>(
+fn handle_no_response<E: Dependencies>(
     pool: &ConnectionPool<E>,
     connection: &Connection<E>,
     instance: &Instance,
@@ -215,7 +215,10 @@
     }
 }
 
-fn connect_failed<E: Dependencies>(running: RunningRequest<E>, error: &OpenError) -> DispatchCode {
+fn handle_connect_failure<E: Dependencies>(
+    running: RunningRequest<E>,
+    error: &OpenError,
+) -> DispatchCode {
     let instance = &running.instance().id;
     emit!(DispatchEvent::AttemptFailed, instance = instance, error = error);
     match error {
@@ -226,41 +229,41 @@
     DispatchCode::ConnectFailed
 }
 
-fn is_refusal(answer: &Response<Incoming>) -> bool {
-    let said = answer.headers().get(RUN_STATE);
-    answer.status() == StatusCode::SERVICE_UNAVAILABLE
-        && said.is_some_and(|value| value.as_bytes() == NOT_RUN.as_bytes())
+fn is_refusal(response: &Response<Incoming>) -> bool {
+    let run_state = response.headers().get(RUN_STATE);
+    response.status() == StatusCode::SERVICE_UNAVAILABLE
+        && run_state.is_some_and(|value| value.as_bytes() == NOT_RUN.as_bytes())
 }
 
 /// Gives the slot of a refused request back and keeps the connection if its body ends soon.
-async fn take_refusal<E: Dependencies>(
+async fn release_refused<E: Dependencies>(
     pool: &ConnectionPool<E>,
     mut connection: Connection<E>,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     instance: &Instance,
 ) {
     if let Some(running) = connection.finish() {
         running.record(AttemptResult::Refused);
         running.close(EndReason::NotRun);
     }
-    let body = Limited::new(answer.into_body(), REFUSAL_MAX_BYTES).collect();
-    if let Ok(Ok(_)) = timeout(REFUSAL_TIMEOUT, body).await {
+    let body = Limited::new(response.into_body(), REFUSAL_BODY_MAX_BYTES).collect();
+    if let Ok(Ok(_)) = timeout(REFUSAL_BODY_TIMEOUT, body).await {
         pool.put(instance.address, connection);
     }
 }
 
 /// Why an answer must not be handed on, if so.
-fn answer_fault(
-    answer: &Response<Incoming>,
+fn response_error(
+    response: &Response<Incoming>,
     accepted: &AcceptedRequest,
     method: &Method,
 ) -> Option<DispatchCode> {
-    let headers = answer.headers();
+    let headers = response.headers();
     let mut ids = headers.get_all(REQUEST_ID).iter();
     if ids.any(|id| id.as_bytes() != accepted.id.as_bytes()) {
         return Some(DispatchCode::AnswerCrossed);
     }
-    let status = answer.status();
+    let status = response.status();
     let framed = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
     let bodiless = *method == Method::HEAD
         || status.is_informational()
--- a/crates/dispatch/src/backends.rs
+++ b/crates/dispatch/src/backends.rs
@@ -92,15 +92,15 @@
             let index = self.upsert(instance);
             let backend = &mut self.backends[index];
             backend.peers_running = peers.running(&instance.id);
-            let Some((id, service)) = open_service(config, instance) else {
+            let Some((id, service)) = open_service_of(config, instance) else {
                 continue;
             };
             backend.service = Some(id.clone());
             backend.slots = service.slots_per_instance;
         }
-        self.forget_gone();
+        self.remove_unlisted();
         let members: Vec<BackendIndex> = self.backends.iter().map(|(index, _)| index).collect();
-        members.into_iter().for_each(|index| self.join(index));
+        members.into_iter().for_each(|index| self.add_to_service(index));
     }
 
     fn upsert(&mut self, instance: &Instance) -> BackendIndex {
@@ -128,7 +128,7 @@
         index
     }
 
-    fn forget_gone(&mut self) {
+    fn remove_unlisted(&mut self) {
         let by_id = &mut self.by_id;
         self.backends.retain(|_, backend| {
             let keep = backend.listed || backend.running > 0;
@@ -139,7 +139,7 @@
         });
     }
 
-    fn join(&mut self, index: BackendIndex) {
+    fn add_to_service(&mut self, index: BackendIndex) {
         let backend = &self.backends[index];
         let Some(id) = backend.service.clone() else {
             return;
@@ -155,16 +155,16 @@
             let entry = ZoneBackends { zone, free: Vec::new() };
             if entry.zone == self.home {
                 service.zones.insert(0, entry);
-                self.renumber_zones(index);
+                self.update_list_positions(index);
             } else {
                 service.zones.push(entry);
             }
         }
-        self.refresh(index);
+        self.update_list(index);
     }
 
     /// Corrects the places of a service's instances after the home zone went to the front.
-    fn renumber_zones(&mut self, index: BackendIndex) {
+    fn update_list_positions(&mut self, index: BackendIndex) {
         let Some(service) =
             self.backends[index].service.as_ref().and_then(|id| self.services.get(id))
         else {
@@ -185,7 +185,7 @@
             let backend = &mut self.backends[index];
             let running = peers.running(&backend.instance.id);
             if std::mem::replace(&mut backend.peers_running, running) != running {
-                self.refresh(index);
+                self.update_list(index);
             }
         }
     }
@@ -193,7 +193,7 @@
     /// Takes a slot of the backend server.
     pub fn acquire_slot(&mut self, index: BackendIndex) {
         self.backends[index].running += 1;
-        self.refresh(index);
+        self.update_list(index);
     }
 
     /// Gives a slot of the backend server back.
@@ -206,13 +206,13 @@
             self.by_id.remove(&id);
             return;
         }
-        self.refresh(index);
+        self.update_list(index);
     }
 
     /// Sends nothing to the backend server before `until`, because it said that it is full.
     pub fn back_off(&mut self, index: BackendIndex, until: Instant) {
         self.backends[index].full_until = Some(until);
-        self.refresh(index);
+        self.update_list(index);
     }
 
     /// Ends what was over by `now`: holds of full and of ejected backend servers.
@@ -220,12 +220,12 @@
         let indices: Vec<BackendIndex> = self.backends.iter().map(|(index, _)| index).collect();
         for index in indices {
             let backend = &mut self.backends[index];
-            let was_full = backend.full_until.is_some_and(|until| until <= now);
-            if was_full {
+            let backoff_over = backend.full_until.is_some_and(|until| until <= now);
+            if backoff_over {
                 backend.full_until = None;
             }
-            if backend.health.end_backoff(now) || was_full {
-                self.refresh(index);
+            if backend.health.end_backoff(now) || backoff_over {
+                self.update_list(index);
             }
         }
     }
@@ -247,9 +247,9 @@
         else {
             return backend.health.record(result, 1.0);
         };
-        let pool_rate = service.success_rate_sum / service.members.len() as f64;
-        let rate_before = backend.health.success_rate();
-        let change = backend.health.record(result, pool_rate);
+        let pool_success_rate = service.success_rate_sum / service.members.len() as f64;
+        let success_rate_before = backend.health.success_rate();
+        let change = backend.health.record(result, pool_success_rate);
         let change = match change {
             HealthChange::Eject => eject(backend, service, now),
             HealthChange::Recovered => {
@@ -258,15 +258,15 @@
             }
             HealthChange::Unchanged => HealthChange::Unchanged,
         };
-        service.success_rate_sum += backend.health.success_rate() - rate_before;
+        service.success_rate_sum += backend.health.success_rate() - success_rate_before;
         if change != HealthChange::Unchanged {
-            self.refresh(index);
+            self.update_list(index);
         }
         change
     }
 
     /// Moves the backend server to the list in which it belongs now.
-    fn refresh(&mut self, index: BackendIndex) {
+    fn update_list(&mut self, index: BackendIndex) {
         let backend = &self.backends[index];
         let Some(service) = backend.service.as_ref().and_then(|id| self.services.get_mut(id))
         else {
@@ -304,7 +304,7 @@
     HealthChange::Eject
 }
 
-fn open_service<'a>(
+fn open_service_of<'a>(
     config: &'a Config,
     instance: &Instance,
 ) -> Option<(&'a ServiceId, &'a cassiafold_config::Service)> {
--- a/crates/dispatch/src/body.rs
+++ b/crates/dispatch/src/body.rs
@@ -34,7 +34,7 @@
 pub struct BodyStream {
     prefix: Option<Bytes>,
     rest: Body,
-    left_bytes: u64,
+    remaining_bytes: u64,
     failure: StreamFailure,
 }
 
@@ -74,21 +74,26 @@
         let mut data = BytesMut::new();
         while hint.lower() <= REPLAY_MAX_BYTES as u64 && data.len() <= REPLAY_MAX_BYTES {
             let Some(frame) = body.frame().await else {
-                return Self::whole(data, None, max_bytes);
+                return Self::buffered(data, None, max_bytes);
             };
             match frame.map_err(|_| DispatchCode::BodyBroken)?.into_data() {
-                Ok(more) => data.extend_from_slice(&more),
-                Err(frame) => return Self::whole(data, frame.into_trailers().ok(), max_bytes),
+                Ok(chunk) => data.extend_from_slice(&chunk),
+                Err(frame) => return Self::buffered(data, frame.into_trailers().ok(), max_bytes),
             }
         }
-        let left_bytes =
+        let remaining_bytes =
             max_bytes.checked_sub(data.len() as u64).ok_or(DispatchCode::BodyTooLarge)?;
         let prefix = (!data.is_empty()).then(|| data.freeze());
         let failure = StreamFailure::default();
-        Ok(Self::Streamed(Some(Box::new(BodyStream { prefix, rest: body, left_bytes, failure }))))
+        Ok(Self::Streamed(Some(Box::new(BodyStream {
+            prefix,
+            rest: body,
+            remaining_bytes,
+            failure,
+        }))))
     }
 
-    fn whole(
+    fn buffered(
         data: BytesMut,
         trailers: Option<HeaderMap>,
         max_bytes: u64,
@@ -205,9 +210,9 @@
             return Poll::Ready(Some(Err(self.failure.set(DispatchCode::BodyBroken))));
         };
         let length = frame.data_ref().map_or(0, |data| data.len() as u64);
-        match self.left_bytes.checked_sub(length) {
-            Some(left_bytes) => {
-                self.left_bytes = left_bytes;
+        match self.remaining_bytes.checked_sub(length) {
+            Some(remaining_bytes) => {
+                self.remaining_bytes = remaining_bytes;
                 Poll::Ready(Some(Ok(frame)))
             }
             None => Poll::Ready(Some(Err(self.failure.set(DispatchCode::BodyTooLarge)))),
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -6,7 +6,7 @@
 use cassiafold_config::ServiceId;
 
 /// Retries that each first attempt pays for.
-const DEPOSIT: f64 = 0.1;
+const DEPOSIT_PER_REQUEST: f64 = 0.1;
 /// Most retries that can be saved up, which is also what a service starts with.
 const BALANCE_MAX: f64 = 10.0;
 
@@ -19,7 +19,9 @@
 impl RetryBudget {
     /// Notes a first attempt.
     pub fn deposit(&self, service: &ServiceId) {
-        self.update(service, |balance| *balance = (*balance + DEPOSIT).min(BALANCE_MAX));
+        self.update(service, |balance| {
+            *balance = (*balance + DEPOSIT_PER_REQUEST).min(BALANCE_MAX)
+        });
     }
 
     /// Takes one retry. Returns whether the budget allowed it.
--- a/crates/dispatch/src/caller_api.rs
+++ b/crates/dispatch/src/caller_api.rs
@@ -159,7 +159,7 @@
         Err(code) => Err(Problem::not_run(*code)),
     };
     let mut response = result.unwrap_or_else(|problem| {
-        caller_api.dispatcher().metrics().refusal(&problem);
+        caller_api.dispatcher().metrics().count_refusal(&problem);
         let id = id.as_ref().map_or("", |id| id);
         emit!(DispatchEvent::RequestRefused, code = problem.code.row().number, request = id);
         problem.into_response()
@@ -205,9 +205,9 @@
         Err(_) => return Err(not_run(DispatchCode::BodyBroken)),
     };
     let prepared = PreparedRequest { method: parts.method, uri, headers: parts.headers, body };
-    let mut answer = caller_api.proxy().run(&accepted, prepared).await?;
-    request::strip_hop_by_hop(answer.headers_mut());
-    Ok(answer.map(|body| Body::new(body.with_in_flight_guard(guard))))
+    let mut response = caller_api.proxy().run(&accepted, prepared).await?;
+    request::strip_hop_by_hop(response.headers_mut());
+    Ok(response.map(|body| Body::new(body.with_in_flight_guard(guard))))
 }
 
 /// When a caller refused by a stopping entry instance should come back, to another one.
--- a/crates/dispatch/src/connection.rs
+++ b/crates/dispatch/src/connection.rs
@@ -37,7 +37,7 @@
 /// A connection to a backend server. Dropping it closes it.
 pub struct Connection<E: Dependencies> {
     sender: http1::SendRequest<RequestBody>,
-    line: Arc<Line<E>>,
+    state: Arc<ConnectionState<E>>,
     /// When the connection last proved that it works.
     pub verified_at: Instant,
     /// Whether the connection has carried a request before.
@@ -45,20 +45,20 @@
 }
 
 /// What the connection shares with its task.
-struct Line<E: Dependencies> {
+struct ConnectionState<E: Dependencies> {
     written_bytes: Arc<AtomicU64>,
     in_flight: Mutex<Option<RunningRequest<E>>>,
     /// Bytes that were written before the request in flight.
-    written_before: AtomicU64,
+    written_bytes_before: AtomicU64,
     /// Asks the task to end.
     close: CancellationToken,
     /// Set by the task once nothing more is written.
     stopped: CancellationToken,
 }
 
-impl<E: Dependencies> Line<E> {
+impl<E: Dependencies> ConnectionState<E> {
     fn put(&self, running: RunningRequest<E>) {
-        self.written_before.store(self.written_bytes(), Ordering::Release);
+        self.written_bytes_before.store(self.written_bytes(), Ordering::Release);
         *self.in_flight.lock().unwrap_or_else(PoisonError::into_inner) = Some(running);
     }
 
@@ -76,7 +76,7 @@
 
     /// Whether any byte of the request in flight was written.
     fn has_written(&self) -> bool {
-        self.written_bytes() != self.written_before.load(Ordering::Acquire)
+        self.written_bytes() != self.written_bytes_before.load(Ordering::Acquire)
     }
 }
 
@@ -89,23 +89,26 @@
 }
 
 impl<E: Dependencies> Connection<E> {
-    /// Connects to `address`; `count` is dropped when the connection is closed.
-    pub async fn open(address: SocketAddr, count: impl Send + 'static) -> io::Result<Self> {
+    /// Connects to `address`; `connection_count` is dropped when the connection is closed.
+    pub async fn open(
+        address: SocketAddr,
+        connection_count: impl Send + 'static,
+    ) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let written_bytes = Arc::new(AtomicU64::new(0));
-        let counted = Counted { stream, written_bytes: written_bytes.clone() };
-        let handshake = http1::handshake(TokioIo::new(counted)).await;
+        let stream = CountingStream { stream, written_bytes: written_bytes.clone() };
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
-        let line = Arc::new(Line {
+        let state = Arc::new(ConnectionState {
             written_bytes,
             in_flight: Mutex::new(None),
-            written_before: AtomicU64::new(0),
+            written_bytes_before: AtomicU64::new(0),
             close: CancellationToken::new(),
             stopped: CancellationToken::new(),
         });
-        tokio::spawn(drive(connection, line.clone(), count));
-        Ok(Self { sender, line, verified_at: Instant::now(), reused: false })
+        tokio::spawn(drive(connection, state.clone(), connection_count));
+        Ok(Self { sender, state, verified_at: Instant::now(), reused: false })
     }
 
     /// Waits until the connection can take a request. Returns whether it can.
@@ -115,7 +118,7 @@
 
     /// Whether the connection is known to be closed.
     pub fn is_closed(&self) -> bool {
-        self.sender.is_closed() || self.line.close.is_cancelled()
+        self.sender.is_closed() || self.state.close.is_cancelled()
     }
 
     /// Sends a request and waits for the head of its answer. `running` stays with the connection
@@ -125,71 +128,71 @@
         request: Request<RequestBody>,
         running: RunningRequest<E>,
     ) -> Result<Response<Incoming>, SendError<E>> {
-        self.line.put(running);
+        self.state.put(running);
         match self.sender.send_request(request).await {
-            Ok(answer) => Ok(answer),
-            Err(_) => Err(self.settle_error().await),
+            Ok(response) => Ok(response),
+            Err(_) => Err(self.send_error().await),
         }
     }
 
     /// Tells whether any byte was written, once nothing more can be.
-    async fn settle_error(&self) -> SendError<E> {
-        self.line.close.cancel();
-        self.line.stopped.cancelled().await;
-        if self.line.has_written() {
+    async fn send_error(&self) -> SendError<E> {
+        self.state.close.cancel();
+        self.state.stopped.cancelled().await;
+        if self.state.has_written() {
             return SendError::Written;
         }
-        self.line.take().map_or(SendError::Written, SendError::NotWritten)
+        self.state.take().map_or(SendError::Written, SendError::NotWritten)
     }
 
     /// Takes the request back whose answer has ended.
     pub fn finish(&mut self) -> Option<RunningRequest<E>> {
         self.verified_at = Instant::now();
         self.reused = true;
-        self.line.take()
+        self.state.take()
     }
 
-    /// Shows the request that the connection carries to `look`.
-    pub fn with_running(&self, look: impl FnOnce(&RunningRequest<E>)) {
-        let in_flight = self.line.in_flight.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Shows the request that the connection carries to `inspect`.
+    pub fn with_running(&self, inspect: impl FnOnce(&RunningRequest<E>)) {
+        let in_flight = self.state.in_flight.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(running) = in_flight.as_ref() {
-            look(running);
+            inspect(running);
         }
     }
 }
 
 impl<E: Dependencies> Drop for Connection<E> {
     fn drop(&mut self) {
-        self.line.close.cancel();
+        self.state.close.cancel();
     }
 }
 
 async fn drive<E: Dependencies>(
-    mut connection: http1::Connection<TokioIo<Counted>, RequestBody>,
-    line: Arc<Line<E>>,
-    count: impl Send,
+    mut connection: http1::Connection<TokioIo<CountingStream>, RequestBody>,
+    state: Arc<ConnectionState<E>>,
+    connection_count: impl Send,
 ) {
     tokio::select! {
         _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => {}
-        () = line.close.cancelled() => {}
+        () = state.close.cancelled() => {}
     }
     let mut io = connection.into_parts().io.into_inner();
-    line.stopped.cancel();
+    state.stopped.cancel();
     // A request of which nothing was written stays for its sender to send elsewhere.
-    let may_run = line.is_busy() && line.has_written();
+    let may_run = state.is_busy() && state.has_written();
     if may_run {
         emit!(DispatchEvent::OutcomeHeld);
-        settle(&mut io).await;
+        wait_until_closed(&mut io).await;
     }
     drop(io);
-    drop(count);
-    if may_run && let Some(running) = line.take() {
+    drop(connection_count);
+    if may_run && let Some(running) = state.take() {
         running.close(EndReason::Abandoned);
     }
 }
 
 /// Closes for writing, then reads until the other end closes or the bound has passed.
-async fn settle(io: &mut Counted) {
+async fn wait_until_closed(io: &mut CountingStream) {
     let closed = async {
         io.shutdown().await?;
         let mut buffer = [0; DRAIN_BUFFER_BYTES];
@@ -203,12 +206,12 @@
 
 /// A stream that counts the bytes written to it.
 #[derive(Debug)]
-struct Counted {
+struct CountingStream {
     stream: TcpStream,
     written_bytes: Arc<AtomicU64>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -218,22 +221,22 @@
     }
 }
 
-impl Counted {
-    fn count(&self, written: &io::Result<usize>) {
+impl CountingStream {
+    fn add_written(&self, written: &io::Result<usize>) {
         if let Ok(written) = written {
             self.written_bytes.fetch_add(*written as u64, Ordering::Release);
         }
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, buffer));
-        self.count(&written);
+        self.add_written(&written);
         Poll::Ready(written)
     }
 
@@ -243,7 +246,7 @@
         buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, buffers));
-        self.count(&written);
+        self.add_written(&written);
         Poll::Ready(written)
     }
 
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -27,9 +27,9 @@
 pub type Instances = watch::Receiver<Arc<Vec<Instance>>>;
 
 /// Observations kept for a receiver that lags.
-const OBSERVATIONS_MAX: usize = 4_096;
+const OBSERVATION_BUFFER_MAX: usize = 4_096;
 /// Time for which nothing is sent to a backend server that said it is full.
-const FULL_HOLD: Duration = Duration::from_millis(20);
+const FULL_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Where the outcome of a wait goes.
 pub(crate) type ReplySender<E> = oneshot::Sender<Result<RunningRequest<E>, Problem>>;
@@ -77,10 +77,13 @@
             dependencies,
             state: Mutex::new(state),
             backoff_added: Notify::new(),
-            observations: broadcast::channel(OBSERVATIONS_MAX).0,
+            observations: broadcast::channel(OBSERVATION_BUFFER_MAX).0,
             metrics,
         });
-        tokio::spawn(source_watcher::run(Arc::downgrade(&shared), SourceChanges::of(&shared)));
+        tokio::spawn(source_watcher::run(
+            Arc::downgrade(&shared),
+            SourceChanges::subscribe(&shared),
+        ));
         Self { shared }
     }
 
@@ -133,7 +136,7 @@
             Ok(Err(_)) | Err(_) => Err(self.timeout(request)),
         };
         drop(guard);
-        self.shared.metrics.queueing(request, since.elapsed());
+        self.shared.metrics.record_queue_wait(request, since.elapsed());
         result
     }
 
@@ -242,7 +245,11 @@
             for service in state.scheduler.services() {
                 replies.extend(state.scheduler.start_waiting(&service, now));
                 let counts = state.scheduler.backends.counts(&service);
-                self.metrics.service(&service, counts, state.scheduler.waiting(&service));
+                self.metrics.set_service_gauges(
+                    &service,
+                    counts,
+                    state.scheduler.waiting(&service),
+                );
             }
         }
         self.deliver(replies);
@@ -258,7 +265,7 @@
         let change = {
             let mut state = self.lock();
             if result == AttemptResult::Refused {
-                state.scheduler.backends.back_off(index, at + FULL_HOLD);
+                state.scheduler.backends.back_off(index, at + FULL_BACKOFF);
             }
             state.scheduler.backends.record(index, result, at)
         };
--- a/crates/dispatch/src/estimate.rs
+++ b/crates/dispatch/src/estimate.rs
@@ -10,11 +10,11 @@
 /// Running estimate of a duration.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Estimate {
-    known: Option<Known>,
+    statistics: Option<Statistics>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct Statistics {
     mean_s: f64,
     deviation_s: f64,
 }
@@ -23,23 +23,23 @@
     /// Takes in one observed duration.
     pub fn record(&mut self, duration: Duration) {
         let sample_s = duration.as_secs_f64();
-        let Some(known) = &mut self.known else {
-            self.known = Some(Known { mean_s: sample_s, deviation_s: sample_s / 2.0 });
+        let Some(statistics) = &mut self.statistics else {
+            self.statistics = Some(Statistics { mean_s: sample_s, deviation_s: sample_s / 2.0 });
             return;
         };
-        let error_s = sample_s - known.mean_s;
-        known.deviation_s += DEVIATION_GAIN * (error_s.abs() - known.deviation_s);
-        known.mean_s += MEAN_GAIN * error_s;
+        let error_s = sample_s - statistics.mean_s;
+        statistics.deviation_s += DEVIATION_GAIN * (error_s.abs() - statistics.deviation_s);
+        statistics.mean_s += MEAN_GAIN * error_s;
     }
 
     /// Mean duration in seconds, once one was observed.
     pub fn mean_s(&self) -> Option<f64> {
-        self.known.map(|known| known.mean_s)
+        self.statistics.map(|statistics| statistics.mean_s)
     }
 
     /// Duration that nearly all stay under, once one was observed.
     pub fn tail(&self) -> Option<Duration> {
-        let known = self.known?;
-        Some(Duration::from_secs_f64(known.mean_s + TAIL_DEVIATIONS * known.deviation_s))
+        let statistics = self.statistics?;
+        Some(Duration::from_secs_f64(statistics.mean_s + TAIL_DEVIATIONS * statistics.deviation_s))
     }
 }
--- a/crates/dispatch/src/fair.rs
+++ b/crates/dispatch/src/fair.rs
@@ -13,12 +13,12 @@
 use slab::Slab;
 
 /// Virtual time as the bits of a non-negative float, which order as the float does.
-type Tag = u64;
+type VirtualTimeBits = u64;
 
 /// Identifies a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaiterId {
-    slot: usize,
+    index: usize,
     sequence: u64,
 }
 
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct FairQueue<T> {
     teams: HashMap<TeamId, TeamQueue>,
-    ready: BTreeSet<(Tag, TeamId)>,
+    ready: BTreeSet<(VirtualTimeBits, TeamId)>,
     entries: Slab<Entry<T>>,
     virtual_time: f64,
     backlog_weight: f64,
@@ -72,7 +72,7 @@
         Self { weight, virtual_time, first: None, last: None, length: 0, blocked: false }
     }
 
-    fn tag(&self) -> Tag {
+    fn virtual_time_bits(&self) -> VirtualTimeBits {
         self.virtual_time.to_bits()
     }
 
@@ -146,24 +146,24 @@
         };
         let (previous, next) = if front { (None, queue.first) } else { (queue.last, None) };
         let entry = Entry { team: team.clone(), sequence, previous, next, item };
-        let slot = self.entries.insert(entry);
+        let index = self.entries.insert(entry);
         match next {
-            Some(next) => self.entries[next].previous = Some(slot),
-            None => queue.last = Some(slot),
+            Some(next) => self.entries[next].previous = Some(index),
+            None => queue.last = Some(index),
         }
         match previous {
-            Some(previous) => self.entries[previous].next = Some(slot),
-            None => queue.first = Some(slot),
+            Some(previous) => self.entries[previous].next = Some(index),
+            None => queue.first = Some(index),
         }
         queue.length += 1;
         if queue.length == 1 {
             self.backlog_weight += queue.weight;
             queue.virtual_time = queue.virtual_time.max(self.virtual_time);
             if queue.is_ready() {
-                self.ready.insert((queue.tag(), team.clone()));
+                self.ready.insert((queue.virtual_time_bits(), team.clone()));
             }
         }
-        WaiterId { slot, sequence }
+        WaiterId { index, sequence }
     }
 
     /// The team whose turn it is.
@@ -173,33 +173,33 @@
 
     /// The first request of `team`.
     pub fn first(&self, team: &TeamId) -> Option<&T> {
-        let slot = self.teams.get(team)?.first?;
-        Some(&self.entries[slot].item)
+        let index = self.teams.get(team)?.first?;
+        Some(&self.entries[index].item)
     }
 
     /// Takes the first request of `team` and charges the team `cost_s` seconds of slot time.
     pub fn pop_charged(&mut self, team: &TeamId, cost_s: f64) -> Option<T> {
         let queue = self.teams.get(team)?;
-        let slot = queue.first?;
+        let index = queue.first?;
         self.virtual_time = self.virtual_time.max(queue.virtual_time);
-        let item = self.unlink(slot);
+        let item = self.unlink(index);
         self.charge(team, cost_s);
         Some(item)
     }
 
     /// Takes the first request of `team` without a charge.
     pub fn pop_uncharged(&mut self, team: &TeamId) -> Option<T> {
-        let slot = self.teams.get(team)?.first?;
-        Some(self.unlink(slot))
+        let index = self.teams.get(team)?.first?;
+        Some(self.unlink(index))
     }
 
     /// Removes a waiting request in constant time; `None` when it no longer waits.
     pub fn remove(&mut self, waiter: WaiterId) -> Option<T> {
-        let known = self.entries.get(waiter.slot)?;
-        if known.sequence != waiter.sequence {
+        let entry = self.entries.get(waiter.index)?;
+        if entry.sequence != waiter.sequence {
             return None;
         }
-        Some(self.unlink(waiter.slot))
+        Some(self.unlink(waiter.index))
     }
 
     /// Changes what `team` was charged by `cost_s` seconds of slot time, which may be negative.
@@ -207,11 +207,11 @@
         let Some(queue) = self.teams.get_mut(team) else {
             return;
         };
-        let before = queue.tag();
+        let before = queue.virtual_time_bits();
         queue.virtual_time = (queue.virtual_time + cost_s / queue.weight).max(0.0);
         if queue.is_ready() {
             self.ready.remove(&(before, team.clone()));
-            self.ready.insert((queue.tag(), team.clone()));
+            self.ready.insert((queue.virtual_time_bits(), team.clone()));
         }
     }
 
@@ -220,7 +220,7 @@
         let Some(queue) = self.teams.get_mut(team) else {
             return;
         };
-        self.ready.remove(&(queue.tag(), team.clone()));
+        self.ready.remove(&(queue.virtual_time_bits(), team.clone()));
         queue.blocked = true;
     }
 
@@ -234,7 +234,7 @@
         }
         queue.virtual_time = queue.virtual_time.max(self.virtual_time);
         if queue.is_ready() {
-            self.ready.insert((queue.tag(), team.clone()));
+            self.ready.insert((queue.virtual_time_bits(), team.clone()));
         }
     }
 
@@ -248,8 +248,8 @@
         self.teams.keys().cloned().collect()
     }
 
-    fn unlink(&mut self, slot: usize) -> T {
-        let entry = self.entries.remove(slot);
+    fn unlink(&mut self, index: usize) -> T {
+        let entry = self.entries.remove(index);
         if let Some(previous) = entry.previous {
             self.entries[previous].next = entry.next;
         }
@@ -268,7 +268,7 @@
         queue.length -= 1;
         if queue.length == 0 {
             self.backlog_weight -= queue.weight;
-            self.ready.remove(&(queue.tag(), entry.team));
+            self.ready.remove(&(queue.virtual_time_bits(), entry.team));
         }
         if self.entries.is_empty() {
             self.backlog_weight = 0.0;
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -65,17 +65,17 @@
 /// Points in a row at which an instance is ejected.
 const FAILURE_POINTS_MAX: u32 = 5;
 /// Results from which on the success rate counts.
-const SAMPLES_MIN: u32 = 10;
+const SUCCESS_RATE_SAMPLES_MIN: u32 = 10;
 /// Success rate, as a part of the pool's, below which an instance is ejected.
-const RELATIVE_RATE_MIN: f64 = 0.5;
+const RELATIVE_SUCCESS_RATE_MIN: f64 = 0.5;
 /// Weight of the latest result in the success rate.
-const RATE_GAIN: f64 = 0.1;
-const HOLD_FIRST: Duration = Duration::from_secs(1);
-const HOLD_MAX: Duration = Duration::from_secs(60);
+const SUCCESS_RATE_GAIN: f64 = 0.1;
+const BACKOFF_FIRST: Duration = Duration::from_secs(1);
+const BACKOFF_MAX: Duration = Duration::from_secs(60);
 /// Time in which a trial prefers idempotent requests.
-const TRIAL_IDEMPOTENT: Duration = Duration::from_secs(5);
+const PREFER_IDEMPOTENT_PERIOD: Duration = Duration::from_secs(5);
 /// Successes in a row after which earlier ejections are forgotten.
-const FORGIVE_AFTER: u32 = 100;
+const EJECTIONS_RESET_SUCCESSES: u32 = 100;
 /// Largest part of a pool that is ejected at a time.
 const EJECTED_SHARE_MAX: f64 = 1.0 / 3.0;
 
@@ -133,22 +133,22 @@
         self.success_rate
     }
 
-    /// Takes in one result; `pool_rate` is the mean success rate of the instance's pool.
-    pub fn record(&mut self, result: AttemptResult, pool_rate: f64) -> HealthChange {
+    /// Takes in one result; `pool_success_rate` is the mean success rate of the instance's pool.
+    pub fn record(&mut self, result: AttemptResult, pool_success_rate: f64) -> HealthChange {
         let Some(points) = result.failure_points() else {
             return HealthChange::Unchanged;
         };
         let success = points == 0;
         let target = if success { 1.0 } else { 0.0 };
-        self.success_rate += RATE_GAIN * (target - self.success_rate);
+        self.success_rate += SUCCESS_RATE_GAIN * (target - self.success_rate);
         self.samples = self.samples.saturating_add(1);
-        if success { self.record_success() } else { self.record_failure(points, pool_rate) }
+        if success { self.record_success() } else { self.record_failure(points, pool_success_rate) }
     }
 
     fn record_success(&mut self) -> HealthChange {
         self.failure_points = 0;
         self.successes = self.successes.saturating_add(1);
-        if self.successes >= FORGIVE_AFTER {
+        if self.successes >= EJECTIONS_RESET_SUCCESSES {
             self.ejections = 0;
         }
         if !matches!(self.routing_state, RoutingState::Trial { .. }) {
@@ -160,13 +160,13 @@
         HealthChange::Recovered
     }
 
-    fn record_failure(&mut self, points: u32, pool_rate: f64) -> HealthChange {
+    fn record_failure(&mut self, points: u32, pool_success_rate: f64) -> HealthChange {
         self.successes = 0;
         self.failure_points = self.failure_points.saturating_add(points);
-        let low_rate =
-            self.samples >= SAMPLES_MIN && self.success_rate < RELATIVE_RATE_MIN * pool_rate;
+        let low_success_rate = self.samples >= SUCCESS_RATE_SAMPLES_MIN
+            && self.success_rate < RELATIVE_SUCCESS_RATE_MIN * pool_success_rate;
         let eject = match self.routing_state {
-            RoutingState::Healthy => self.failure_points >= FAILURE_POINTS_MAX || low_rate,
+            RoutingState::Healthy => self.failure_points >= FAILURE_POINTS_MAX || low_success_rate,
             RoutingState::Trial { .. } => true,
             RoutingState::Ejected { .. } => false,
         };
@@ -176,7 +176,7 @@
     /// Ejects the instance and returns the end of its hold, which doubles each time.
     pub fn eject(&mut self, now: Instant) -> Instant {
         let doublings = self.ejections.min(16);
-        let backoff = HOLD_FIRST.saturating_mul(1 << doublings).min(HOLD_MAX);
+        let backoff = BACKOFF_FIRST.saturating_mul(1 << doublings).min(BACKOFF_MAX);
         let until = now + backoff;
         self.ejections += 1;
         self.routing_state = RoutingState::Ejected { until };
@@ -190,7 +190,7 @@
             return false;
         }
         let prefer_idempotent_until = match self.routing_state {
-            RoutingState::Ejected { .. } => Some(now + TRIAL_IDEMPOTENT),
+            RoutingState::Ejected { .. } => Some(now + PREFER_IDEMPOTENT_PERIOD),
             RoutingState::Healthy | RoutingState::Trial { .. } => None,
         };
         self.routing_state = RoutingState::Trial { prefer_idempotent_until };
--- a/crates/dispatch/src/health/tests.rs
+++ b/crates/dispatch/src/health/tests.rs
@@ -61,11 +61,11 @@
     }
     assert_eq!(holds_s, [1, 2, 4, 8, 16, 32, 60, 60]);
     assert_eq!(health.record(AttemptResult::Ok, 1.0), HealthChange::Recovered);
-    for _ in 0..FORGIVE_AFTER {
+    for _ in 0..EJECTIONS_RESET_SUCCESSES {
         health.record(AttemptResult::Ok, 1.0);
     }
     let now = Instant::now();
-    assert_eq!(health.eject(now) - now, HOLD_FIRST);
+    assert_eq!(health.eject(now) - now, BACKOFF_FIRST);
 }
 
 #[test]
--- a/crates/dispatch/src/in_flight.rs
+++ b/crates/dispatch/src/in_flight.rs
@@ -45,7 +45,7 @@
     pub fn track(&self, request: Arc<AcceptedRequest>) -> InFlightGuard {
         let mut requests = self.shared.lock();
         let key = requests.insert(request);
-        self.shared.metrics.in_flight(requests.len());
+        self.shared.metrics.set_in_flight(requests.len());
         InFlightGuard { shared: self.shared.clone(), key }
     }
 
@@ -70,7 +70,7 @@
     fn drop(&mut self) {
         let mut requests = self.shared.lock();
         requests.remove(self.key);
-        self.shared.metrics.in_flight(requests.len());
+        self.shared.metrics.set_in_flight(requests.len());
         if requests.is_empty() {
             self.shared.ended.notify_waiters();
         }
--- a/crates/dispatch/src/metrics.rs
+++ b/crates/dispatch/src/metrics.rs
@@ -108,30 +108,35 @@
         registry.register("in_flight", "Requests accepted and not ended", self.in_flight.clone());
     }
 
-    pub(crate) fn queueing(&self, request: &AcceptedRequest, waited: Duration) {
+    pub(crate) fn record_queue_wait(&self, request: &AcceptedRequest, waited: Duration) {
         self.queueing.get_or_create(&team_labels(request)).observe(waited.as_secs_f64());
     }
 
-    pub(crate) fn service_time(&self, request: &AcceptedRequest, held: Duration) {
+    pub(crate) fn record_service_time(&self, request: &AcceptedRequest, held: Duration) {
         self.service_time.get_or_create(&team_labels(request)).observe(held.as_secs_f64());
     }
 
-    pub(crate) fn request_attempts(&self, request: &AcceptedRequest, attempts: u32) {
+    pub(crate) fn record_attempts(&self, request: &AcceptedRequest, attempts: u32) {
         self.attempts.get_or_create(&team_labels(request)).observe(f64::from(attempts));
     }
 
-    pub(crate) fn attempt(&self, request: &AcceptedRequest, result: AttemptResult) {
+    pub(crate) fn count_result(&self, request: &AcceptedRequest, result: AttemptResult) {
         let service = request.service.clone();
         let labels = ResultLabels { service, result: result_label(result) };
         self.results.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn refusal(&self, problem: &Problem) {
+    pub(crate) fn count_refusal(&self, problem: &Problem) {
         let labels = RefusalLabels { code: problem.code.row().number };
         self.refusals.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn service(&self, service: &ServiceId, counts: ServiceCounts, waiting: usize) {
+    pub(crate) fn set_service_gauges(
+        &self,
+        service: &ServiceId,
+        counts: ServiceCounts,
+        waiting: usize,
+    ) {
         let labels = ServiceLabels { service: service.clone() };
         self.slots.get_or_create(&labels).set(i64::from(counts.slots));
         self.slots_held.get_or_create(&labels).set(i64::from(counts.running));
@@ -139,7 +144,7 @@
         self.waiting.get_or_create(&labels).set(waiting as i64);
     }
 
-    pub(crate) fn in_flight(&self, count: usize) {
+    pub(crate) fn set_in_flight(&self, count: usize) {
         self.in_flight.set(count as i64);
     }
 }
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -14,7 +14,7 @@
 /// Time after its last answer for which a connection counts as proved.
 pub const VERIFIED_MAX_AGE: Duration = Duration::from_millis(500);
 /// Time after which an unused connection is closed.
-const IDLE_MAX: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 const PRUNE_INTERVAL: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -55,23 +55,23 @@
 }
 
 struct Shared<E: Dependencies> {
-    servers: Mutex<HashMap<SocketAddr, Server<E>>>,
+    servers: Mutex<HashMap<SocketAddr, ServerConnections<E>>>,
     closed: Notify,
 }
 
-struct Server<E: Dependencies> {
+struct ServerConnections<E: Dependencies> {
     open: u32,
     idle: Vec<Connection<E>>,
 }
 
-impl<E: Dependencies> Default for Server<E> {
+impl<E: Dependencies> Default for ServerConnections<E> {
     fn default() -> Self {
         Self { open: 0, idle: Vec::new() }
     }
 }
 
 impl<E: Dependencies> Shared<E> {
-    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Server<E>>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, ServerConnections<E>>> {
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -214,7 +214,7 @@
         };
         shared.lock().retain(|_, server| {
             server.idle.retain(|connection| {
-                !connection.is_closed() && connection.verified_at.elapsed() < IDLE_MAX
+                !connection.is_closed() && connection.verified_at.elapsed() < IDLE_TIMEOUT
             });
             server.open > 0 || !server.idle.is_empty()
         });
--- a/crates/dispatch/src/proxy.rs
+++ b/crates/dispatch/src/proxy.rs
@@ -26,13 +26,13 @@
 use crate::running_request::RunningRequest;
 
 /// Most attempts that backend servers did not run.
-const NOT_RUN_MAX: u32 = 8;
+const NOT_RUN_ATTEMPTS_MAX: u32 = 8;
 /// Most attempts of an idempotent request whose outcome is unknown.
-const UNKNOWN_MAX: u32 = 3;
+const UNKNOWN_OUTCOME_ATTEMPTS_MAX: u32 = 3;
 /// Shortest wait for an answer before a second attempt of an idempotent request.
-const PATIENCE_MIN: Duration = Duration::from_millis(250);
+const HEDGE_DELAY_MIN: Duration = Duration::from_millis(250);
 /// Wait for an answer before a second attempt while nothing is known about the service.
-const PATIENCE_DEFAULT: Duration = Duration::from_secs(5);
+const HEDGE_DELAY_DEFAULT: Duration = Duration::from_secs(5);
 
 /// Sends requests to backend servers.
 pub struct Proxy<E: Dependencies> {
@@ -44,20 +44,20 @@
 
 /// What the attempts of one request have come to so far.
 #[derive(Debug, Default)]
-struct Tally {
+struct AttemptCounts {
     not_run: u32,
-    unknown: u32,
+    outcome_unknown: u32,
     avoid: Vec<Instance>,
 }
 
-impl Tally {
+impl AttemptCounts {
     fn attempts(&self) -> u32 {
-        self.not_run + self.unknown
+        self.not_run + self.outcome_unknown
     }
 
     /// The refusal that a caller gets: what one attempt may have run stays unknown.
     fn refuse(&self, mut problem: Problem) -> Problem {
-        if self.unknown > 0 {
+        if self.outcome_unknown > 0 {
             problem.run_state = RunState::OutcomeUnknown;
         }
         problem
@@ -82,38 +82,38 @@
         request: &Arc<AcceptedRequest>,
         mut prepared: PreparedRequest,
     ) -> Result<Response<ResponseBody<E>>, Problem> {
-        let mut tally = Tally::default();
+        let mut counts = AttemptCounts::default();
         let mut running = self.dispatcher.acquire(request).await?;
         self.budget.deposit(&request.service);
         loop {
             // Boxed, so that a waiting request does not carry the state of its attempts.
             let attempt = Box::pin(self.attempt(request, running, &mut prepared));
             let failure = match attempt.await {
-                Ok(answer) => {
-                    self.note_attempts(request, tally.attempts() + 1);
-                    return Ok(answer);
+                Ok(response) => {
+                    self.record_attempts(request, counts.attempts() + 1);
+                    return Ok(response);
                 }
                 Err(failure) => failure,
             };
-            let again = self.may_repeat(&mut tally, &failure, &prepared, request);
-            if !again {
-                self.note_attempts(request, tally.attempts());
-                return Err(tally.refuse(self.problem(&failure, request)));
+            let retry = self.may_retry(&mut counts, &failure, &prepared, request);
+            if !retry {
+                self.record_attempts(request, counts.attempts());
+                return Err(counts.refuse(self.problem(&failure, request)));
             }
-            tally.avoid.push(failure.instance);
-            let next = self.dispatcher.acquire_retry(request, tally.avoid.clone()).await;
-            running = next.map_err(|problem| tally.refuse(problem))?;
+            counts.avoid.push(failure.instance);
+            let next = self.dispatcher.acquire_retry(request, counts.avoid.clone()).await;
+            running = next.map_err(|problem| counts.refuse(problem))?;
         }
     }
 
-    fn note_attempts(&self, request: &AcceptedRequest, attempts: u32) {
-        self.dispatcher.metrics().request_attempts(request, attempts);
+    fn record_attempts(&self, request: &AcceptedRequest, attempts: u32) {
+        self.dispatcher.metrics().record_attempts(request, attempts);
     }
 
     /// Counts a failure and tells whether the request may be sent again.
-    fn may_repeat(
+    fn may_retry(
         &self,
-        tally: &mut Tally,
+        counts: &mut AttemptCounts,
         failure: &AttemptFailure,
         prepared: &PreparedRequest,
         request: &AcceptedRequest,
@@ -121,14 +121,14 @@
         let in_time = Instant::now() < request.deadline && prepared.body.is_available();
         match failure.run_state {
             RunState::NotRun => {
-                tally.not_run += 1;
-                in_time && tally.not_run < NOT_RUN_MAX
+                counts.not_run += 1;
+                in_time && counts.not_run < NOT_RUN_ATTEMPTS_MAX
             }
             RunState::OutcomeUnknown => {
-                tally.unknown += 1;
+                counts.outcome_unknown += 1;
                 in_time
                     && request.idempotent
-                    && tally.unknown < UNKNOWN_MAX
+                    && counts.outcome_unknown < UNKNOWN_OUTCOME_ATTEMPTS_MAX
                     && self.budget.withdraw(&request.service)
             }
         }
@@ -155,32 +155,32 @@
         }
         let instance = running.instance().clone();
         let mut copy = prepared.copy_for_hedge();
-        let (superseded, patience) = (options.superseded.clone(), patience(request, &options));
+        let (superseded, hedge_time) = (options.superseded.clone(), hedge_time(request, &options));
         let first = pin!(attempt::run(&self.pool, running, prepared, options.clone()));
-        let first = match select(first, pin!(sleep_until(patience))).await {
+        let first = match select(first, pin!(sleep_until(hedge_time))).await {
             Either::Left((outcome, _)) => return outcome,
             Either::Right(((), first)) => first,
         };
-        let Some(running) = self.second(request, &instance) else {
+        let Some(running) = self.acquire_hedge(request, &instance) else {
             return first.await;
         };
         options.reuse = Reuse::Never;
         options.superseded = CancellationToken::new();
         // Boxed, since few requests need a second attempt.
-        let second = Box::pin(attempt::run(&self.pool, running, &mut copy, options));
-        match select(first, second).await {
-            Either::Left((Err(failure), second)) => failure.or_else_outcome(second.await),
-            Either::Left((answer, _)) => answer,
+        let hedge = Box::pin(attempt::run(&self.pool, running, &mut copy, options));
+        match select(first, hedge).await {
+            Either::Left((Err(failure), hedge)) => failure.or_else_outcome(hedge.await),
+            Either::Left((response, _)) => response,
             Either::Right((Err(failure), first)) => failure.or_else_outcome(first.await),
-            Either::Right((answer, first)) => {
+            Either::Right((response, first)) => {
                 superseded.cancel();
                 first.now_or_never();
-                answer
+                response
             }
         }
     }
 
-    fn second(
+    fn acquire_hedge(
         &self,
         request: &Arc<AcceptedRequest>,
         tried: &Instance,
@@ -191,11 +191,11 @@
 
     fn options(&self, request: &AcceptedRequest) -> AttemptOptions {
         let tail = self.dispatcher.tail_latency(&request.service);
-        let hedge_delay = tail.map(|tail| tail.saturating_mul(2).max(PATIENCE_MIN));
+        let hedge_delay = tail.map(|tail| tail.saturating_mul(2).max(HEDGE_DELAY_MIN));
         AttemptOptions {
             reuse: if request.idempotent { Reuse::Any } else { Reuse::RecentlyVerified },
             connections_max: self.connections_max(request),
-            hedge_delay: hedge_delay.unwrap_or(PATIENCE_DEFAULT),
+            hedge_delay: hedge_delay.unwrap_or(HEDGE_DELAY_DEFAULT),
             superseded: CancellationToken::new(),
         }
     }
@@ -211,7 +211,7 @@
 }
 
 /// Until when a first attempt is left alone: at most half of the time until the deadline.
-fn patience(request: &AcceptedRequest, options: &AttemptOptions) -> Instant {
+fn hedge_time(request: &AcceptedRequest, options: &AttemptOptions) -> Instant {
     let now = Instant::now();
     let remaining = request.deadline.saturating_duration_since(now);
     now + options.hedge_delay.min(remaining / 2)
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -43,7 +43,7 @@
 pub fn request_id(headers: &HeaderMap) -> Result<RequestId, DispatchCode> {
     let mut values = headers.get_all(REQUEST_ID).iter();
     let Some(value) = values.next() else {
-        return Ok(make_request_id());
+        return Ok(generate_request_id());
     };
     let text = value.to_str().map_err(|_| DispatchCode::InvalidRequestId)?;
     let well_formed = (1..=REQUEST_ID_LENGTH_MAX).contains(&text.len())
@@ -54,7 +54,7 @@
     Ok(text.into())
 }
 
-fn make_request_id() -> RequestId {
+fn generate_request_id() -> RequestId {
     format!("{:032x}", rand::rng().random::<u128>()).into()
 }
 
--- a/crates/dispatch/src/request/tests.rs
+++ b/crates/dispatch/src/request/tests.rs
@@ -75,7 +75,7 @@
 
 #[test]
 fn made_ids_differ_and_are_well_formed() {
-    let (one, other) = (make_request_id(), make_request_id());
+    let (one, other) = (generate_request_id(), generate_request_id());
     assert_ne!(one, other);
     assert!(request_id(&headers("x-request-id", &[&one])).is_ok());
 }
--- a/crates/dispatch/src/response_body.rs
+++ b/crates/dispatch/src/response_body.rs
@@ -102,8 +102,8 @@
         }
         let mut data = BytesMut::new();
         while let Some(frame) = self.frame().await {
-            if let Ok(more) = frame?.into_data() {
-                data.extend_from_slice(&more);
+            if let Ok(chunk) = frame?.into_data() {
+                data.extend_from_slice(&chunk);
             }
         }
         self.source = Source::Held(Some(data.freeze()));
--- a/crates/dispatch/src/running_request.rs
+++ b/crates/dispatch/src/running_request.rs
@@ -61,7 +61,7 @@
     /// Notes what the attempt showed about the instance.
     pub fn record(&self, result: AttemptResult) {
         self.shared.record(self.grant.index, &self.grant.instance.id, result);
-        self.shared.metrics.attempt(&self.request, result);
+        self.shared.metrics.count_result(&self.request, result);
     }
 
     /// Gives slot and permit back.
@@ -75,7 +75,7 @@
         drop(self.grant.permit.take());
         let held = self.since.elapsed();
         if self.end_reason == EndReason::Completed {
-            self.shared.metrics.service_time(&self.request, held);
+            self.shared.metrics.record_service_time(&self.request, held);
         }
         self.shared.release(&FinishedRequest {
             request: &self.request,
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -37,11 +37,11 @@
 }
 
 /// What keeps a request from its start for now.
-enum Obstacle {
+enum StartObstacle {
     /// No backend server has a free slot.
     NoSlot,
     /// The team runs as much as it may.
-    TeamFull,
+    TeamAtLimit,
 }
 
 impl<E: Dependencies, R> RequestScheduler<E, R> {
@@ -218,8 +218,8 @@
                 Ok(Some((waiting, grant))) => {
                     replies.push((waiting.reply, waiting.request, Ok(grant)));
                 }
-                Err(Obstacle::TeamFull) => {}
-                Ok(None) | Err(Obstacle::NoSlot) => break,
+                Err(StartObstacle::TeamAtLimit) => {}
+                Ok(None) | Err(StartObstacle::NoSlot) => break,
             }
         }
         replies
@@ -231,7 +231,7 @@
         &mut self,
         service: &ServiceId,
         team: &TeamId,
-    ) -> Result<Option<(WaitingRequest<R>, SlotGrant<PermitOf<E>>)>, Obstacle> {
+    ) -> Result<Option<(WaitingRequest<R>, SlotGrant<PermitOf<E>>)>, StartObstacle> {
         let Some(queue) = self.queues.get_mut(service) else {
             return Ok(None);
         };
@@ -239,34 +239,37 @@
             return Ok(None);
         };
         let (request, avoid) = (first.request.clone(), first.avoid.clone());
-        let taken = self.take(&request, &avoid);
-        if let Err(Obstacle::TeamFull) = taken {
+        let reserved = self.reserve(&request, &avoid);
+        if let Err(StartObstacle::TeamAtLimit) = reserved {
             self.block(service, team);
         }
-        let grant = taken?;
+        let grant = reserved?;
         let queue = self.queues.get_mut(service);
         let waiting = queue.and_then(|queue| queue.waiting.pop_charged(team, grant.cost_s));
         Ok(waiting.map(|waiting| (waiting, grant)))
     }
 
     /// Takes a slot and a permit for a request whose team is not charged yet.
-    fn take(
+    fn reserve(
         &mut self,
         request: &AcceptedRequest,
         avoid: &[Instance],
-    ) -> Result<SlotGrant<PermitOf<E>>, Obstacle> {
-        let queue = self.queues.get_mut(&request.service).ok_or(Obstacle::NoSlot)?;
+    ) -> Result<SlotGrant<PermitOf<E>>, StartObstacle> {
+        let queue = self.queues.get_mut(&request.service).ok_or(StartObstacle::NoSlot)?;
         let running_max = self.dependencies.shares().running_max(&request.service, &request.team);
         if queue.update_over_share(&request.team, running_max) {
-            return Err(Obstacle::TeamFull);
+            return Err(StartObstacle::TeamAtLimit);
         }
         let criteria = SelectionCriteria { idempotent: request.idempotent, avoid };
         let (domains, rng) = (self.dependencies.domains(), &mut self.rng);
         let chosen = self.backends.choose(&request.service, criteria, domains, rng);
-        let index = chosen.ok_or(Obstacle::NoSlot)?;
+        let index = chosen.ok_or(StartObstacle::NoSlot)?;
         let permit = match request.is_limited() {
             true => Some(
-                self.dependencies.limits().try_acquire(&request.team).ok_or(Obstacle::TeamFull)?,
+                self.dependencies
+                    .limits()
+                    .try_acquire(&request.team)
+                    .ok_or(StartObstacle::TeamAtLimit)?,
             ),
             false => None,
         };
@@ -296,7 +299,7 @@
         if !idle || !authorized {
             return None;
         }
-        let grant = self.take(request, avoid).ok()?;
+        let grant = self.reserve(request, avoid).ok()?;
         let queue = self.queues.get_mut(&request.service)?;
         queue.waiting.charge(&request.team, grant.cost_s);
         Some(grant)
--- a/crates/dispatch/src/selection.rs
+++ b/crates/dispatch/src/selection.rs
@@ -30,26 +30,26 @@
         domains: &impl FailureDomainSource,
         rng: &mut impl Rng,
     ) -> Option<BackendIndex> {
-        let known = self.services.get(service)?;
-        let trial = known.trial.first().copied();
+        let service_backends = self.services.get(service)?;
+        let trial = service_backends.trial.first().copied();
         if criteria.avoid.is_empty()
-            && let Some(index) = self.open_trial(known, criteria.idempotent)
+            && let Some(index) = self.choose_trial(service_backends, criteria.idempotent)
         {
             return Some(index);
         }
         if criteria.avoid.is_empty() {
-            return self.choose_free(known, rng).or(trial);
+            return self.choose_free(service_backends, rng).or(trial);
         }
         let mut best: Option<(u8, BackendIndex)> = None;
-        for zone in known.zones.iter().filter(|zone| !zone.free.is_empty()) {
+        for zone in service_backends.zones.iter().filter(|zone| !zone.free.is_empty()) {
             let start = rng.random_range(0..zone.free.len());
             for offset in 0..zone.free.len() {
                 let index = zone.free[(start + offset) % zone.free.len()];
-                let rank = self.closeness(index, criteria.avoid, domains);
+                let rank = self.failure_domain_overlap(index, criteria.avoid, domains);
                 if rank == 0 {
                     return Some(index);
                 }
-                if best.is_none_or(|(known, _)| rank < known) {
+                if best.is_none_or(|(service_backends, _)| rank < service_backends) {
                     best = Some((rank, index));
                 }
             }
@@ -58,16 +58,20 @@
     }
 
     /// A backend server whose trial takes the request before all others.
-    fn open_trial(&self, known: &ServiceBackends, idempotent: bool) -> Option<BackendIndex> {
+    fn choose_trial(
+        &self,
+        service_backends: &ServiceBackends,
+        idempotent: bool,
+    ) -> Option<BackendIndex> {
         let open_to_all = RoutingState::Trial { prefer_idempotent_until: None };
         let is_open = |index: &&BackendIndex| {
             idempotent || self.get(**index).health.routing_state() == open_to_all
         };
-        known.trial.iter().find(is_open).copied()
+        service_backends.trial.iter().find(is_open).copied()
     }
 
     /// 0: shares no failure domain with an avoided instance; 1: shares one; 2: is one.
-    fn closeness(
+    fn failure_domain_overlap(
         &self,
         index: BackendIndex,
         avoid: &[Instance],
@@ -81,11 +85,15 @@
     }
 
     /// The better of two drawn from the home zone, or else from the other zones together.
-    fn choose_free(&self, known: &ServiceBackends, rng: &mut impl Rng) -> Option<BackendIndex> {
-        let near = known.zones.first().filter(|zone| zone.zone == self.home);
-        let zones = match near {
-            Some(near) if !near.free.is_empty() => &known.zones[..1],
-            _ => &known.zones[..],
+    fn choose_free(
+        &self,
+        service_backends: &ServiceBackends,
+        rng: &mut impl Rng,
+    ) -> Option<BackendIndex> {
+        let home_zone = service_backends.zones.first().filter(|zone| zone.zone == self.home);
+        let zones = match home_zone {
+            Some(home_zone) if !home_zone.free.is_empty() => &service_backends.zones[..1],
+            _ => &service_backends.zones[..],
         };
         let total = zones.iter().map(|zone| zone.free.len()).sum();
         if total == 0 {
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -17,7 +17,7 @@
 use crate::event::DispatchEvent;
 
 /// Longest wait for callers' connections to close once all requests have ended.
-const CLOSE_MAX: Duration = Duration::from_secs(5);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A running server for callers.
 pub struct Server<E: Dependencies> {
@@ -69,7 +69,7 @@
             emit!(DispatchEvent::StopDraining);
             self.stop.cancel();
             self.caller_api.in_flight().all_ended().await;
-            let _ = tokio::time::timeout(CLOSE_MAX, self.task).await;
+            let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.task).await;
         };
         tokio::select! {
             () = graceful => {}
--- a/crates/dispatch/src/service_queue.rs
+++ b/crates/dispatch/src/service_queue.rs
@@ -16,7 +16,7 @@
 use crate::slot_grant::{EndReason, FinishedRequest};
 
 /// Slot time that a first request of a team is charged, in seconds.
-const COST_FIRST_S: f64 = 0.05;
+const COST_DEFAULT_S: f64 = 0.05;
 /// Wait that a caller is told when nothing is known about the queue.
 const RETRY_AFTER_DEFAULT: Duration = Duration::from_secs(1);
 
@@ -83,7 +83,8 @@
     /// Notes whether `team` runs its part of the slots, `running_max`, and returns it.
     pub fn update_over_share(&mut self, team: &TeamId, running_max: Option<u32>) -> bool {
         let account = self.teams.entry(team.clone()).or_default();
-        account.over_share = running_max.is_some_and(|most| account.running >= most.max(1));
+        account.over_share =
+            running_max.is_some_and(|running_max| account.running >= running_max.max(1));
         account.over_share
     }
 
@@ -95,7 +96,7 @@
 
     /// Takes in the start of a request of `team`. Returns the slot time to charge, in seconds.
     pub fn record_start(&mut self, team: &TeamId) -> f64 {
-        let cost_s = self.mean_s(team).unwrap_or(COST_FIRST_S);
+        let cost_s = self.mean_service_time_s(team).unwrap_or(COST_DEFAULT_S);
         self.teams.entry(team.clone()).or_default().running += 1;
         self.running += 1;
         cost_s
@@ -120,14 +121,15 @@
     }
 
     /// Mean time that requests of `team` hold a slot, or else those of all teams, in seconds.
-    fn mean_s(&self, team: &TeamId) -> Option<f64> {
+    fn mean_service_time_s(&self, team: &TeamId) -> Option<f64> {
         let of_team = self.teams.get(team).and_then(|account| account.service_time.mean_s());
         of_team.or(self.service_time.mean_s())
     }
 
     /// Mean time that a request of `team` takes once started; zero while nothing is known.
     pub fn expected_service_time(&self, team: &TeamId) -> Duration {
-        Duration::try_from_secs_f64(self.mean_s(team).unwrap_or(0.0)).unwrap_or_default()
+        Duration::try_from_secs_f64(self.mean_service_time_s(team).unwrap_or(0.0))
+            .unwrap_or_default()
     }
 
     /// Expected wait of a request of `team` that arrives now: what waits before it over the rate
@@ -136,15 +138,17 @@
         if self.waiting.is_empty() || self.running == 0 {
             return None;
         }
-        let mean_s = self.service_time.mean_s()?;
+        let mean_service_time_s = self.service_time.mean_s()?;
         let ahead = self.waiting.team_len(team) as f64 + 1.0;
         if self.waiting.is_blocked(team) {
             let running = self.running_of(team).max(1);
-            return Duration::try_from_secs_f64(ahead * mean_s / f64::from(running)).ok();
+            return Duration::try_from_secs_f64(ahead * mean_service_time_s / f64::from(running))
+                .ok();
         }
-        let rate = f64::from(self.running) / mean_s.max(f64::MIN_POSITIVE);
-        let joins = self.waiting.team_len(team) == 0;
-        let total_weight = self.waiting.backlog_weight() + if joins { weight } else { 0.0 };
+        let rate = f64::from(self.running) / mean_service_time_s.max(f64::MIN_POSITIVE);
+        let is_new_in_backlog = self.waiting.team_len(team) == 0;
+        let total_weight =
+            self.waiting.backlog_weight() + if is_new_in_backlog { weight } else { 0.0 };
         let by_share_s = ahead * total_weight / weight / rate;
         let by_queue_s = (self.waiting.len() as f64 + 1.0) / rate;
         Duration::try_from_secs_f64(by_share_s.min(by_queue_s)).ok()
@@ -154,8 +158,8 @@
     /// request that would hardly end in time leaves its slot to them.
     pub fn refusal(&self, team: &TeamId, config: &Config, now: Instant) -> Option<Problem> {
         let request = &self.waiting.first(team)?.request;
-        let alone = self.waiting.len() == 1;
-        let end = if alone { now } else { now + self.expected_service_time(team) };
+        let is_only_waiter = self.waiting.len() == 1;
+        let end = if is_only_waiter { now } else { now + self.expected_service_time(team) };
         if request.deadline <= end {
             return Some(retry_later(DispatchCode::QueueTimeout, None));
         }
--- a/crates/dispatch/src/source_watcher.rs
+++ b/crates/dispatch/src/source_watcher.rs
@@ -25,7 +25,7 @@
 }
 
 impl SourceChanges {
-    pub(crate) fn of<E: Dependencies>(shared: &Shared<E>) -> Self {
+    pub(crate) fn subscribe<E: Dependencies>(shared: &Shared<E>) -> Self {
         let state = shared.lock();
         Self {
             config: state.config.clone(),
