--- a/crates/dispatch/src/caller_api.rs
+++ b/crates/dispatch/src/caller_api.rs
@@ -30,6 +30,9 @@
 use crate::proxy::Proxy;
 use crate::request::{self, REQUEST_ID};
 
+/// Log target of this module, which operators' filters name.
+const LOG_TARGET: &str = "cassiafold_dispatch::callers";
+
 /// Phase of an entry instance's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
@@ -161,7 +164,12 @@
     let mut response = result.unwrap_or_else(|problem| {
         caller_api.dispatcher().metrics().count_refusal(&problem);
         let id = id.as_ref().map_or("", |id| id);
-        emit!(DispatchEvent::RequestRefused, code = problem.code.row().number, request = id);
+        emit!(
+            target: LOG_TARGET,
+            DispatchEvent::RequestRefused,
+            code = problem.code.row().number,
+            request = id
+        );
         problem.into_response()
     });
     if let Ok(value) = HeaderValue::from_str(id.as_ref().map_or("", |id| id))
