--- a/crates/dispatch/src/backends.rs
+++ b/crates/dispatch/src/backends.rs
@@ -8,9 +8,11 @@
 use cassiafold_config::{Config, Instance, InstanceId, InstanceState, ServiceId, ZoneId};
 use tokio::time::Instant;
 
-use crate::backend::{Backend, BackendIndex, List, Place, ServiceBackends, ZoneBackends};
-use crate::edge::PeerLoad;
-use crate::health::{AttemptResult, Health, Standing, Verdict, ejected_max};
+use crate::backend::{
+    Backend, BackendIndex, CandidateList, ListPosition, ServiceBackends, ZoneBackends,
+};
+use crate::dependencies::PeerLoad;
+use crate::health::{AttemptResult, Health, HealthChange, RoutingState, ejected_max};
 
 /// Index of the backend servers.
 #[derive(Debug)]
@@ -51,12 +53,12 @@
     }
 
     /// Whether the backend server takes new work as far as operators and platform say.
-    pub fn takes_work(&self, index: BackendIndex, service: &ServiceId) -> bool {
+    pub fn accepts_requests(&self, index: BackendIndex, service: &ServiceId) -> bool {
         self.backends.get(index).is_some_and(|backend| backend.service.as_ref() == Some(service))
     }
 
     /// Whether any instance of `service` takes new work, full or not.
-    pub fn any(&self, service: &ServiceId) -> bool {
+    pub fn has_instances(&self, service: &ServiceId) -> bool {
         self.services.get(service).is_some_and(|service| !service.members.is_empty())
     }
 
@@ -83,22 +85,22 @@
         for (_, backend) in &mut self.backends {
             backend.listed = false;
             backend.service = None;
-            backend.place = None;
+            backend.list_position = None;
         }
         self.services.clear();
         for instance in instances {
             let index = self.upsert(instance);
             let backend = &mut self.backends[index];
             backend.peers_running = peers.running(&instance.id);
-            let Some((id, service)) = open_service(config, instance) else {
+            let Some((id, service)) = open_service_of(config, instance) else {
                 continue;
             };
             backend.service = Some(id.clone());
             backend.slots = service.slots_per_instance;
         }
-        self.forget_gone();
+        self.remove_unlisted();
         let members: Vec<BackendIndex> = self.backends.iter().map(|(index, _)| index).collect();
-        members.into_iter().for_each(|index| self.join(index));
+        members.into_iter().for_each(|index| self.add_to_service(index));
     }
 
     fn upsert(&mut self, instance: &Instance) -> BackendIndex {
@@ -120,13 +122,13 @@
             peers_running: 0,
             slots: 0,
             full_until: None,
-            place: None,
+            list_position: None,
         });
         self.by_id.insert(instance.id.clone(), index);
         index
     }
 
-    fn forget_gone(&mut self) {
+    fn remove_unlisted(&mut self) {
         let by_id = &mut self.by_id;
         self.backends.retain(|_, backend| {
             let keep = backend.listed || backend.running > 0;
@@ -137,15 +139,15 @@
         });
     }
 
-    fn join(&mut self, index: BackendIndex) {
+    fn add_to_service(&mut self, index: BackendIndex) {
         let backend = &self.backends[index];
         let Some(id) = backend.service.clone() else {
             return;
         };
         let service = self.services.entry(id).or_default();
         service.members.push(index);
-        service.rate_sum += backend.health.success_rate();
-        if backend.health.standing() != Standing::Healthy {
+        service.success_rate_sum += backend.health.success_rate();
+        if backend.health.routing_state() != RoutingState::Healthy {
             service.ejected += 1;
         }
         if !service.zones.iter().any(|known| known.zone == backend.instance.zone) {
@@ -153,16 +155,16 @@
             let entry = ZoneBackends { zone, free: Vec::new() };
             if entry.zone == self.home {
                 service.zones.insert(0, entry);
-                self.renumber_zones(index);
+                self.update_list_positions(index);
             } else {
                 service.zones.push(entry);
             }
         }
-        self.refresh(index);
+        self.update_list(index);
     }
 
     /// Corrects the places of a service's instances after the home zone went to the front.
-    fn renumber_zones(&mut self, index: BackendIndex) {
+    fn update_list_positions(&mut self, index: BackendIndex) {
         let Some(service) =
             self.backends[index].service.as_ref().and_then(|id| self.services.get(id))
         else {
@@ -170,8 +172,8 @@
         };
         for (zone, entry) in service.zones.iter().enumerate() {
             for (position, member) in entry.free.iter().enumerate() {
-                let list = List::Free { zone };
-                self.backends[*member].place = Some(Place { list, position });
+                let list = CandidateList::Free { zone };
+                self.backends[*member].list_position = Some(ListPosition { list, position });
             }
         }
     }
@@ -183,19 +185,19 @@
             let backend = &mut self.backends[index];
             let running = peers.running(&backend.instance.id);
             if std::mem::replace(&mut backend.peers_running, running) != running {
-                self.refresh(index);
+                self.update_list(index);
             }
         }
     }
 
     /// Takes a slot of the backend server.
-    pub fn take_slot(&mut self, index: BackendIndex) {
+    pub fn acquire_slot(&mut self, index: BackendIndex) {
         self.backends[index].running += 1;
-        self.refresh(index);
+        self.update_list(index);
     }
 
     /// Gives a slot of the backend server back.
-    pub fn give_slot(&mut self, index: BackendIndex) {
+    pub fn release_slot(&mut self, index: BackendIndex) {
         let backend = &mut self.backends[index];
         backend.running -= 1;
         if !backend.listed && backend.running == 0 {
@@ -204,100 +206,105 @@
             self.by_id.remove(&id);
             return;
         }
-        self.refresh(index);
+        self.update_list(index);
     }
 
     /// Sends nothing to the backend server before `until`, because it said that it is full.
-    pub fn hold(&mut self, index: BackendIndex, until: Instant) {
+    pub fn back_off(&mut self, index: BackendIndex, until: Instant) {
         self.backends[index].full_until = Some(until);
-        self.refresh(index);
+        self.update_list(index);
     }
 
     /// Ends what was over by `now`: holds of full and of ejected backend servers.
-    pub fn end_holds(&mut self, now: Instant) {
+    pub fn end_backoffs(&mut self, now: Instant) {
         let indices: Vec<BackendIndex> = self.backends.iter().map(|(index, _)| index).collect();
         for index in indices {
             let backend = &mut self.backends[index];
-            let was_full = backend.full_until.is_some_and(|until| until <= now);
-            if was_full {
+            let backoff_over = backend.full_until.is_some_and(|until| until <= now);
+            if backoff_over {
                 backend.full_until = None;
             }
-            if backend.health.end_hold(now) || was_full {
-                self.refresh(index);
+            if backend.health.end_backoff(now) || backoff_over {
+                self.update_list(index);
             }
         }
     }
 
     /// The earliest end of a hold.
-    pub fn next_hold_end(&self) -> Option<Instant> {
-        self.iter().filter_map(Backend::hold_end).min()
+    pub fn next_backoff_end(&self) -> Option<Instant> {
+        self.iter().filter_map(Backend::backoff_end).min()
     }
 
     /// Takes in the result of an attempt. Returns what it changed.
-    pub fn record(&mut self, index: BackendIndex, result: AttemptResult, now: Instant) -> Verdict {
+    pub fn record(
+        &mut self,
+        index: BackendIndex,
+        result: AttemptResult,
+        now: Instant,
+    ) -> HealthChange {
         let backend = &mut self.backends[index];
         let Some(service) = backend.service.as_ref().and_then(|id| self.services.get_mut(id))
         else {
             return backend.health.record(result, 1.0);
         };
-        let pool_rate = service.rate_sum / service.members.len() as f64;
-        let rate_before = backend.health.success_rate();
-        let verdict = backend.health.record(result, pool_rate);
-        let verdict = match verdict {
-            Verdict::Eject => eject(backend, service, now),
-            Verdict::Returned => {
+        let pool_success_rate = service.success_rate_sum / service.members.len() as f64;
+        let success_rate_before = backend.health.success_rate();
+        let change = backend.health.record(result, pool_success_rate);
+        let change = match change {
+            HealthChange::Eject => eject(backend, service, now),
+            HealthChange::Recovered => {
                 service.ejected -= 1;
-                Verdict::Returned
+                HealthChange::Recovered
             }
-            Verdict::Unchanged => Verdict::Unchanged,
+            HealthChange::Unchanged => HealthChange::Unchanged,
         };
-        service.rate_sum += backend.health.success_rate() - rate_before;
-        if verdict != Verdict::Unchanged {
-            self.refresh(index);
+        service.success_rate_sum += backend.health.success_rate() - success_rate_before;
+        if change != HealthChange::Unchanged {
+            self.update_list(index);
         }
-        verdict
+        change
     }
 
     /// Moves the backend server to the list in which it belongs now.
-    fn refresh(&mut self, index: BackendIndex) {
+    fn update_list(&mut self, index: BackendIndex) {
         let backend = &self.backends[index];
         let Some(service) = backend.service.as_ref().and_then(|id| self.services.get_mut(id))
         else {
             return;
         };
         let target = backend.list(service);
-        let place = backend.place;
-        if place.map(|place| place.list) == target {
+        let list_position = backend.list_position;
+        if list_position.map(|list_position| list_position.list) == target {
             return;
         }
-        if let Some(place) = place {
-            let list = service.list_mut(place.list);
-            list.swap_remove(place.position);
-            if let Some(&moved) = list.get(place.position) {
-                self.backends[moved].place = Some(place);
+        if let Some(list_position) = list_position {
+            let list = service.list_mut(list_position.list);
+            list.swap_remove(list_position.position);
+            if let Some(&moved) = list.get(list_position.position) {
+                self.backends[moved].list_position = Some(list_position);
             }
         }
-        self.backends[index].place = target.map(|list| {
+        self.backends[index].list_position = target.map(|list| {
             let members = service.list_mut(list);
             members.push(index);
-            Place { list, position: members.len() - 1 }
+            ListPosition { list, position: members.len() - 1 }
         });
     }
 }
 
-fn eject(backend: &mut Backend, service: &mut ServiceBackends, now: Instant) -> Verdict {
-    let on_trial = matches!(backend.health.standing(), Standing::Trial { .. });
+fn eject(backend: &mut Backend, service: &mut ServiceBackends, now: Instant) -> HealthChange {
+    let on_trial = matches!(backend.health.routing_state(), RoutingState::Trial { .. });
     if !on_trial {
         if service.ejected >= ejected_max(service.members.len()) {
-            return Verdict::Unchanged;
+            return HealthChange::Unchanged;
         }
         service.ejected += 1;
     }
     backend.health.eject(now);
-    Verdict::Eject
+    HealthChange::Eject
 }
 
-fn open_service<'a>(
+fn open_service_of<'a>(
     config: &'a Config,
     instance: &Instance,
 ) -> Option<(&'a ServiceId, &'a cassiafold_config::Service)> {
