--- a/crates/fleet/src/code.rs
+++ b/crates/fleet/src/code.rs
@@ -1,7 +1,7 @@
-//! Result codes of the fleet, numbered from 400: why a step does not start.
+//! Result codes of the fleet, numbered from 400: reasons why a step does not start.
 
 cassiafold_event::codes! {
-    /// Why a step does not start now.
+    /// Reason why a step does not start now.
     pub enum FleetCode {
         UnknownInstance = 400, 404, "the fleet document holds no such instance";
         UnknownPool = 401, 404, "the configuration holds no such pool";
--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -1,8 +1,9 @@
-//! The control loop: reads what is known, plans a round, writes it and carries it out.
+//! The control loop: reads the inputs, plans a round, writes the document and sends requests.
 //!
-//! It works only while the control lease holds. Taking control writes the document, so that a
-//! write that the last holder prepared before it was paused can no longer take effect. A reboot is
-//! asked for only after its decision is stored, with the request id that the document gives it.
+//! The loop runs only while this process holds the control lease. Acquiring control writes the
+//! document, so that a pending write of a previous holder that was paused fails its
+//! compare-and-swap. A reboot is requested only after its decision is stored, with the request id
+//! derived from the document.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -32,26 +33,26 @@
 
 /// Time between planning rounds.
 pub const ROUND_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest time for the store calls of a round.
-const STORE_DEADLINE: Duration = Duration::from_secs(3);
-/// Longest time for one reboot or trial request.
+/// Timeout for writing the document.
+const STORE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout for one reboot or trial request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Shortest time from the start of a trial phase to the first trial request: an instance still
-/// answers for a moment after its reboot was accepted.
-const TRIAL_WAIT: Duration = Duration::from_secs(10);
+/// Delay from the start of a trial phase to the first trial request: an instance still responds
+/// for a short time after its reboot was accepted.
+const TRIAL_DELAY: Duration = Duration::from_secs(10);
 
-/// What a round came to.
+/// Outcome of a round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoundOutcome {
-    /// Another process holds control.
+    /// This process does not hold control.
     NoControl,
-    /// Something needed for planning is missing.
+    /// An input needed for planning is missing.
     Waiting,
-    /// Nothing was to be done.
+    /// The document needed no change.
     Unchanged,
-    /// The document was changed.
+    /// A changed document was written.
     Applied,
-    /// The document could not be written.
+    /// The changed document could not be written.
     NotApplied,
 }
 
@@ -68,14 +69,15 @@
     persistent: PersistentState,
 }
 
-/// Why a round leaves the document as it is.
-enum Left {
+/// Reason why a round does not write the document.
+enum NoWrite {
     NoControl,
     Unchanged,
 }
 
 impl<E: Environment> Controller<E> {
-    /// A controller that writes as `instance` and shows each document in `handle`.
+    /// Creates a controller that writes to the store as `instance` and publishes each document to
+    /// `handle`.
     pub fn new(environment: E, policy: Policy, instance: InstanceId, handle: FleetHandle) -> Self {
         Self {
             environment,
@@ -105,31 +107,31 @@
     /// Runs one round.
     pub async fn round(&mut self) -> RoundOutcome {
         if !self.environment.holds_control() {
-            self.leave();
+            self.release_control();
             return RoundOutcome::NoControl;
         }
-        if !self.in_control && !self.take_control().await {
+        if !self.in_control && !self.acquire_control().await {
             return RoundOutcome::Waiting;
         }
-        let Some((config, listed, observations)) = self.inputs().await else {
+        let Some((config, listed, observations)) = self.read_inputs().await else {
             return RoundOutcome::Waiting;
         };
-        self.learn(&listed);
-        let outcome = self.decide(&config, &listed, &observations).await;
+        self.record_document(&listed);
+        let outcome = self.plan_and_write(&config, &listed, &observations).await;
         if self.environment.holds_control() {
-            self.carry_out(&listed).await;
-            let holds = || self.environment.holds_control();
-            self.persistent.save(self.environment.store(), &self.writer, &holds).await;
+            self.send_requests(&listed).await;
+            let holds_control = || self.environment.holds_control();
+            self.persistent.save(self.environment.store(), &self.writer, &holds_control).await;
         }
         outcome
     }
 
-    /// State that explanations are made of.
+    /// Recent decisions.
     pub fn history(&self) -> crate::history::History {
         self.persistent.history.clone()
     }
 
-    fn leave(&mut self) {
+    fn release_control(&mut self) {
         if std::mem::take(&mut self.in_control) {
             emit!(FleetEvent::ControlLost);
             self.completed = CompletedRequests::default();
@@ -137,9 +139,9 @@
         }
     }
 
-    /// Reads the stored state and writes the document once, which refuses every write that was
-    /// prepared before.
-    async fn take_control(&mut self) -> bool {
+    /// Reads the persistent state and writes the document once, so that every write prepared before
+    /// fails its compare-and-swap.
+    async fn acquire_control(&mut self) -> bool {
         if let Err(error) = self.persistent.load(self.environment.store()).await {
             emit!(FleetEvent::StoreFailed, error = error);
             return false;
@@ -158,7 +160,7 @@
         self.in_control
     }
 
-    async fn inputs(&self) -> Option<(Arc<Config>, ListedInstances, Observations)> {
+    async fn read_inputs(&self) -> Option<(Arc<Config>, ListedInstances, Observations)> {
         let config = self.environment.config()?;
         let Some(observations) = self.environment.observations() else {
             emit!(FleetEvent::StaleObservations);
@@ -176,14 +178,15 @@
         }
     }
 
-    /// Notes operators' moves, and the failures of the document as evidence for failure domains.
-    fn learn(&mut self, listed: &ListedInstances) {
+    /// Records operators' moves in the history, and the failures in the document as evidence for
+    /// failure domains.
+    fn record_document(&mut self, listed: &ListedInstances) {
         let document = self.handle.load().document;
         self.persistent.history.record_operator_moves(&document);
         self.persistent.record_failures(&document, self.environment.now(), listed);
     }
 
-    async fn decide(
+    async fn plan_and_write(
         &mut self,
         config: &Config,
         listed: &ListedInstances,
@@ -192,55 +195,55 @@
         let (completed, trends) = (self.completed.clone(), self.trends.clone());
         let (domains, policy) = (self.persistent.domains.clone(), self.policy.clone());
         let now = from_unix_ms(unix_ms(self.environment.now()));
-        let known = self.handle.load().document;
+        let document = self.handle.load().document;
         let view = View {
             now,
             config,
-            document: &known,
+            document: &document,
             listed,
             observations,
             domains: &domains,
             trends: &trends,
             completed: &completed,
         };
-        let first = plan(&view, &policy);
-        if first.next == *known {
-            self.finish(&view, first);
+        let initial = plan(&view, &policy);
+        if initial.next == *document {
+            self.complete_round(&view, initial);
             return RoundOutcome::Unchanged;
         }
         let mut planned: Option<(FleetDocument, Plan)> = None;
         let outcome = self
             .write(|current| {
                 let current = current.cloned().unwrap_or_default();
-                let mut next = plan(&View { document: &current, ..view }, &policy);
-                if next.next == current {
-                    return Err(Left::Unchanged);
+                let mut plan = plan(&View { document: &current, ..view }, &policy);
+                if plan.next == current {
+                    return Err(NoWrite::Unchanged);
                 }
-                next.next.number = current.number + 1;
-                let document = next.next.clone();
-                planned = Some((current, next));
+                plan.next.number = current.number + 1;
+                let document = plan.next.clone();
+                planned = Some((current, plan));
                 Ok(document)
             })
             .await;
-        if let (RoundOutcome::Applied, Some((current, next))) = (outcome, planned) {
-            self.finish(&View { document: &current, ..view }, next);
+        if let (RoundOutcome::Applied, Some((current, plan))) = (outcome, planned) {
+            self.complete_round(&View { document: &current, ..view }, plan);
         }
         outcome
     }
 
-    /// Writes the document by compare-and-swap and shows what was written.
+    /// Writes the document by compare-and-swap and publishes it to the handle.
     async fn write(
         &self,
-        mut change: impl FnMut(Option<&FleetDocument>) -> Result<FleetDocument, Left> + Send,
+        mut change: impl FnMut(Option<&FleetDocument>) -> Result<FleetDocument, NoWrite> + Send,
     ) -> RoundOutcome {
-        let deadline = Instant::now() + STORE_DEADLINE;
-        // A process that was paused must not plan on what it saw before.
-        let begun = Stamp::now();
-        let in_time = || Stamp::now().since(&begun) < STORE_DEADLINE;
-        let in_control = || self.environment.holds_control() && in_time();
+        let deadline = Instant::now() + STORE_TIMEOUT;
+        // A process that was paused must not plan based on the inputs that it read before.
+        let started = Stamp::now();
+        let before_deadline = || Stamp::now().since(&started) < STORE_TIMEOUT;
+        let in_control = || self.environment.holds_control() && before_deadline();
         let change = |current: Option<&FleetDocument>| match in_control() {
             true => change(current),
-            false => Err(Left::NoControl),
+            false => Err(NoWrite::NoControl),
         };
         let store = self.environment.store();
         match update(store, &self.writer, DOCUMENT_KEY, deadline, change).await {
@@ -248,10 +251,10 @@
                 self.handle.update_if_newer(Arc::new(value));
                 RoundOutcome::Applied
             }
-            UpdateOutcome::NotApplied(NotApplied::Refused(Left::NoControl)) => {
+            UpdateOutcome::NotApplied(NotApplied::Refused(NoWrite::NoControl)) => {
                 RoundOutcome::NoControl
             }
-            UpdateOutcome::NotApplied(NotApplied::Refused(Left::Unchanged)) => {
+            UpdateOutcome::NotApplied(NotApplied::Refused(NoWrite::Unchanged)) => {
                 RoundOutcome::Unchanged
             }
             UpdateOutcome::NotApplied(NotApplied::Contended) => {
@@ -277,20 +280,21 @@
         }
     }
 
-    /// Takes over the results of a round that is in force.
-    fn finish(&mut self, view: &View<'_>, plan: Plan) {
+    /// Records the decisions of a round whose document is stored and discards completed requests of
+    /// ended steps.
+    fn complete_round(&mut self, view: &View<'_>, plan: Plan) {
         self.persistent.record_round(view, &self.policy, &plan);
         self.trends = plan.trends;
         let steps = plan.next.placements.iter();
-        let open: BTreeSet<_> = steps
+        let active: BTreeSet<_> = steps
             .filter_map(|(id, placement)| Some(placement.step.as_ref()?.request_id(id)))
             .collect();
-        self.completed.reboots.retain(|id| open.contains(id));
-        self.completed.trials.retain(|id| open.contains(id));
+        self.completed.reboots.retain(|id| active.contains(id));
+        self.completed.trials.retain(|id| active.contains(id));
     }
 
-    /// Sends the reboot and trial requests that the stored document asks for.
-    async fn carry_out(&mut self, listed: &ListedInstances) {
+    /// Sends the reboot and trial requests of the steps in the stored document.
+    async fn send_requests(&mut self, listed: &ListedInstances) {
         let document = self.handle.load().document;
         let now = self.environment.now();
         let mut requests = Vec::new();
@@ -304,56 +308,56 @@
                 }
                 Phase::Trying if !self.completed.trials.contains(&request_id) => {
                     if let Some(instance) = listed.get(id)
-                        && waited(step.phase_started, now) >= TRIAL_WAIT
+                        && elapsed(step.phase_started, now) >= TRIAL_DELAY
                     {
-                        requests.push(Request::Try(instance.clone(), request_id));
+                        requests.push(Request::Trial(instance.clone(), request_id));
                     }
                 }
                 Phase::Rebooting | Phase::Trying => {}
             }
         }
         let sent = requests.into_iter().map(|request| self.send(request));
-        for answer in join_all(sent).await.into_iter().flatten() {
-            match answer {
-                Answer::Rebooted(id) => self.completed.reboots.insert(id),
-                Answer::Tried(id) => self.completed.trials.insert(id),
+        for request in join_all(sent).await.into_iter().flatten() {
+            match request {
+                CompletedRequest::Reboot(id) => self.completed.reboots.insert(id),
+                CompletedRequest::Trial(id) => self.completed.trials.insert(id),
             };
         }
     }
 
-    async fn send(&self, request: Request) -> Option<Answer> {
+    async fn send(&self, request: Request) -> Option<CompletedRequest> {
         match request {
             Request::Reboot(id, request_id) => {
                 let reboot = self.environment.control().reboot(&id, &request_id);
                 match timeout(REQUEST_TIMEOUT, reboot).await {
-                    Ok(Ok(())) => return Some(Answer::Rebooted(request_id)),
+                    Ok(Ok(())) => return Some(CompletedRequest::Reboot(request_id)),
                     Ok(Err(error)) => emit!(FleetEvent::RebootFailed, instance = id, error = error),
                     Err(error) => emit!(FleetEvent::RebootFailed, instance = id, error = error),
                 }
                 None
             }
-            Request::Try(instance, request_id) => {
+            Request::Trial(instance, request_id) => {
                 let trial =
                     timeout(REQUEST_TIMEOUT, self.environment.send_trial_request(&instance));
-                trial.await.unwrap_or(false).then_some(Answer::Tried(request_id))
+                trial.await.unwrap_or(false).then_some(CompletedRequest::Trial(request_id))
             }
         }
     }
 }
 
-/// A request to an instance or about it.
+/// A reboot request to the platform or a trial request to an instance.
 enum Request {
     Reboot(InstanceId, crate::document::RequestId),
-    Try(ListedInstance, crate::document::RequestId),
+    Trial(ListedInstance, crate::document::RequestId),
 }
 
 /// A request that succeeded.
-enum Answer {
-    Rebooted(crate::document::RequestId),
-    Tried(crate::document::RequestId),
+enum CompletedRequest {
+    Reboot(crate::document::RequestId),
+    Trial(crate::document::RequestId),
 }
 
-fn waited(since: SystemTime, now: SystemTime) -> Duration {
+fn elapsed(since: SystemTime, now: SystemTime) -> Duration {
     now.duration_since(since).unwrap_or_default()
 }
 
--- a/crates/fleet/src/controller/persistence.rs
+++ b/crates/fleet/src/controller/persistence.rs
@@ -1,4 +1,4 @@
-//! What the controller keeps in the store besides the fleet document.
+//! State that the controller keeps in the store in addition to the fleet document.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::SystemTime;
@@ -22,25 +22,25 @@
 use crate::timeline::{TIMELINE_KEY, Timeline};
 use crate::view::{ListedInstances, View};
 
-/// Time between two saves of the history.
+/// Interval between two saves of the history.
 const SAVE_INTERVAL: Duration = Duration::from_secs(30);
-/// Longest time for one save.
-const SAVE_DEADLINE: Duration = Duration::from_secs(2);
+/// Timeout for one save.
+const SAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Learned failure domains, last decisions and samples.
+/// Learned failure domains, recent decisions and samples.
 #[derive(Debug, Default)]
 pub(super) struct PersistentState {
     pub(super) domains: LearnedDomains,
     pub(super) history: History,
     pub(super) timeline: Timeline,
-    paused: BTreeMap<WaveId, FleetCode>,
+    paused_waves: BTreeMap<WaveId, FleetCode>,
     domains_changed: bool,
     timeline_changed: bool,
     history_saved: Option<Instant>,
 }
 
 impl PersistentState {
-    /// Reads everything that is stored.
+    /// Reads the state from the store.
     pub(super) async fn load<S: Store>(&mut self, store: &S) -> Result<(), StoreError> {
         self.domains = read(store, DOMAINS_KEY).await?.unwrap_or_default();
         self.timeline = Timeline::load(store).await?;
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Notes the failures in `document` as evidence, in order of time.
+    /// Records the failures in `document` as evidence for failure domains, in order of time.
     pub(super) fn record_failures(
         &mut self,
         document: &FleetDocument,
@@ -68,12 +68,12 @@
         if self.domains.advance(now, listed) {
             self.domains.retain(|id| document.placements.contains_key(id));
             self.domains_changed = true;
-            self.note_domains(&before, now);
+            self.record_domain_changes(&before, now);
         }
     }
 
-    /// Notes each member of a domain that is suspected now or no longer.
-    fn note_domains(&mut self, before: &LearnedDomains, now: SystemTime) {
+    /// Records a decision for each member of a domain that has become suspected or is no longer.
+    fn record_domain_changes(&mut self, before: &LearnedDomains, now: SystemTime) {
         let decisions = |event, from: &LearnedDomains, to: &LearnedDomains| {
             let known: BTreeSet<u64> = to.suspected().map(|group| group.number).collect();
             let changed = from.suspected().filter(|group| !known.contains(&group.number));
@@ -84,32 +84,32 @@
         };
         let suspected = decisions(FleetEvent::DomainSuspected, &self.domains, before);
         let dropped = decisions(FleetEvent::DomainDropped, before, &self.domains);
-        self.note(suspected);
-        self.note(dropped);
+        self.log_and_record(suspected);
+        self.log_and_record(dropped);
     }
 
-    /// Notes the decisions of a round that is in force.
+    /// Records the decisions, the sample and the paused waves of a round whose document is stored.
     pub(super) fn record_round(&mut self, view: &View<'_>, policy: &Policy, plan: &Plan) {
         self.timeline_changed |= self.timeline.record_round(view, policy, plan);
-        self.note(plan.decisions.iter().cloned());
-        self.note_pauses(view, policy);
+        self.log_and_record(plan.decisions.iter().cloned());
+        self.record_pauses(view, policy);
     }
 
-    /// Logs decisions and keeps them.
-    fn note(&mut self, decisions: impl IntoIterator<Item = Decision>) {
+    /// Logs decisions and adds them to the history.
+    fn log_and_record(&mut self, decisions: impl IntoIterator<Item = Decision>) {
         for decision in decisions {
             decision.log();
             self.history.extend([decision]);
         }
     }
 
-    /// Notes the waves that pause or resume.
-    fn note_pauses(&mut self, view: &View<'_>, policy: &Policy) {
+    /// Records the waves that have been paused or resumed since the last round.
+    fn record_pauses(&mut self, view: &View<'_>, policy: &Policy) {
         let waves = view.config.waves.keys();
         let paused: BTreeMap<WaveId, FleetCode> = waves
             .filter_map(|id| Some((id.clone(), wave_status(view, policy, id)?.paused?)))
             .collect();
-        let before = std::mem::replace(&mut self.paused, paused.clone());
+        let previous = std::mem::replace(&mut self.paused_waves, paused.clone());
         let decision = |event, wave: &WaveId, inputs| Decision {
             at: view.now,
             event,
@@ -118,32 +118,34 @@
             wave: Some(wave.clone()),
             inputs,
         };
-        let begun = paused.iter().filter(|(id, code)| before.get(*id) != Some(code));
-        let begun = begun.map(|(id, code)| decision(FleetEvent::WavePaused, id, (*code).into()));
-        let ended = before.keys().filter(|id| !paused.contains_key(*id));
-        let ended = ended.map(|id| decision(FleetEvent::WaveResumed, id, Inputs::None));
-        self.note(begun.chain(ended).collect::<Vec<_>>());
+        let newly_paused = paused.iter().filter(|(id, code)| previous.get(*id) != Some(code));
+        let newly_paused =
+            newly_paused.map(|(id, code)| decision(FleetEvent::WavePaused, id, (*code).into()));
+        let resumed = previous.keys().filter(|id| !paused.contains_key(*id));
+        let resumed = resumed.map(|id| decision(FleetEvent::WaveResumed, id, Inputs::None));
+        self.log_and_record(newly_paused.chain(resumed).collect::<Vec<_>>());
     }
 
-    /// Saves what has changed while `holds` says that control is held. What cannot be saved now
-    /// is saved later.
+    /// Saves changed state as long as `holds_control` returns true. A save that fails is repeated in
+    /// a later round.
     pub(super) async fn save<S: Store>(
         &mut self,
         store: &S,
         writer: &Writer,
-        holds: &(impl Fn() -> bool + Sync),
+        holds_control: &(impl Fn() -> bool + Sync),
     ) {
         if self.domains_changed {
-            self.domains_changed = !write(store, writer, DOMAINS_KEY, &self.domains, holds).await;
+            self.domains_changed =
+                !write(store, writer, DOMAINS_KEY, &self.domains, holds_control).await;
         }
         if self.timeline_changed {
             self.timeline_changed =
-                !write(store, writer, TIMELINE_KEY, &self.timeline, holds).await;
+                !write(store, writer, TIMELINE_KEY, &self.timeline, holds_control).await;
         }
         let recent = self.history_saved.is_some_and(|time| time.elapsed() < SAVE_INTERVAL);
         if !recent {
             self.history_saved = Some(Instant::now());
-            self.save_history(store, writer, holds).await;
+            self.save_history(store, writer, holds_control).await;
         }
     }
 
@@ -151,10 +153,10 @@
         &mut self,
         store: &S,
         writer: &Writer,
-        holds: &(impl Fn() -> bool + Sync),
+        holds_control: &(impl Fn() -> bool + Sync),
     ) {
         for (key, segment) in self.history.unsaved() {
-            if !write(store, writer, &key, &segment, holds).await {
+            if !write(store, writer, &key, &segment, holds_control).await {
                 return;
             }
         }
@@ -172,7 +174,7 @@
     Decision { at, event, instance: Some(id.clone()), pool: None, wave: None, inputs }
 }
 
-/// Reads the value of `key`; one that cannot be understood is left out.
+/// Reads the value of `key`; `None` if it is absent or malformed.
 pub(crate) async fn read<S: Store, T: Document>(
     store: &S,
     key: &str,
@@ -189,16 +191,17 @@
     }
 }
 
-/// Replaces the value of `key`. Only the holder of control writes these keys.
+/// Replaces the value of `key`, whatever it is: only the holder of control writes these keys.
+/// Returns whether the value was written.
 async fn write<S: Store, T: Document>(
     store: &S,
     writer: &Writer,
     key: &str,
     value: &T,
-    holds: &(impl Fn() -> bool + Sync),
+    holds_control: &(impl Fn() -> bool + Sync),
 ) -> bool {
-    let deadline = Instant::now() + SAVE_DEADLINE;
-    let change = |_: Option<&T>| holds().then(|| value.clone()).ok_or(NoControl);
+    let deadline = Instant::now() + SAVE_TIMEOUT;
+    let change = |_: Option<&T>| holds_control().then(|| value.clone()).ok_or(NoControl);
     match update(store, writer, key, deadline, change).await {
         UpdateOutcome::Applied { .. } => true,
         UpdateOutcome::NotApplied(NotApplied::Unavailable(_) | NotApplied::Refused(NoControl)) => {
@@ -211,5 +214,5 @@
     }
 }
 
-/// Control was lost before the write.
+/// The process lost control before the write.
 struct NoControl;
--- a/crates/fleet/src/decision.rs
+++ b/crates/fleet/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions with the inputs that they were made on.
+//! Decisions of the planner and the inputs that they are based on.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,61 +13,61 @@
 use crate::domain::DomainId;
 use crate::event::FleetEvent;
 
-/// One decision of the fleet.
+/// One decision of the planner or an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
-    /// When it was made.
+    /// Time of the decision.
     pub at: SystemTime,
-    /// What was decided.
+    /// Event that the decision is logged as.
     pub event: FleetEvent,
-    /// Instance that it concerns.
+    /// Affected instance.
     pub instance: Option<InstanceId>,
-    /// Pool that it concerns: of the instance, or to which it moves.
+    /// Affected pool: the pool of the instance, or the one it moves to.
     pub pool: Option<PoolId>,
-    /// Maintenance wave that it concerns.
+    /// Affected maintenance wave.
     pub wave: Option<WaveId>,
-    /// What it was made on.
+    /// Values that the decision is based on.
     pub inputs: Inputs,
 }
 
-/// What a decision was made on.
+/// Values that a decision is based on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Inputs {
-    /// The event says it all.
+    /// No inputs beyond the event itself.
     None,
     /// An availability budget.
     Budget {
         /// Instances available before the step.
         available: usize,
-        /// Lowest number of available instances.
+        /// Minimum number of available instances.
         floor: usize,
-        /// Instances kept for the failure of the worst domain.
+        /// Instances held in reserve for a failure of the worst domain.
         reserve: usize,
-        /// The worst domain.
+        /// Failure domain with the most available instances.
         domain: Option<DomainId>,
     },
     /// Demand for a service.
     Demand {
-        /// Instances that demand and budget need.
+        /// Instances needed for the demand and the availability budget.
         need: usize,
         /// Instances available before the step.
         available: usize,
-        /// Lowest number of available instances.
+        /// Minimum number of available instances.
         floor: usize,
     },
     /// A failing instance.
     Failure {
-        /// What was seen.
+        /// Observed symptom.
         symptom: Symptom,
-        /// Repairs that did not help.
+        /// Number of unsuccessful repairs.
         attempts: u32,
-        /// Instances of its zone that fail.
+        /// Failing instances in its zone.
         failing_in_zone: usize,
     },
     /// A drain.
     Drain {
-        /// Requests that still run.
+        /// Requests that are still running.
         running: u32,
         /// Time since the start of the step, in milliseconds.
         waited_ms: u64,
@@ -78,26 +78,26 @@
         domain: DomainId,
         /// Number of members.
         members: usize,
-        /// Bursts of failures that counted.
+        /// Bursts of failures that are evidence for the domain.
         bursts: u32,
         /// Log odds, in nats.
         score_nats: f64,
     },
-    /// A code that names the reason.
+    /// A result code that gives the reason.
     Reason {
         /// Number of the code.
         code: u16,
-        /// What the code means.
+        /// Meaning of the code.
         meaning: Arc<str>,
     },
 }
 
-/// Why a step does not start.
+/// Why a step does not start now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refusal {
-    /// The rule that decided.
+    /// Result code of the rule that applies.
     pub code: FleetCode,
-    /// What it was decided on.
+    /// Values that the rule was checked against.
     pub inputs: Inputs,
 }
 
--- a/crates/fleet/src/document.rs
+++ b/crates/fleet/src/document.rs
@@ -1,4 +1,4 @@
-//! The fleet document: each instance's pool and every step in progress.
+//! The fleet document: the pool of each instance and every step in progress.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,85 +10,85 @@
 /// Key of the fleet document in the key-value service.
 pub const DOCUMENT_KEY: &str = "cassiafold/fleet/document";
 
-/// Number of a fleet document; each write raises it by one.
+/// Sequence number of a fleet document; each write increments it by one.
 pub type DocumentNumber = u64;
 
-/// Identifies a request to the platform; a repeat finds the first.
+/// Idempotency key of a reboot request: the platform carries out repeated requests once.
 pub type RequestId = Arc<str>;
 
-/// Each instance's pool and every step in progress.
+/// The pool of each instance and every step in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct FleetDocument {
-    /// Number of this document.
+    /// Sequence number of this document.
     pub number: DocumentNumber,
-    /// Place of each instance. The map gives each instance exactly one pool.
+    /// Placement of each instance. An instance belongs to exactly one pool.
     pub placements: BTreeMap<InstanceId, Placement>,
 }
 
-/// Place and state of one instance in the fleet.
+/// Pool and state of one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
-    /// Pool to which the instance belongs.
+    /// Current pool of the instance.
     pub pool: PoolId,
-    /// Pool to which it returns when demand no longer needs it elsewhere.
+    /// Home pool, to which the instance returns when demand no longer needs it elsewhere.
     pub home: PoolId,
     /// When the last maintenance ended.
     pub maintained_at: Option<SystemTime>,
-    /// Since when the platform's list no longer shows the instance.
+    /// Since when the platform no longer lists the instance.
     pub missing_since: Option<SystemTime>,
-    /// Earliest start of the next maintenance step after one was given up.
+    /// Earliest start of the next step after a drain timed out.
     pub not_before: Option<SystemTime>,
-    /// Failure that has not ended.
+    /// Current failure.
     pub failure: Option<Failure>,
-    /// Step in progress.
+    /// Current step.
     pub step: Option<Step>,
 }
 
-/// A failure of an instance that has not ended.
+/// Current failure of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
-    /// When it was first seen.
+    /// When the failure was first observed.
     pub since: SystemTime,
-    /// What was seen.
+    /// Observed symptom.
     pub symptom: Symptom,
-    /// Repairs that were tried and did not help.
+    /// Number of unsuccessful repairs.
     pub attempts: u32,
     /// Earliest start of the next repair.
     pub retry_at: SystemTime,
 }
 
-/// How an instance fails.
+/// Symptom of a failing instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Symptom {
-    /// It refuses connections or cannot be reached.
+    /// The instance refuses connections or cannot be reached.
     Unreachable,
-    /// It takes requests and does not answer.
+    /// The instance accepts requests but does not respond.
     Hanging,
-    /// It fails every request that it starts.
+    /// The instance fails every request that it starts.
     FailingAll,
-    /// It did not pass the trial request after a reboot.
+    /// No trial request succeeded after a reboot.
     NotReturned,
 }
 
-/// A step in progress on one instance. The instance takes no new work until the step has ended.
+/// A step in progress on one instance. The instance gets no new work until the step ends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Step {
-    /// What the step is for.
+    /// Purpose of the step.
     pub kind: StepKind,
-    /// How far it is.
+    /// Current phase.
     pub phase: Phase,
-    /// Document number at which the step started; a drain ends only after every entry instance
-    /// has acted on it.
+    /// Number of the document in which the step started. A drain completes only after every entry
+    /// instance has confirmed this number.
     pub document_number: DocumentNumber,
     /// Start of the step.
     pub started: SystemTime,
-    /// Start of the phase.
+    /// Start of the current phase.
     pub phase_started: SystemTime,
 }
 
 impl Step {
-    /// Request id of the step's reboot, the same whoever sends it.
+    /// Idempotency key of the step's reboot; the same for every controller that sends it.
     pub fn request_id(&self, instance: &InstanceId) -> RequestId {
         format!("{instance}/{}", self.document_number).into()
     }
@@ -97,7 +97,7 @@
 /// Purpose of a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StepKind {
-    /// Maintenance within a wave.
+    /// Maintenance as part of a wave.
     Maintain {
         /// The wave.
         wave: WaveId,
@@ -108,7 +108,7 @@
     Move {
         /// The pool to which the instance moves.
         to: PoolId,
-        /// Whether the move makes `to` the instance's home.
+        /// Whether `to` also becomes the home pool of the instance.
         permanent: bool,
     },
 }
@@ -128,11 +128,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Waits until nothing runs on the instance.
+    /// Waiting until no request runs on the instance.
     Draining,
-    /// The reboot is decided; the platform may or may not have been asked.
+    /// The reboot is decided; the request to the platform may not have been sent yet.
     Rebooting,
-    /// Rebooted; waits for a trial request to succeed.
+    /// Rebooted; waiting for a trial request to succeed.
     Trying,
 }
 
@@ -147,7 +147,7 @@
 }
 
 impl Placement {
-    /// Place of an instance that has just been adopted.
+    /// Placement of a new instance at home in `pool`.
     pub fn new(pool: PoolId) -> Self {
         Self {
             home: pool.clone(),
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Whether the instance may be given new work as far as the document says.
+    /// Whether the document allows new work on the instance.
     pub fn takes_work(&self) -> bool {
         self.step.is_none() && self.missing_since.is_none()
     }
--- a/crates/fleet/src/environment.rs
+++ b/crates/fleet/src/environment.rs
@@ -1,4 +1,4 @@
-//! What surrounds the controller.
+//! Interface of the controller to its dependencies.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,7 +9,8 @@
 
 use crate::view::Observations;
 
-/// What surrounds the controller: the platform, the entry instances' reports and the lease.
+/// Dependencies of the controller: the platform, the reports of the entry instances and the control
+/// lease.
 pub trait Environment: Send + Sync + 'static {
     /// Client of the key-value service.
     type Store: Store;
@@ -27,19 +28,20 @@
     /// Client of the instance control.
     fn control(&self) -> &Self::Control;
 
-    /// Operators' configuration in force.
+    /// Current configuration set by the operators; `None` before it is known.
     fn config(&self) -> Option<Arc<Config>>;
 
-    /// Reports of the entry instances; `None` when they are too old to plan on.
+    /// Merged reports of the entry instances; `None` if they are too old to plan with.
     fn observations(&self) -> Option<Observations>;
 
-    /// Sends one idempotent trial request to an instance that takes no other work.
+    /// Sends one idempotent trial request to an instance that gets no other work. Returns whether
+    /// it succeeded.
     fn send_trial_request(&self, instance: &ListedInstance) -> impl Future<Output = bool> + Send;
 
-    /// Whether this process surely holds the control lease at this moment.
+    /// Whether this process is certain to hold the control lease now.
     fn holds_control(&self) -> bool;
 
-    /// Wall clock.
+    /// Current wall-clock time.
     fn now(&self) -> SystemTime {
         SystemTime::now()
     }
--- a/crates/fleet/src/handle.rs
+++ b/crates/fleet/src/handle.rs
@@ -1,4 +1,4 @@
-//! The fleet as an entry instance follows it: pools, steps and suspected failure domains.
+//! Read access to the fleet for entry instances: pools, steps and suspected failure domains.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 use crate::domain::{DOMAINS_KEY, DomainId, LearnedDomains};
 use crate::event::FleetEvent;
 
-/// Prefix of the keys that entry instances follow.
+/// Prefix of the keys that entry instances watch.
 const FLEET_PREFIX: &str = "cassiafold/fleet/";
-/// Wait before the fleet is read again after the store failed.
-const RETRY_WAIT: Duration = Duration::from_millis(500);
+/// Delay before the fleet is read again after a store error.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What an entry instance knows of the fleet.
+/// Latest state of the fleet known to an entry instance.
 #[derive(Debug, Clone, Default)]
 pub struct FleetState {
-    /// Highest fleet document seen.
+    /// Fleet document with the highest number received.
     pub document: Arc<FleetDocument>,
-    /// Learned failure domains last seen.
+    /// Learned failure domains last received.
     pub domains: Arc<LearnedDomains>,
 }
 
 impl FleetState {
-    /// Number to report as confirmed once the request path acts on this state.
+    /// Document number to report as confirmed once the request path uses this state.
     pub fn number(&self) -> DocumentNumber {
         self.document.number
     }
@@ -37,8 +37,8 @@
         Some(&self.document.placements.get(id)?.pool)
     }
 
-    /// The listed instance with its pool; `Leaving` while a step is in progress on it. `None`
-    /// before the fleet has adopted it.
+    /// The listed instance with its pool; `Leaving` while a step is in progress on it. `None` if
+    /// the fleet document does not contain it yet.
     pub fn instance(&self, listed: &ListedInstance) -> Option<Instance> {
         let placement = self.document.placements.get(&listed.id)?;
         let state = match placement.takes_work() {
@@ -55,14 +55,14 @@
         })
     }
 
-    /// Suspected failure domain of an instance, else its declared rack. A retry goes to an
-    /// instance in another domain.
+    /// Suspected failure domain of an instance, or its declared rack if there is none. A retry goes
+    /// to an instance in another domain.
     pub fn domain_of(&self, listed: &ListedInstance) -> DomainId {
         self.domains.domain_of(listed)
     }
 }
 
-/// Shared view of the fleet. Cheap to clone; all clones see the same state.
+/// Shared state of the fleet. Cheap to clone; all clones share the same state.
 #[derive(Debug, Clone)]
 pub struct FleetHandle {
     state: Arc<watch::Sender<FleetState>>,
@@ -75,17 +75,17 @@
 }
 
 impl FleetHandle {
-    /// State last seen.
+    /// Latest state.
     pub fn load(&self) -> FleetState {
         self.state.borrow().clone()
     }
 
-    /// Receiver that sees each new state.
+    /// Returns a receiver for state changes.
     pub fn subscribe(&self) -> watch::Receiver<FleetState> {
         self.state.subscribe()
     }
 
-    /// Offers a document; a lower number than the one known has no effect.
+    /// Replaces the document if `document` has a higher number. Returns whether it did.
     pub fn update_if_newer(&self, document: Arc<FleetDocument>) -> bool {
         self.state.send_if_modified(|state| {
             let newer = document.number > state.document.number;
@@ -96,36 +96,36 @@
         })
     }
 
-    /// Follows the fleet in the store until dropped.
+    /// Keeps the state up to date with the store until the future is dropped.
     pub async fn watch_store<S: Store>(&self, store: S) {
         loop {
-            if let Err(error) = self.follow_once(&store).await {
+            if let Err(error) = self.watch_once(&store).await {
                 emit!(FleetEvent::StoreFailed, error = error);
             }
-            tokio::time::sleep(RETRY_WAIT).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn follow_once<S: Store>(&self, store: &S) -> Result<(), StoreError> {
-        let after = self.read(store).await?;
-        let mut watch = store.watch(FLEET_PREFIX, after).await?;
+    async fn watch_once<S: Store>(&self, store: &S) -> Result<(), StoreError> {
+        let revision = self.read_all(store).await?;
+        let mut watch = store.watch(FLEET_PREFIX, revision).await?;
         loop {
             let changes = watch.next().await?;
             for record in changes.into_iter().filter_map(|change| change.record) {
-                self.take(&record);
+                self.apply_record(&record);
             }
         }
     }
 
-    async fn read<S: Store>(&self, store: &S) -> Result<Revision, StoreError> {
+    async fn read_all<S: Store>(&self, store: &S) -> Result<Revision, StoreError> {
         let snapshot = store.list(FLEET_PREFIX).await?;
         for record in &snapshot.records {
-            self.take(record);
+            self.apply_record(record);
         }
         Ok(snapshot.revision)
     }
 
-    fn take(&self, record: &Record) {
+    fn apply_record(&self, record: &Record) {
         match &*record.key {
             DOCUMENT_KEY => match Envelope::<FleetDocument>::decode(&record.value) {
                 Ok(document) => {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,14 +1,17 @@
 //! Pools, availability budgets, moves, maintenance waves, learned failure domains and repair.
 //!
-//! - [`document`]: the one document that holds each instance's pool and every step in progress;
-//!   [`raw`] is its wire form.
-//! - [`mod@plan`]: one planning round, a plain function from a [`View`] to the next document.
-//! - [`budget`], [`demand`], [`wave`], [`domain`]: the decisions that a round is made of.
-//! - [`controller`]: the loop that plans, writes and carries out; [`environment`] is what it
-//!   needs, [`handle`] what an entry instance sees of it.
-//! - [`mod@explain`], [`history`], [`timeline`], [`mod@report`]: what the fleet did and why.
+//! - [`document`]: the fleet document, which holds the pool of each instance and every step in
+//!   progress; [`raw`] is its serialized form.
+//! - [`mod@plan`]: one planning round, a pure function from a [`View`] to the next document.
+//! - [`reconcile`], [`budget`], [`demand`], [`wave`], [`domain`]: the stages of a round and the
+//!   rules that they apply.
+//! - [`controller`]: the control loop, which plans a round, writes the document and sends reboot
+//!   and trial requests; [`environment`] is the interface to its dependencies.
+//! - [`handle`]: read access to the fleet for an entry instance.
+//! - [`mod@explain`], [`history`], [`timeline`], [`mod@report`]: past decisions, their reasons and
+//!   the state of the fleet over time.
 //!
-//! All changes go through compare-and-swap of the fleet document.
+//! The fleet document is changed only by compare-and-swap.
 
 mod advance;
 pub mod budget;
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,9 +1,9 @@
-//! One planning round, as a plain function from what is known to the next fleet document.
+//! One planning round: a pure function from a [`View`] to the next fleet document.
 //!
-//! The round first takes stock, then moves steps in progress forward, then starts repairs, moves
-//! and maintenance, each against the budgets left by the ones before. The result takes effect by
-//! one compare-and-swap of the document it was planned on, so two rounds can never spend one
-//! budget twice.
+//! A round reconciles the document with the instance list, advances the steps in progress and then
+//! starts repairs, moves and maintenance, each within the budgets that the previous stages left.
+//! The result is written by one compare-and-swap against the document that it was planned on, so
+//! that two rounds cannot spend the same budget twice.
 
 use std::collections::BTreeMap;
 use std::time::SystemTime;
@@ -24,11 +24,11 @@
 /// Result of a planning round.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The next document; equal to the one planned on when nothing is to be done.
+    /// The next document; equal to the one in the view if there is nothing to do.
     pub next: FleetDocument,
     /// Decisions in the order in which they were made.
     pub decisions: Vec<Decision>,
-    /// Trends to give to the next round.
+    /// Trends to pass to the next round.
     pub trends: Trends,
 }
 
@@ -49,7 +49,7 @@
 pub(crate) struct Round<'a> {
     pub(crate) view: &'a View<'a>,
     pub(crate) policy: &'a Policy,
-    /// Time of the round at the resolution of the stored document.
+    /// Time of the round, rounded to the resolution of the stored document (1 ms).
     pub(crate) now: SystemTime,
     pub(crate) next: FleetDocument,
     pub(crate) budgets: Budgets,
@@ -59,7 +59,7 @@
 }
 
 impl<'a> Round<'a> {
-    /// Starts a round; budgets are counted by [`Round::count_budgets`].
+    /// Starts a round without budgets; see [`Round::count_budgets`].
     pub(crate) fn new(view: &'a View<'a>, policy: &'a Policy) -> Self {
         Self {
             view,
@@ -73,10 +73,10 @@
         }
     }
 
-    /// Counts budgets and failures of the document as it stands.
+    /// Computes the budgets and the failing instances per zone from the next document.
     pub(crate) fn count_budgets(&mut self) {
-        let nothing = LearnedDomains::default();
-        let domains = if self.policy.use_learned_domains { self.view.domains } else { &nothing };
+        let none = LearnedDomains::default();
+        let domains = if self.policy.use_learned_domains { self.view.domains } else { &none };
         let index = DomainIndex::new(self.view.listed, domains);
         self.budgets = Budgets::new(self.view, &self.next, index);
         self.failing.clear();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Notes a decision on an instance.
+    /// Records a decision about an instance.
     pub(crate) fn record(
         &mut self,
         event: FleetEvent,
@@ -100,7 +100,7 @@
         self.record_in_wave(event, instance, pool, None, inputs);
     }
 
-    /// Notes a decision on an instance within a wave.
+    /// Records a decision about an instance, with the wave that it belongs to.
     pub(crate) fn record_in_wave(
         &mut self,
         event: FleetEvent,
@@ -119,7 +119,7 @@
         });
     }
 
-    /// Starts a step with a drain and counts its instance as gone.
+    /// Starts a step in the draining phase and takes its instance out of the budget.
     pub(crate) fn start_step(&mut self, id: &InstanceId, kind: StepKind) {
         let step = Step {
             kind,
@@ -140,12 +140,12 @@
         }
     }
 
-    /// Ids and places as they stand in the next document.
+    /// Placements in the next document.
     pub(crate) fn placements(&self) -> impl Iterator<Item = (&InstanceId, &Placement)> {
         self.next.placements.iter()
     }
 
-    /// Number of steps in progress that `predicate` picks.
+    /// Number of steps in progress that satisfy `predicate`.
     pub(crate) fn steps(&self, predicate: impl Fn(&Step) -> bool) -> usize {
         let steps = self.next.placements.values().filter_map(|placement| placement.step.as_ref());
         steps.filter(|step| predicate(step)).count()
--- a/crates/fleet/src/policy.rs
+++ b/crates/fleet/src/policy.rs
@@ -1,59 +1,62 @@
-//! Bounds and waits of the planner.
+//! Limits and timeouts of the planner.
 
 use std::time::Duration;
 
-/// Bounds and waits of the planner.
+/// Limits and timeouts of the planner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// Shortest drain: every entry instance has acted on the document by then.
+    /// Minimum duration of a drain; gives every entry instance time to act on the document.
     pub drain_min: Duration,
-    /// Longest drain of a move and of a repair.
+    /// Drain timeout of moves and repairs. Maintenance uses the timeout of its wave.
     pub drain_max: Duration,
-    /// Wait before maintenance is tried again after a drain was given up.
+    /// Delay before another step is tried on an instance whose drain timed out.
     pub maintenance_retry: Duration,
-    /// Longest wait for a trial request after a reboot.
+    /// Timeout for each of the reboot request and the trial request.
     pub reboot_timeout: Duration,
-    /// How long an instance must be missing from the list before its step ends.
+    /// How long an instance must be unlisted before its step is cancelled.
     pub missing_step_timeout: Duration,
-    /// How long an instance that is no longer listed is kept in the document.
+    /// How long an unlisted instance is kept in the document.
     pub forget_after: Duration,
-    /// How long an instance must fail before it is repaired.
+    /// How long an instance must have been failing before it is repaired.
     pub repair_after: Duration,
-    /// Wait before the second repair; it doubles with each further one.
+    /// Backoff before the second repair; doubles with each further repair.
     pub repair_retry: Duration,
-    /// Longest wait between repairs.
+    /// Maximum backoff between repairs.
     pub repair_retry_max: Duration,
-    /// Repairs after which an instance is exchanged for a spare one.
+    /// Unsuccessful repairs after which an instance is replaced by a spare one.
     pub repair_attempts_max: u32,
-    /// Share of the fleet under repair at once; at least one instance.
+    /// Maximum share of the fleet under repair at the same time; at least one instance.
     pub repair_share_max: f64,
-    /// Share of a zone that fails from which its instances are not rebooted.
+    /// Failing share of a zone that counts as a zone outage, in which no instance is rebooted.
     pub zone_outage_share: f64,
-    /// Fewest failing instances that make a storm.
+    /// Minimum number of failing instances in a zone outage.
     pub zone_outage_min: usize,
-    /// Share of the fleet under maintenance at once; at least one instance.
+    /// Maximum share of the fleet under maintenance at the same time; at least one instance.
     pub maintenance_share_max: f64,
-    /// Share of a spare pool under maintenance at once; at least one instance.
+    /// Maximum share of a spare pool with a step in progress for maintenance to start there; at
+    /// least one instance.
     pub spare_share_max: f64,
     /// How long a failure counts as recent.
     pub recent_failure: Duration,
-    /// Share of the fleet that must have failed recently to pause all waves.
+    /// Recently failed share of the fleet that pauses all waves.
     pub pause_share: f64,
-    /// Fewest recent failures that pause all waves.
+    /// Minimum number of recent failures that pauses all waves.
     pub pause_min: usize,
-    /// Instances of a wave that did not return from which it pauses.
+    /// Number of instances that did not return from a reboot that pauses all waves.
     pub wave_failures_max: usize,
-    /// Time for which every instance must be maintained once.
+    /// Period in which every instance must be maintained once.
     pub maintenance_period: Duration,
-    /// How long a service must be short before instances are drained for it elsewhere.
+    /// How long a service must be short of instances before other services give up instances from
+    /// their home pools.
     pub reassign_after: Duration,
-    /// How long a service must ask for little before it returns instances.
+    /// How long a service must have a surplus before it returns borrowed instances.
     pub return_after: Duration,
-    /// Factor on what a service needs below which it gives instances away.
+    /// Factor on the demand for a service; instances beyond it are surplus.
     pub surplus_factor: f64,
-    /// Spare instances that demand alone does not take.
+    /// Spare instances held back from demand; only a service that cannot cover its floor and
+    /// reserve takes them.
     pub spare_reserved: usize,
-    /// Whether learned failure domains count, besides declared racks.
+    /// Whether learned failure domains are used in addition to declared racks.
     pub use_learned_domains: bool,
 }
 
--- a/crates/fleet/src/raw.rs
+++ b/crates/fleet/src/raw.rs
@@ -1,4 +1,5 @@
-//! Wire form of the fleet document: versioned JSON, compact by grouping instances by pool.
+//! Serialized form of the fleet document: versioned JSON that groups instances by pool to save
+//! space.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,32 +11,32 @@
 
 use crate::document::{Failure, FleetDocument, Phase, Placement, Step, StepKind, Symptom};
 
-/// Format of the wire form that this program reads and writes.
+/// Format version that this program reads and writes.
 pub const FORMAT: u32 = 1;
 
-/// Wire form of [`FleetDocument`].
+/// Serialized form of [`FleetDocument`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawDocument {
-    /// Format of this document.
+    /// Format version of this document.
     pub format: u32,
-    /// Number of the document.
+    /// Sequence number of this document.
     pub number: u64,
     /// Instances by pool.
     pub pools: BTreeMap<Arc<str>, RawMembers>,
-    /// Home pools of instances that are not at home.
+    /// Home pool of each instance that is in another pool.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub homes: BTreeMap<Arc<str>, Arc<str>>,
-    /// Since when an instance is no longer listed, in seconds since the Unix epoch.
+    /// Since when each unlisted instance has been missing, in seconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub vanished_unix_s: BTreeMap<Arc<str>, u64>,
-    /// Earliest start of the next maintenance step, in seconds since the Unix epoch.
+    /// Earliest start of the next step, in seconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub not_before_unix_s: BTreeMap<Arc<str>, u64>,
-    /// Failures that have not ended.
+    /// Current failures.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub failures: BTreeMap<Arc<str>, RawFailure>,
-    /// Steps in progress.
+    /// Current steps.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub steps: BTreeMap<Arc<str>, RawStep>,
 }
@@ -46,84 +47,84 @@
 pub struct RawMembers {
     /// Instance ids.
     pub ids: Vec<Arc<str>>,
-    /// For each id the end of the last maintenance in seconds since the Unix epoch; zero for none.
+    /// End of the last maintenance of each id, in seconds since the Unix epoch; zero for none.
     pub maintained_unix_s: Vec<u64>,
 }
 
-/// Wire form of [`Failure`].
+/// Serialized form of [`Failure`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawFailure {
-    /// When it was first seen, in milliseconds since the Unix epoch.
+    /// When the failure was first observed, in milliseconds since the Unix epoch.
     pub since_unix_ms: u64,
-    /// What was seen.
+    /// Observed symptom.
     pub symptom: Symptom,
-    /// Repairs that did not help.
+    /// Number of unsuccessful repairs.
     pub attempts: u32,
-    /// Earliest next repair, in milliseconds since the Unix epoch.
+    /// Earliest start of the next repair, in milliseconds since the Unix epoch.
     pub retry_at_unix_ms: u64,
 }
 
-/// Wire form of [`Step`].
+/// Serialized form of [`Step`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawStep {
-    /// Purpose.
+    /// Purpose of the step.
     pub kind: RawStepKind,
-    /// Phase.
+    /// Current phase.
     pub phase: Phase,
-    /// Document number at the start.
+    /// Number of the document in which the step started.
     pub number: u64,
     /// Start of the step, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
-    /// Start of the phase, in milliseconds since the Unix epoch.
+    /// Start of the current phase, in milliseconds since the Unix epoch.
     pub phase_started_unix_ms: u64,
 }
 
-/// Wire form of [`StepKind`].
+/// Serialized form of [`StepKind`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum RawStepKind {
-    /// Maintenance within a wave.
+    /// Maintenance as part of a wave.
     Maintain {
         /// The wave.
         wave: Arc<str>,
     },
-    /// Repair.
+    /// Repair of a failed instance.
     Repair,
     /// Move to another pool.
     Move {
-        /// The other pool.
+        /// The pool to which the instance moves.
         to: Arc<str>,
-        /// Whether the other pool becomes the home.
+        /// Whether `to` also becomes the home pool.
         #[serde(rename = "settle")]
         permanent: bool,
     },
 }
 
-/// Why a stored fleet document cannot be used.
+/// Error in a stored fleet document.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FleetDocumentError {
-    /// It was written in a format that this program does not know.
-    #[error("unknown format {0} of the fleet document")]
+    /// The format version is not supported.
+    #[error("unsupported fleet document format {0}")]
     UnknownFormat(u32),
-    /// An instance stands in two pools.
-    #[error("instance {0} stands in two pools")]
+    /// An instance is listed in two pools.
+    #[error("instance {0} is listed in two pools")]
     DuplicateInstance(InstanceId),
-    /// The two lists of a pool differ in length.
-    #[error("pool {0} has lists of different lengths")]
+    /// The lists of a pool differ in length.
+    #[error("pool {0} has a different number of instance ids and maintenance times")]
     LengthMismatch(PoolId),
-    /// An entry names an instance that stands in no pool.
-    #[error("instance {0} stands in no pool")]
+    /// An entry names an instance that is in no pool.
+    #[error("instance {0} is in no pool")]
     UnplacedInstance(InstanceId),
 }
 
-/// Milliseconds since the Unix epoch; zero before it.
+/// Milliseconds since the Unix epoch; zero for earlier times.
 pub fn unix_ms(time: SystemTime) -> u64 {
     time.duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// Seconds since the Unix epoch; zero before it.
+/// Seconds since the Unix epoch; zero for earlier times.
 pub fn unix_s(time: SystemTime) -> u64 {
     unix_ms(time) / 1_000
 }
@@ -169,21 +170,23 @@
             }
         }
         let mut document = Self { number: raw.number, placements };
-        document.merge(raw.homes, |placement, home| placement.home = home)?;
-        document.merge(raw.vanished_unix_s, |placement, time| {
+        document.merge_entries(raw.homes, |placement, home| placement.home = home)?;
+        document.merge_entries(raw.vanished_unix_s, |placement, time| {
             placement.missing_since = Some(from_unix_s(time));
         })?;
-        document.merge(raw.not_before_unix_s, |placement, time| {
+        document.merge_entries(raw.not_before_unix_s, |placement, time| {
             placement.not_before = Some(from_unix_s(time));
         })?;
-        document.merge(raw.failures, |placement, raw| placement.failure = Some(raw.into()))?;
-        document.merge(raw.steps, |placement, raw| placement.step = Some(raw.into()))?;
+        document
+            .merge_entries(raw.failures, |placement, raw| placement.failure = Some(raw.into()))?;
+        document.merge_entries(raw.steps, |placement, raw| placement.step = Some(raw.into()))?;
         Ok(document)
     }
 }
 
 impl FleetDocument {
-    fn merge<T>(
+    /// Sets one property of each placement that `entries` names.
+    fn merge_entries<T>(
         &mut self,
         entries: BTreeMap<InstanceId, T>,
         set: impl Fn(&mut Placement, T),
@@ -211,14 +214,14 @@
             steps: BTreeMap::new(),
         };
         for (id, placement) in &document.placements {
-            raw.push(id, placement);
+            raw.add_instance(id, placement);
         }
         raw
     }
 }
 
 impl RawDocument {
-    fn push(&mut self, id: &InstanceId, placement: &Placement) {
+    fn add_instance(&mut self, id: &InstanceId, placement: &Placement) {
         let members = self.pools.entry(placement.pool.clone()).or_default();
         members.ids.push(id.clone());
         members.maintained_unix_s.push(placement.maintained_at.map_or(0, unix_s));
--- a/crates/fleet/src/reconcile.rs
+++ b/crates/fleet/src/reconcile.rs
@@ -1,4 +1,5 @@
-//! Taking stock: adopts new instances, notes failures and forgets what has left.
+//! Reconciles the document with the platform and the reports: adds new instances, records failures
+//! and removes instances that are gone.
 
 use cassiafold_config::{Config, InstanceId, PoolId};
 
@@ -7,33 +8,33 @@
 use crate::event::FleetEvent;
 use crate::plan::Round;
 
-/// Pool that adopts an instance: the longest pool id that is followed by `-` at the start of the
-/// instance id, else the first spare pool. The instance id is the label that operators set when
-/// they create an instance.
+/// Pool of a new instance: the pool with the longest id that, followed by `-`, is a prefix of the
+/// instance id; otherwise the first spare pool. The instance id is the label that operators set
+/// when they create an instance.
 pub fn initial_pool<'a>(config: &'a Config, id: &str) -> Option<&'a PoolId> {
-    let labelled = config
+    let matching = config
         .pools
         .keys()
         .filter(|pool| id.strip_prefix(&***pool).is_some_and(|rest| rest.starts_with('-')));
-    labelled.max_by_key(|pool| pool.len()).or_else(|| spare_pool(config))
+    matching.max_by_key(|pool| pool.len()).or_else(|| spare_pool(config))
 }
 
-/// First pool that serves no service.
+/// First pool without a service.
 pub fn spare_pool(config: &Config) -> Option<&PoolId> {
     config.pools.iter().find(|(_, pool)| pool.service.is_none()).map(|(id, _)| id)
 }
 
-/// Brings the next document in line with the platform's list and what was observed.
+/// Updates the instances in the next document from the platform's list and the observed symptoms.
 pub(crate) fn instances(round: &mut Round<'_>) {
-    adopt(round);
+    add_new(round);
     let ids: Vec<InstanceId> = round.next.placements.keys().cloned().collect();
     for id in &ids {
-        note_presence(round, id);
-        note_health(round, id);
+        update_presence(round, id);
+        update_failure(round, id);
     }
 }
 
-fn adopt(round: &mut Round<'_>) {
+fn add_new(round: &mut Round<'_>) {
     let view = round.view;
     for id in view.listed.keys() {
         if round.next.placements.contains_key(id) {
@@ -42,31 +43,31 @@
         let Some(pool) = initial_pool(view.config, id) else {
             continue;
         };
-        take_vacancy(round, pool);
+        remove_replaced(round, pool);
         round.next.placements.insert(id.clone(), Placement::new(pool.clone()));
         round.record(FleetEvent::InstanceAdopted, id, pool, Inputs::None);
     }
 }
 
-/// Forgets the instance of `pool` that vanished first: the new one takes its place.
-fn take_vacancy(round: &mut Round<'_>, pool: &PoolId) {
-    let vacant = round
+/// Removes the instance of `pool` that has been missing longest: the new instance replaces it.
+fn remove_replaced(round: &mut Round<'_>, pool: &PoolId) {
+    let longest_missing = round
         .placements()
         .filter(|(_, placement)| placement.home == *pool)
         .filter_map(|(id, placement)| Some((placement.missing_since?, id.clone())))
         .min();
-    if let Some((_, id)) = vacant {
-        forget(round, &id);
+    if let Some((_, id)) = longest_missing {
+        remove(round, &id);
     }
 }
 
-fn forget(round: &mut Round<'_>, id: &InstanceId) {
+fn remove(round: &mut Round<'_>, id: &InstanceId) {
     if let Some(placement) = round.next.placements.remove(id) {
         round.record(FleetEvent::InstanceForgotten, id, &placement.pool, Inputs::None);
     }
 }
 
-fn note_presence(round: &mut Round<'_>, id: &InstanceId) {
+fn update_presence(round: &mut Round<'_>, id: &InstanceId) {
     let now = round.now;
     let listed = round.view.listed.contains_key(id);
     let Some(placement) = round.next.placements.get_mut(id) else {
@@ -80,19 +81,19 @@
             round.record(FleetEvent::InstanceVanished, id, &pool, Inputs::None);
         }
         (false, Some(since)) => {
-            let gone = now.duration_since(since).unwrap_or_default();
-            if gone >= round.policy.missing_step_timeout && placement.step.take().is_some() {
+            let missing_for = now.duration_since(since).unwrap_or_default();
+            if missing_for >= round.policy.missing_step_timeout && placement.step.take().is_some() {
                 round.record(FleetEvent::StepDropped, id, &pool, Inputs::None);
             }
-            if gone >= round.policy.forget_after {
-                forget(round, id);
+            if missing_for >= round.policy.forget_after {
+                remove(round, id);
             }
         }
         (true, None) => {}
     }
 }
 
-fn note_health(round: &mut Round<'_>, id: &InstanceId) {
+fn update_failure(round: &mut Round<'_>, id: &InstanceId) {
     let now = round.now;
     let symptom = round.view.observations.symptoms.get(id).copied();
     let Some(placement) = round.next.placements.get_mut(id) else {
--- a/crates/fleet/src/repair.rs
+++ b/crates/fleet/src/repair.rs
@@ -1,4 +1,4 @@
-//! Repair of failing instances: drain, reboot, trial, return, or exchange for a spare one.
+//! Repair of failing instances by a reboot; replacement by a spare instance after repeated repairs.
 
 use std::time::SystemTime;
 
@@ -12,7 +12,7 @@
 use crate::policy::limit_for_share;
 use crate::reconcile::spare_pool;
 
-/// Starts repairs, the oldest failure first.
+/// Starts repairs in the order of the start of the failures.
 pub(crate) fn start(round: &mut Round<'_>) {
     let failing = round.placements().filter_map(|(id, placement)| {
         let failure = placement.failure.as_ref()?;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Whether a repair of `id` may start now, else the rule that holds it back.
+/// Checks whether a repair of `id` may start now; the error is the rule that prevents it.
 pub(crate) fn check(round: &Round<'_>, id: &InstanceId) -> Result<(), Refusal> {
     let placement = round.next.placements.get(id).ok_or(FleetCode::UnknownInstance)?;
     let failure = placement.failure.as_ref().ok_or(FleetCode::NotFailing)?;
@@ -41,7 +41,7 @@
     if !round.view.zone_allows_steps(listed) {
         return Err(FleetCode::ZoneSilent.into());
     }
-    let inputs = inputs(round, id, failure);
+    let inputs = failure_inputs(round, id, failure);
     if zone_outage(round, id) {
         return Err(Refusal { code: FleetCode::ZoneStorm, inputs });
     }
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// Whether so much of the zone of `id` fails that the cause is not in the instances.
+/// Whether such a large part of the zone of `id` fails that the instances cannot be the cause.
 pub(crate) fn zone_outage(round: &Round<'_>, id: &InstanceId) -> bool {
     let Some(listed) = round.view.listed.get(id) else {
         return false;
@@ -69,7 +69,7 @@
         && failing as f64 >= round.policy.zone_outage_share * in_zone as f64
 }
 
-fn inputs(round: &Round<'_>, id: &InstanceId, failure: &Failure) -> Inputs {
+fn failure_inputs(round: &Round<'_>, id: &InstanceId, failure: &Failure) -> Inputs {
     let zone = round.view.listed.get(id).map(|listed| &listed.zone);
     let failing_in_zone = zone.and_then(|zone| round.failing.get(zone)).copied().unwrap_or(0);
     Inputs::Failure { symptom: failure.symptom, attempts: failure.attempts, failing_in_zone }
@@ -83,21 +83,21 @@
         return;
     };
     let home = placement.home.clone();
-    if failure.attempts >= round.policy.repair_attempts_max && exchange(round, id, &home) {
+    if failure.attempts >= round.policy.repair_attempts_max && replace(round, id, &home) {
         return;
     }
-    let inputs = inputs(round, id, &failure);
+    let inputs = failure_inputs(round, id, &failure);
     round.start_step(id, StepKind::Repair);
     round.record(FleetEvent::RepairStarted, id, &home, inputs);
 }
 
-/// Makes a spare instance at home in `home` and moves `id` to the spare pool for good. Returns
-/// whether a spare instance was found.
-fn exchange(round: &mut Round<'_>, id: &InstanceId, home: &PoolId) -> bool {
+/// Moves a spare instance to `home` and the failing instance `id` to the spare pool, both
+/// permanently. Returns whether a spare instance was found.
+fn replace(round: &mut Round<'_>, id: &InstanceId, home: &PoolId) -> bool {
     let Some(spare) = spare_pool(round.view.config).filter(|spare| *spare != home).cloned() else {
         return false;
     };
-    let Some(substitute) = substitute(round, &spare, home) else {
+    let Some(substitute) = choose_spare(round, &spare, home) else {
         return false;
     };
     let Some(placement) = round.next.placements.get_mut(&substitute) else {
@@ -114,8 +114,8 @@
     true
 }
 
-/// Idle spare instance, best one that shares the fewest failure domains with the pool.
-fn substitute(round: &Round<'_>, spare: &PoolId, home: &PoolId) -> Option<InstanceId> {
+/// Idle spare instance that shares a failure domain with the fewest instances of the service.
+fn choose_spare(round: &Round<'_>, spare: &PoolId, home: &PoolId) -> Option<InstanceId> {
     let service = round.view.config.service_of_pool(home)?;
     let idle = round.placements().filter(|(id, placement)| {
         placement.pool == *spare && placement.home == *spare && round.view.available(id, placement)
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! What a planning round knows.
+//! Inputs of a planning round.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::SystemTime;
@@ -16,44 +16,45 @@
 /// Demand for a service over all entry instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Demand {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait in queues.
+    /// Queued requests.
     pub waiting: u32,
 }
 
-/// What the entry instances report, merged over all of them.
+/// Merged reports of all entry instances.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Observations {
-    /// Lowest document number on which every live entry instance acts: none of them gives new
+    /// Lowest document number that the live entry instances have confirmed: none of them sends new
     /// work to an instance that has a step in a document up to this number.
     pub confirmed: DocumentNumber,
-    /// Requests that run on each instance; an instance that is missing runs none.
+    /// Requests running on each instance; none on an instance without an entry.
     pub running: BTreeMap<InstanceId, u32>,
-    /// Instances that fail, with what was seen. Entry instances forget what they saw of an
-    /// instance while a step is in progress on it.
+    /// Symptoms of failing instances. Entry instances discard the symptoms of an instance while a
+    /// step is in progress on it.
     pub symptoms: BTreeMap<InstanceId, Symptom>,
     /// Demand by service.
     pub demand: BTreeMap<ServiceId, Demand>,
-    /// Zones whose entry instances may be at work without confirming. No step starts there.
+    /// Zones in which an entry instance may still route requests without having confirmed the
+    /// document. No step starts there.
     pub unconfirmed_zones: BTreeSet<ZoneId>,
 }
 
 impl Observations {
-    /// Requests that run on `instance`.
+    /// Number of requests running on `instance`.
     pub fn running(&self, instance: &InstanceId) -> u32 {
         self.running.get(instance).copied().unwrap_or(0)
     }
 }
 
-/// Everything that a planning round may look at.
+/// All inputs of a planning round.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// Time of the round.
     pub now: SystemTime,
-    /// Operators' configuration in force.
+    /// Current configuration set by the operators.
     pub config: &'a Config,
-    /// Fleet document on which the round builds.
+    /// Fleet document that the round starts from.
     pub document: &'a FleetDocument,
     /// Instances that the platform lists.
     pub listed: &'a ListedInstances,
@@ -61,24 +62,25 @@
     pub observations: &'a Observations,
     /// Learned failure domains.
     pub domains: &'a LearnedDomains,
-    /// Since when each service has been short or quiet.
+    /// Since when each service has had a shortage or a surplus.
     pub trends: &'a Trends,
-    /// What the platform and the instances have answered.
+    /// Reboot and trial requests that succeeded.
     pub completed: &'a CompletedRequests,
 }
 
-/// Answers to reboot and trial requests, kept by the controller. Losing them only repeats a
-/// request that is idempotent.
+/// Reboot and trial requests that succeeded, kept in memory by the controller. If they are lost,
+/// the requests are repeated; they are idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CompletedRequests {
-    /// Reboots that the platform has carried out.
+    /// Reboots that the platform has accepted.
     pub reboots: BTreeSet<RequestId>,
     /// Reboots after which a trial request has succeeded.
     pub trials: BTreeSet<RequestId>,
 }
 
 impl View<'_> {
-    /// Whether an instance is up and in an open zone, apart from steps.
+    /// Whether an instance is listed, live and not failing, and its zone is in service. Ignores
+    /// steps.
     pub fn healthy(&self, id: &InstanceId, placement: &Placement) -> bool {
         let listed = self.listed.get(id);
         placement.missing_since.is_none()
@@ -89,12 +91,12 @@
             })
     }
 
-    /// Whether an instance serves its pool now.
+    /// Whether an instance is healthy and has no step in progress.
     pub fn available(&self, id: &InstanceId, placement: &Placement) -> bool {
         placement.step.is_none() && self.healthy(id, placement)
     }
 
-    /// Service that `placement` serves; `None` in the spare pool.
+    /// Service of the current pool; `None` for a spare pool.
     pub fn service_of(&self, placement: &Placement) -> Option<&ServiceId> {
         self.config.service_of_pool(&placement.pool)
     }
