--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -1,8 +1,9 @@
 //! Availability budget of each service.
 //!
-//! An instance may be taken out of service when, with it gone, the instances that are still
-//! available less those in the worst failure domain are at least the service's floor. The floor
-//! counts instances by their home pool, so that moving instances away cannot lower it.
+//! An instance may be taken out of service if the instances that remain available, minus those in
+//! the worst failure domain, are at least the service's floor. The worst failure domain is the one
+//! with the most remaining instances. The floor is computed from instances by home pool, so that
+//! moving instances away does not lower it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -18,25 +19,26 @@
 pub struct Budget {
     /// Instances whose home is a pool of the service.
     pub home: usize,
-    /// Lowest number of available instances.
+    /// Minimum number of available instances.
     pub floor: usize,
     /// Instances available now.
     pub available: usize,
+    /// Available instances by failure domain.
     domains: HashMap<DomainPosition, usize>,
 }
 
-/// Why an instance may not be taken out of service.
+/// Reason why an instance must not be taken out of service: the budget of its service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shortage {
     /// Service of the instance.
     pub service: ServiceId,
     /// Instances available now.
     pub available: usize,
-    /// Lowest number of available instances.
+    /// Minimum number of available instances.
     pub floor: usize,
-    /// Instances kept for the failure of the worst domain.
+    /// Instances held in reserve for a failure of the worst domain.
     pub reserve: usize,
-    /// The worst domain.
+    /// Failure domain with the most available instances.
     pub domain: Option<DomainId>,
 }
 
@@ -53,34 +55,36 @@
 }
 
 impl Budget {
-    /// Instances above the floor; negative when the budget is broken.
+    /// Available instances above the floor; negative if the service is below its floor.
     pub fn margin(&self) -> i64 {
         self.available as i64 - self.floor as i64
     }
 
-    /// Largest reserve that still lets one instance at a time be taken out at full strength.
+    /// Maximum reserve: with all home instances available, one may always be taken out of service.
     fn reserve_max(&self) -> usize {
         self.home.saturating_sub(self.floor + 1)
     }
 
-    /// Instances to keep for the worst domain once an instance in `without` has gone.
-    pub fn reserve(&self, without: &[DomainPosition]) -> (usize, Option<DomainPosition>) {
+    /// Reserve for a failure of the worst domain after an instance in the domains `excluded` is taken
+    /// out of service, and that domain.
+    pub fn reserve(&self, excluded: &[DomainPosition]) -> (usize, Option<DomainPosition>) {
         let remaining = self
             .domains
             .iter()
-            .map(|(slot, count)| (count - usize::from(without.contains(slot)), *slot));
-        let worst = remaining.max_by_key(|(count, slot)| (*count, usize::MAX - slot));
-        let (count, slot) = worst.map_or((0, None), |(count, slot)| (count, Some(slot)));
-        (count.min(self.reserve_max()), slot)
+            .map(|(position, count)| (count - usize::from(excluded.contains(position)), *position));
+        let worst = remaining.max_by_key(|(count, position)| (*count, usize::MAX - position));
+        let (count, position) =
+            worst.map_or((0, None), |(count, position)| (count, Some(position)));
+        (count.min(self.reserve_max()), position)
     }
 
-    fn allows(&self, slots: &[DomainPosition]) -> bool {
-        let (reserve, _) = self.reserve(slots);
+    fn allows(&self, positions: &[DomainPosition]) -> bool {
+        let (reserve, _) = self.reserve(positions);
         self.available > self.floor + reserve
     }
 }
 
-/// Budgets of all services in one planning round.
+/// Budgets of all services in a planning round.
 #[derive(Debug, Clone, Default)]
 pub struct Budgets {
     services: BTreeMap<ServiceId, Budget>,
@@ -88,7 +92,7 @@
 }
 
 impl Budgets {
-    /// Counts the budgets of `document`, which may be ahead of the one in `view`.
+    /// Computes the budgets of `document`, which may be newer than the one in `view`.
     pub fn new(view: &View<'_>, document: &FleetDocument, index: DomainIndex) -> Self {
         let mut services: BTreeMap<ServiceId, Budget> =
             view.config.services.keys().map(|id| (id.clone(), Budget::default())).collect();
@@ -122,75 +126,75 @@
         self.services.iter()
     }
 
-    /// Failure domains by instance.
+    /// Failure domains of each instance.
     pub fn index(&self) -> &DomainIndex {
         &self.index
     }
 
-    /// Whether an available instance of `service` may be taken out of service now.
+    /// Checks whether an available instance of `service` may be taken out of service now.
     pub fn check(&self, service: &ServiceId, id: &InstanceId) -> Result<(), Shortage> {
         let Some(budget) = self.services.get(service) else {
             return Ok(());
         };
-        let slots = self.index.of(id);
-        if budget.allows(slots) {
+        let positions = self.index.of(id);
+        if budget.allows(positions) {
             return Ok(());
         }
-        let (reserve, slot) = budget.reserve(slots);
+        let (reserve, position) = budget.reserve(positions);
         Err(Shortage {
             service: service.clone(),
             available: budget.available,
             floor: budget.floor,
             reserve,
-            domain: slot.map(|slot| self.index.name(slot).clone()),
+            domain: position.map(|position| self.index.name(position).clone()),
         })
     }
 
-    /// Counts an instance as taken out of `service`.
+    /// Subtracts an available instance from `service`.
     pub fn remove(&mut self, service: &ServiceId, id: &InstanceId) {
-        let slots = self.index.of(id);
+        let positions = self.index.of(id);
         if let Some(budget) = self.services.get_mut(service) {
-            budget.remove(slots);
+            budget.remove(positions);
         }
     }
 
-    /// Counts an instance as added to `service`.
+    /// Adds an available instance to `service`.
     pub fn add(&mut self, service: &ServiceId, id: &InstanceId) {
-        let slots = self.index.of(id);
+        let positions = self.index.of(id);
         if let Some(budget) = self.services.get_mut(service) {
-            budget.add(slots);
+            budget.add(positions);
         }
     }
 
-    /// Available instances of `service` that share a failure domain with `id`.
+    /// Maximum number of available instances of `service` in one failure domain of `id`.
     pub fn shared_domain_count(&self, service: &ServiceId, id: &InstanceId) -> usize {
         let Some(budget) = self.services.get(service) else {
             return 0;
         };
-        let counts = self.index.of(id).iter().filter_map(|slot| budget.domains.get(slot));
+        let counts = self.index.of(id).iter().filter_map(|position| budget.domains.get(position));
         counts.copied().max().unwrap_or(0)
     }
 }
 
 impl Budget {
-    fn add(&mut self, slots: &[DomainPosition]) {
+    fn add(&mut self, positions: &[DomainPosition]) {
         self.available += 1;
-        for slot in slots {
-            *self.domains.entry(*slot).or_default() += 1;
+        for position in positions {
+            *self.domains.entry(*position).or_default() += 1;
         }
     }
 
-    fn remove(&mut self, slots: &[DomainPosition]) {
+    fn remove(&mut self, positions: &[DomainPosition]) {
         self.available = self.available.saturating_sub(1);
-        for slot in slots {
-            if let Some(count) = self.domains.get_mut(slot) {
+        for position in positions {
+            if let Some(count) = self.domains.get_mut(position) {
                 *count = count.saturating_sub(1);
             }
         }
     }
 }
 
-/// Service of the home pool.
+/// Service of the home pool; `None` for a spare pool.
 pub fn home_service<'a>(view: &View<'a>, placement: &Placement) -> Option<&'a ServiceId> {
     view.config.service_of_pool(&placement.home)
 }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -1,9 +1,10 @@
-//! Moves for demand and for the availability budgets.
+//! Moves that serve demand and restore the availability budgets.
 //!
-//! A service that is short takes spare instances at once, and instances on loan that other
-//! services do not need, which must drain first. When it stays short it takes such instances from
-//! their home as well; when it is below its floor, at once and from the reserve. Instances go back to their home pool
-//! only after their service has asked for little for some time, or when home needs them.
+//! A service with a shortage gets idle spare instances immediately, and borrowed instances from
+//! services with a surplus after a drain. If the shortage lasts, it also gets instances from the
+//! home pools of services with a surplus. If the service is below its floor, it does so
+//! immediately and may use the reserves of other services. A borrowed instance returns to its home
+//! pool only after its service has had a surplus for some time, or when the home pool needs it.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -16,24 +17,24 @@
 use crate::plan::Round;
 use crate::view::View;
 
-/// Since when each service has been short of instances, or asked for little. Kept by the
-/// controller between rounds; losing it only delays moves.
+/// Since when each service has had a shortage or a surplus. Kept in memory by the controller
+/// between rounds; losing it only delays moves.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Trends {
     short_since: BTreeMap<ServiceId, SystemTime>,
     surplus_since: BTreeMap<ServiceId, SystemTime>,
 }
 
-/// Instances that a service needs.
+/// Number of instances that a service needs and has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Need {
-    /// Instances whose slots hold the running and waiting requests.
+    /// Instances whose slots cover the running and waiting requests.
     pub demand: usize,
     /// Floor of the availability budget.
     pub floor: usize,
-    /// Floor and the reserve for the worst failure domain.
+    /// Floor plus the reserve for a failure of the worst domain.
     pub floor_with_reserve: usize,
-    /// Instances available, with those on their way.
+    /// Available instances, including those moving to the service.
     pub available: usize,
 }
 
@@ -42,21 +43,22 @@
         self.demand.max(self.floor_with_reserve)
     }
 
-    fn short(&self) -> usize {
+    fn shortfall(&self) -> usize {
         self.target().saturating_sub(self.available)
     }
 
-    /// Whether more than the reserve is missing.
-    fn urgent(&self) -> bool {
+    /// Whether the demand or the floor is not covered, rather than only the reserve.
+    fn is_urgent(&self) -> bool {
         self.available < self.demand.max(self.floor)
     }
 
-    /// Whether the floor itself is broken; this outweighs the reserve and demand of others.
+    /// Whether the service is below its floor, which has priority over the reserve and the demand
+    /// of other services.
     fn below_floor(&self) -> bool {
         self.available < self.floor
     }
 
-    /// Instances that may be given to a service that is short like `receiver`.
+    /// Instances that may be moved to the service with the need `receiver`.
     fn surplus_for(&self, receiver: &Self, factor: f64) -> usize {
         match receiver.below_floor() {
             true => self.available.saturating_sub(self.floor),
@@ -74,7 +76,7 @@
     }
 }
 
-/// Instances whose slots hold the demand for a service.
+/// Number of instances whose slots cover the demand for a service.
 pub fn demand_instances(view: &View<'_>, id: &ServiceId) -> usize {
     let Some(service) = view.config.services.get(id) else {
         return 0;
@@ -87,18 +89,19 @@
 /// Starts moves.
 pub(crate) fn start(round: &mut Round<'_>) {
     let needs = needs(round);
-    note_trends(round, &needs);
+    update_trends(round, &needs);
     let mut short: Vec<(&ServiceId, &Need)> =
-        needs.iter().filter(|(_, need)| need.short() > 0).collect();
-    short.sort_by_key(|(_, need)| (need.available >= need.floor, !need.urgent(), need.available));
-    let mut spares = Spares::new(round);
-    let movable = Movable::new(round);
+        needs.iter().filter(|(_, need)| need.shortfall() > 0).collect();
+    short
+        .sort_by_key(|(_, need)| (need.available >= need.floor, !need.is_urgent(), need.available));
+    let mut spares = IdleSpares::new(round);
+    let movable = MovableInstances::new(round);
     let sources = Sources { needs: &needs, movable: &movable };
     for (service, need) in short {
-        fill(round, service, *need, &sources, &mut spares);
+        fill_shortfall(round, service, *need, &sources, &mut spares);
     }
     for (service, need) in &needs {
-        return_one(round, service, need, &movable);
+        return_borrowed(round, service, need, &movable);
     }
 }
 
@@ -123,13 +126,13 @@
     round.budgets.iter().map(need).collect()
 }
 
-fn note_trends(round: &mut Round<'_>, needs: &BTreeMap<ServiceId, Need>) {
+fn update_trends(round: &mut Round<'_>, needs: &BTreeMap<ServiceId, Need>) {
     let mut trends = Trends::default();
     let known = &round.view.trends;
     for (id, need) in needs {
         let since =
             |times: &BTreeMap<ServiceId, SystemTime>| times.get(id).copied().unwrap_or(round.now);
-        if need.short() > 0 {
+        if need.shortfall() > 0 {
             trends.short_since.insert(id.clone(), since(&known.short_since));
         }
         if need.surplus(round.policy.surplus_factor) > 1 {
@@ -139,28 +142,34 @@
     round.trends = trends;
 }
 
-fn lasted(round: &Round<'_>, since: Option<&SystemTime>, wait: Duration) -> bool {
+fn has_lasted(round: &Round<'_>, since: Option<&SystemTime>, wait: Duration) -> bool {
     since.is_some_and(|since| round.now.duration_since(*since).unwrap_or_default() >= wait)
 }
 
-/// Idle spare instances of a round.
-struct Spares {
+/// Idle spare instances that have not been assigned in this round.
+struct IdleSpares {
     ids: Vec<InstanceId>,
 }
 
-impl Spares {
+impl IdleSpares {
     fn new(round: &Round<'_>) -> Self {
         let config = round.view.config;
         let idle = round.placements().filter(|(id, placement)| {
             config.pools.get(&placement.pool).is_some_and(|pool| pool.service.is_none())
                 && round.view.available(id, placement)
-                && steady(round, id)
+                && zone_allows_steps(round, id)
         });
         Self { ids: idle.map(|(id, _)| id.clone()).collect() }
     }
 
-    /// Takes the instance that shares the fewest failure domains with the service.
-    fn take(&mut self, round: &Round<'_>, service: &ServiceId, kept: usize) -> Option<InstanceId> {
+    /// Removes the instance that shares a failure domain with the fewest instances of the service,
+    /// unless only `kept` instances are remaining.
+    fn take_best(
+        &mut self,
+        round: &Round<'_>,
+        service: &ServiceId,
+        kept: usize,
+    ) -> Option<InstanceId> {
         if self.ids.len() <= kept {
             return None;
         }
@@ -170,56 +179,56 @@
     }
 }
 
-fn steady(round: &Round<'_>, id: &InstanceId) -> bool {
+fn zone_allows_steps(round: &Round<'_>, id: &InstanceId) -> bool {
     round.view.listed.get(id).is_some_and(|listed| round.view.zone_allows_steps(listed))
 }
 
-/// Where instances can come from besides the spare pool.
+/// Sources of instances other than the spare pool.
 struct Sources<'a> {
     needs: &'a BTreeMap<ServiceId, Need>,
-    movable: &'a Movable,
+    movable: &'a MovableInstances,
 }
 
-/// A service that is short of instances.
+/// A service with a shortage of instances.
 struct Shortfall<'a> {
     service: &'a ServiceId,
     /// Pool that receives the instances.
     pool: PoolId,
     need: Need,
-    /// Whether other services give instances that are at home there.
+    /// Whether other services also give up instances of their home pools.
     donate: bool,
 }
 
-fn fill(
+fn fill_shortfall(
     round: &mut Round<'_>,
     service: &ServiceId,
     need: Need,
     sources: &Sources<'_>,
-    spares: &mut Spares,
+    spares: &mut IdleSpares,
 ) {
     let since = round.trends.short_since.get(service);
-    if !need.urgent() && !lasted(round, since, round.policy.return_after) {
+    if !need.is_urgent() && !has_lasted(round, since, round.policy.return_after) {
         return;
     }
-    let donate = need.below_floor() || lasted(round, since, round.policy.reassign_after);
+    let donate = need.below_floor() || has_lasted(round, since, round.policy.reassign_after);
     let Some(pool) = receiving_pool(round, service) else {
         return;
     };
     let mut shortfall = Shortfall { service, pool, need, donate };
-    while shortfall.need.short() > 0 {
+    while shortfall.need.shortfall() > 0 {
         let need = &shortfall.need;
         let kept =
             if need.available < need.floor_with_reserve { 0 } else { round.policy.spare_reserved };
-        if let Some(id) = spares.take(round, service, kept) {
-            assign(round, &id, &shortfall);
-        } else if !take_from_donor(round, &shortfall, sources) {
+        if let Some(id) = spares.take_best(round, service, kept) {
+            assign_spare(round, &id, &shortfall);
+        } else if !move_from_donor(round, &shortfall, sources) {
             return;
         }
         shortfall.need.available += 1;
     }
 }
 
-/// Pool of the service with the fewest instances against its home count.
+/// Pool of the service with the fewest instances compared to the number at home there.
 fn receiving_pool(round: &Round<'_>, service: &ServiceId) -> Option<PoolId> {
     let config = round.view.config;
     let pools = config.pools.iter().filter(|(_, pool)| pool.service.as_ref() == Some(service));
@@ -235,8 +244,8 @@
     ids.first().map(|id| (*id).clone())
 }
 
-/// Moves an idle spare instance at once: nothing runs on it.
-fn assign(round: &mut Round<'_>, id: &InstanceId, shortfall: &Shortfall<'_>) {
+/// Moves an idle spare instance without a drain: no request runs on it.
+fn assign_spare(round: &mut Round<'_>, id: &InstanceId, shortfall: &Shortfall<'_>) {
     if let Some(placement) = round.next.placements.get_mut(id) {
         placement.pool = shortfall.pool.clone();
         round.budgets.add(shortfall.service, id);
@@ -245,7 +254,7 @@
     }
 }
 
-fn take_from_donor(
+fn move_from_donor(
     round: &mut Round<'_>,
     shortfall: &Shortfall<'_>,
     sources: &Sources<'_>,
@@ -257,13 +266,14 @@
         .filter(|(id, _)| *id != shortfall.service)
         .filter_map(|(id, donor)| {
             let taken = donor.available.saturating_sub(round.budgets.get(id)?.available);
-            let left = donor.surplus_for(&shortfall.need, factor).checked_sub(taken)?;
-            (left > 0).then_some((id, left))
+            let remaining = donor.surplus_for(&shortfall.need, factor).checked_sub(taken)?;
+            (remaining > 0).then_some((id, remaining))
         })
         .collect();
-    donors.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
-    let found =
-        donors.into_iter().find_map(|(id, _)| donated(round, id, shortfall, sources.movable));
+    donors.sort_by_key(|(_, remaining)| std::cmp::Reverse(*remaining));
+    let found = donors
+        .into_iter()
+        .find_map(|(id, _)| choose_donated(round, id, shortfall, sources.movable));
     let Some(id) = found else {
         return false;
     };
@@ -273,18 +283,19 @@
     true
 }
 
-/// Instance of `donor` that moves at the least cost: at home in `pool`, on loan, or little used.
-/// Without `donate` only instances on loan are considered.
-fn donated(
+/// Instance of `donor` that is cheapest to move: preferably at home in the receiving pool, then
+/// borrowed, then with the fewest running requests. Without `donate` only borrowed instances are
+/// considered.
+fn choose_donated(
     round: &Round<'_>,
     donor: &ServiceId,
     shortfall: &Shortfall<'_>,
-    movable: &Movable,
+    movable: &MovableInstances,
 ) -> Option<InstanceId> {
-    let candidates = movable.of(donor).iter().filter_map(|id| {
+    let candidates = movable.of_service(donor).iter().filter_map(|id| {
         let placement = round.next.placements.get(id)?;
-        let loaned = placement.home != placement.pool;
-        (placement.step.is_none() && (shortfall.donate || loaned)).then_some((id, placement))
+        let borrowed = placement.home != placement.pool;
+        (placement.step.is_none() && (shortfall.donate || borrowed)).then_some((id, placement))
     });
     let cost = |(id, placement): &(&InstanceId, &Placement)| {
         let at_home = placement.home == placement.pool;
@@ -297,13 +308,13 @@
     candidates.into_iter().map(|(id, _)| id).find(|id| allowed(id)).cloned()
 }
 
-/// Instances that may move, by service, at the start of a round.
+/// Instances that may move at the start of a round, by service.
 #[derive(Debug, Default)]
-struct Movable {
+struct MovableInstances {
     by_service: BTreeMap<ServiceId, Vec<InstanceId>>,
 }
 
-impl Movable {
+impl MovableInstances {
     fn new(round: &Round<'_>) -> Self {
         let mut by_service: BTreeMap<ServiceId, Vec<InstanceId>> = BTreeMap::new();
         for (id, placement) in round.placements() {
@@ -316,28 +327,34 @@
         Self { by_service }
     }
 
-    fn of(&self, service: &ServiceId) -> &[InstanceId] {
+    fn of_service(&self, service: &ServiceId) -> &[InstanceId] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 }
 
 fn movable(round: &Round<'_>, id: &InstanceId, placement: &Placement) -> bool {
-    let retry = placement.not_before.is_some_and(|time| time > round.now);
-    !retry && round.view.available(id, placement) && steady(round, id)
+    let in_backoff = placement.not_before.is_some_and(|time| time > round.now);
+    !in_backoff && round.view.available(id, placement) && zone_allows_steps(round, id)
 }
 
-/// Sends one instance on loan back home when its service has asked for little for some time.
-fn return_one(round: &mut Round<'_>, service: &ServiceId, need: &Need, movable: &Movable) {
-    if !lasted(round, round.trends.surplus_since.get(service), round.policy.return_after) {
+/// Starts the move of one borrowed instance to its home pool if its service has had a surplus for
+/// some time.
+fn return_borrowed(
+    round: &mut Round<'_>,
+    service: &ServiceId,
+    need: &Need,
+    movable: &MovableInstances,
+) {
+    if !has_lasted(round, round.trends.surplus_since.get(service), round.policy.return_after) {
         return;
     }
-    let loaned = movable.of(service).iter().filter_map(|id| {
+    let borrowed = movable.of_service(service).iter().filter_map(|id| {
         let placement = round.next.placements.get(id)?;
-        let loaned = placement.home != placement.pool && placement.step.is_none();
-        (loaned && round.budgets.check(service, id).is_ok()).then_some((id, placement))
+        let borrowed = placement.home != placement.pool && placement.step.is_none();
+        (borrowed && round.budgets.check(service, id).is_ok()).then_some((id, placement))
     });
     let running = |id: &InstanceId| round.view.observations.running(id);
-    let Some((id, home)) = loaned
+    let Some((id, home)) = borrowed
         .min_by_key(|(id, _)| running(id))
         .map(|(id, placement)| (id.clone(), placement.home.clone()))
     else {
--- a/crates/fleet/src/domain.rs
+++ b/crates/fleet/src/domain.rs
@@ -1,11 +1,11 @@
-//! Failure domains learned from failures that come together.
+//! Failure domains learned from failures that occur together.
 //!
-//! Failures that follow each other within [`BURST_GAP_MAX`] form a burst. A burst within one zone is
-//! evidence that its instances share a failure domain, weighed by how unlikely it would be among
-//! independent failures at the rate seen lately (a log likelihood ratio, in nats). Declared racks
-//! are the prior: a burst within one rack teaches nothing new. A burst that takes most of a zone
-//! is a failure of the zone. The state is bounded by [`GROUPS_MAX`] and [`MEMBERS_MAX`]; pairs
-//! are not kept.
+//! Failures that follow each other within [`BURST_GAP_MAX`] form a burst. A burst within one zone
+//! is evidence that its instances share a failure domain. Its weight is the log likelihood ratio,
+//! in nats, against independent failures at the recent failure rate. Declared racks are known
+//! domains, so a burst within one rack creates no group. A burst that affects most of a zone is a
+//! failure of the zone. The state is bounded by [`GROUPS_MAX`] and [`MEMBERS_MAX`]; evidence is
+//! stored per group, not per pair of instances.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,36 +22,37 @@
 pub use index::{DomainIndex, DomainPosition};
 pub use raw::{DOMAINS_KEY, DomainsError, RawDomains};
 
-/// Name of a failure domain: a declared rack or a learned group.
+/// Identifier of a failure domain: a declared rack or a learned group.
 pub type DomainId = Arc<str>;
 
-/// Longest time between two failures of one burst.
+/// Maximum time between two consecutive failures of a burst.
 pub const BURST_GAP_MAX: Duration = Duration::from_secs(15);
-/// Longest time from the first to the last failure of a burst.
+/// Maximum time from the first to the last failure of a burst.
 pub const BURST_MAX: Duration = Duration::from_secs(60);
-/// Most groups kept.
+/// Maximum number of groups.
 pub const GROUPS_MAX: usize = 96;
-/// Most members of a group.
+/// Maximum number of members of a group.
 pub const MEMBERS_MAX: usize = 64;
 
-/// Score at which a group is suspected: odds of a hundred to one.
+/// Score from which a group is suspected: odds of 100 to 1.
 const SUSPECT_NATS: f64 = 4.6;
-/// Cost of a new group: a hundred to one against two instances sharing an undeclared domain.
+/// Prior log odds against two instances sharing an undeclared domain: 100 to 1. Subtracted from the
+/// score of a new group.
 const PRIOR_NATS: f64 = 4.6;
 const SCORE_MAX_NATS: f64 = 20.0;
 const SCORE_MIN_NATS: f64 = 0.5;
 const SCORE_HALF_LIFE: Duration = Duration::from_secs(180 * 86_400);
 const RATE_HALF_LIFE: Duration = Duration::from_secs(7 * 86_400);
-/// Lowest rate of failures that the evidence assumes: six a day.
+/// Minimum failure rate assumed when weighing evidence: six failures per day.
 const RATE_MIN_PER_S: f64 = 6.0 / 86_400.0;
-/// Share of a group's bursts in which a member must have failed.
+/// Minimum share of a group's bursts in which a member must have failed to remain a member.
 const MEMBER_SHARE_MIN: f64 = 0.33;
-/// Share of the smaller set that a burst and a group must have in common.
+/// Minimum overlap of a burst with a group, as a share of the smaller of the two.
 const OVERLAP_MIN: f64 = 0.5;
-/// Share of a zone from which a burst is a failure of the zone.
+/// Share of a zone's instances from which a burst counts as a failure of the zone.
 const ZONE_SHARE: f64 = 0.75;
 
-/// How often a member failed together with its group, and how often it did not.
+/// How often a member failed together with its group and how often it did not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Member {
     /// Bursts of the group in which the member failed.
@@ -61,7 +62,7 @@
 }
 
 impl Member {
-    fn share(self) -> f64 {
+    fn hit_share(self) -> f64 {
         f64::from(self.hits) / f64::from(self.hits + self.misses).max(1.0)
     }
 }
@@ -73,23 +74,23 @@
     pub number: u64,
     /// Zone of all members.
     pub zone: ZoneId,
-    /// Evidence for each member.
+    /// Failure counts of each member.
     pub members: BTreeMap<InstanceId, Member>,
     /// Log odds that the members share a domain, in nats.
     pub score_nats: f64,
-    /// Bursts that counted for the group.
+    /// Number of bursts that are evidence for the group.
     pub bursts: u32,
-    /// When the score was last brought up to date.
+    /// When the score was last updated.
     pub scored_at: SystemTime,
 }
 
 impl Group {
-    /// Whether the evidence suffices to plan by it.
+    /// Whether the evidence is strong enough to treat the group as a failure domain.
     pub fn suspected(&self) -> bool {
         self.score_nats >= SUSPECT_NATS && self.members.len() > 1
     }
 
-    /// Name of the group as a failure domain.
+    /// Identifier of the group as a failure domain.
     pub fn domain_id(&self) -> DomainId {
         format!("learned-{}", self.number).into()
     }
@@ -120,30 +121,30 @@
 }
 
 impl LearnedDomains {
-    /// Groups with enough evidence.
+    /// Suspected groups.
     pub fn suspected(&self) -> impl Iterator<Item = &Group> {
         self.groups.iter().filter(|group| group.suspected())
     }
 
-    /// Number of groups kept, suspected or not.
+    /// Number of groups, suspected or not.
     pub fn len(&self) -> usize {
         self.groups.len()
     }
 
-    /// Whether no group is kept.
+    /// Whether there are no groups.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 
-    /// Strongest suspected domain of an instance, else its declared rack.
+    /// Suspected domain of an instance with the highest score, or its declared rack if there is none.
     pub fn domain_of(&self, listed: &ListedInstance) -> DomainId {
         let groups = self.suspected().filter(|group| group.members.contains_key(&listed.id));
         let best = groups.max_by(|a, b| a.score_nats.total_cmp(&b.score_nats));
         best.map_or_else(|| rack_domain(&listed.zone, &listed.rack), Group::domain_id)
     }
 
-    /// Takes in the failure of `id` first seen at `since`. A repeat has no effect. Returns whether
-    /// the state changed.
+    /// Records a failure of `id` that was first observed at `since`. Repeated calls have no effect.
+    /// Returns whether the state changed.
     pub fn record_failure(
         &mut self,
         id: &InstanceId,
@@ -153,17 +154,17 @@
         if since <= self.closed_until || self.burst.contains_key(id) {
             return false;
         }
-        if self.ends_before(since) {
+        if self.burst_ends_before(since) {
             self.close_burst(listed);
         }
         self.burst.insert(id.clone(), since);
         true
     }
 
-    /// Ends a burst that no further failure can join, lets evidence decay and forgets what left.
-    /// Returns whether the state changed.
+    /// Closes the open burst if no further failure can join it, decays the scores and drops groups
+    /// with too little evidence. Returns whether the state changed.
     pub fn advance(&mut self, now: SystemTime, listed: &ListedInstances) -> bool {
-        if self.burst.is_empty() || !self.ends_before(now) {
+        if self.burst.is_empty() || !self.burst_ends_before(now) {
             return false;
         }
         self.close_burst(listed);
@@ -171,7 +172,7 @@
         true
     }
 
-    fn ends_before(&self, time: SystemTime) -> bool {
+    fn burst_ends_before(&self, time: SystemTime) -> bool {
         let (Some(first), Some(last)) = (self.burst.values().min(), self.burst.values().max())
         else {
             return false;
@@ -185,30 +186,30 @@
             return;
         };
         self.closed_until = last;
-        self.rate(last);
+        self.update_rate(last);
         let mut zones: BTreeMap<ZoneId, Vec<&ListedInstance>> = BTreeMap::new();
         for instance in burst.keys().filter_map(|id| listed.get(id)) {
             zones.entry(instance.zone.clone()).or_default().push(instance);
         }
         for (zone, failed) in zones {
-            self.learn(&zone, &failed, last, listed);
+            self.learn_from_burst(&zone, &failed, last, listed);
         }
     }
 
-    /// Updates the rate of independent failures; a burst counts once.
-    fn rate(&mut self, now: SystemTime) {
+    /// Updates the rate of independent failures, an exponential moving average; a burst counts once.
+    fn update_rate(&mut self, now: SystemTime) {
         let elapsed_s = now.duration_since(self.rate_updated_at).unwrap_or_default().as_secs_f64();
         let tau_s = RATE_HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
         self.rate_per_s = self.rate_per_s * (-elapsed_s / tau_s).exp() + 1.0 / tau_s;
         self.rate_updated_at = now;
     }
 
-    /// Nats that each further failure of a burst adds.
+    /// Weight, in nats, of each failure of a burst after the first.
     fn nats_per_failure(&self) -> f64 {
         -(self.rate_per_s.max(RATE_MIN_PER_S) * BURST_GAP_MAX.as_secs_f64()).min(0.5).ln()
     }
 
-    fn learn(
+    fn learn_from_burst(
         &mut self,
         zone: &ZoneId,
         failed: &[&ListedInstance],
@@ -224,7 +225,7 @@
         let ids: Vec<&InstanceId> = failed.iter().map(|instance| &instance.id).collect();
         let nats = self.nats_per_failure();
         match self.best_match(zone, &ids) {
-            Some(group) => group.update(&ids, at, nats),
+            Some(group) => group.record_burst(&ids, at, nats),
             None if one_rack => {}
             None => self.add_group(zone, &ids, at, nats),
         }
@@ -275,7 +276,7 @@
         self.groups.retain(|group| group.score_nats >= SCORE_MIN_NATS && group.members.len() > 1);
     }
 
-    /// Forgets instances that `keep` refuses.
+    /// Removes the instances for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&InstanceId) -> bool) {
         for group in &mut self.groups {
             group.members.retain(|id, _| keep(id));
@@ -291,7 +292,7 @@
         self.scored_at = now.max(self.scored_at);
     }
 
-    fn update(&mut self, ids: &[&InstanceId], at: SystemTime, nats: f64) {
+    fn record_burst(&mut self, ids: &[&InstanceId], at: SystemTime, nats: f64) {
         self.decay(at);
         let common = ids.iter().filter(|id| self.members.contains_key(**id)).count();
         for (id, member) in &mut self.members {
@@ -305,13 +306,13 @@
                 self.members.insert((*id).clone(), Member { hits: 1, misses: 0 });
             }
         }
-        self.members.retain(|_, member| member.share() >= MEMBER_SHARE_MIN);
+        self.members.retain(|_, member| member.hit_share() >= MEMBER_SHARE_MIN);
         self.bursts += 1;
         self.score_nats = (self.score_nats + (common - 1) as f64 * nats).min(SCORE_MAX_NATS);
     }
 }
 
-/// Name of a declared rack as a failure domain.
+/// Identifier of a declared rack as a failure domain.
 pub fn rack_domain(zone: &ZoneId, rack: &RackId) -> DomainId {
     format!("{zone}/{rack}").into()
 }
--- a/crates/fleet/src/domain/index.rs
+++ b/crates/fleet/src/domain/index.rs
@@ -1,4 +1,4 @@
-//! Failure domains of each instance, numbered for fast counting.
+//! Index of the failure domains of each instance, with small integers for fast counting.
 
 use std::collections::HashMap;
 
@@ -10,45 +10,45 @@
 /// Position of a failure domain in a [`DomainIndex`].
 pub type DomainPosition = usize;
 
-/// Failure domains of each listed instance: its declared rack and the suspected groups.
+/// Failure domains of each listed instance: its declared rack, then its suspected groups.
 #[derive(Debug, Clone, Default)]
 pub struct DomainIndex {
     names: Vec<DomainId>,
-    slots: HashMap<InstanceId, Vec<DomainPosition>>,
+    positions: HashMap<InstanceId, Vec<DomainPosition>>,
 }
 
 impl DomainIndex {
-    /// Numbers the domains of all listed instances.
+    /// Builds the index for all listed instances.
     pub fn new(listed: &ListedInstances, domains: &LearnedDomains) -> Self {
         let mut index = Self::default();
         let mut racks = HashMap::new();
         for (id, instance) in listed {
-            let slot = *racks.entry((&instance.zone, &instance.rack)).or_insert_with(|| {
+            let position = *racks.entry((&instance.zone, &instance.rack)).or_insert_with(|| {
                 index.names.push(rack_domain(&instance.zone, &instance.rack));
                 index.names.len() - 1
             });
-            index.slots.insert(id.clone(), vec![slot]);
+            index.positions.insert(id.clone(), vec![position]);
         }
         for group in domains.suspected() {
-            let slot = index.names.len();
+            let position = index.names.len();
             index.names.push(group.domain_id());
             for id in group.members.keys() {
-                if let Some(slots) = index.slots.get_mut(id) {
-                    slots.push(slot);
+                if let Some(positions) = index.positions.get_mut(id) {
+                    positions.push(position);
                 }
             }
         }
         index
     }
 
-    /// Domains of an instance; none when it is not listed.
+    /// Domains of an instance; empty if it is not listed.
     pub fn of(&self, id: &InstanceId) -> &[DomainPosition] {
-        self.slots.get(id).map_or(&[], Vec::as_slice)
+        self.positions.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// Name of a domain.
-    pub fn name(&self, slot: DomainPosition) -> &DomainId {
-        &self.names[slot]
+    /// Identifier of a domain.
+    pub fn name(&self, position: DomainPosition) -> &DomainId {
+        &self.names[position]
     }
 
     /// Number of domains.
@@ -56,7 +56,7 @@
         self.names.len()
     }
 
-    /// Whether there is no domain.
+    /// Whether there are no domains.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/fleet/src/domain/raw.rs
+++ b/crates/fleet/src/domain/raw.rs
@@ -1,4 +1,4 @@
-//! Wire form of the learned failure domains.
+//! Serialized form of the learned failure domains.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,14 +13,14 @@
 /// Key of the learned failure domains in the key-value service.
 pub const DOMAINS_KEY: &str = "cassiafold/fleet/domains";
 
-/// Format of the wire form that this program reads and writes.
+/// Format version that this program reads and writes.
 const FORMAT: u32 = 1;
 
-/// Wire form of [`LearnedDomains`].
+/// Serialized form of [`LearnedDomains`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawDomains {
-    /// Format of this document.
+    /// Format version of this document.
     pub format: u32,
     /// Groups of instances.
     pub groups: Vec<RawGroup>,
@@ -30,13 +30,13 @@
     pub closed_until_unix_ms: u64,
     /// Number of the next group.
     pub next_number: u64,
-    /// Rate of independent failures.
+    /// Rate of independent failures, per second.
     pub rate_per_s: f64,
-    /// When the rate was brought up to date, in milliseconds since the Unix epoch.
+    /// When the rate was last updated, in milliseconds since the Unix epoch.
     pub rated_unix_ms: u64,
 }
 
-/// Wire form of [`Group`].
+/// Serialized form of [`Group`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawGroup {
@@ -48,20 +48,20 @@
     pub members: BTreeMap<Arc<str>, [u32; 2]>,
     /// Log odds in nats.
     pub score_nats: f64,
-    /// Bursts that counted.
+    /// Number of bursts that are evidence for the group.
     pub bursts: u32,
-    /// When the score was brought up to date, in milliseconds since the Unix epoch.
+    /// When the score was last updated, in milliseconds since the Unix epoch.
     pub scored_unix_ms: u64,
 }
 
-/// Why stored failure domains cannot be used.
+/// Error in stored failure domains.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DomainsError {
-    /// They were written in a format that this program does not know.
-    #[error("unknown format {0} of the failure domains")]
+    /// The format version is not supported.
+    #[error("unsupported failure domains format {0}")]
     UnknownFormat(u32),
-    /// They hold more than the bounds allow.
-    #[error("failure domains exceed their bounds")]
+    /// There are more groups or members than allowed.
+    #[error("failure domains exceed the maximum number of groups or members")]
     TooLarge,
 }
 
@@ -82,8 +82,8 @@
         if raw.format != FORMAT {
             return Err(DomainsError::UnknownFormat(raw.format));
         }
-        let wide = raw.groups.iter().any(|group| group.members.len() > MEMBERS_MAX);
-        if raw.groups.len() > GROUPS_MAX || wide {
+        let too_many_members = raw.groups.iter().any(|group| group.members.len() > MEMBERS_MAX);
+        if raw.groups.len() > GROUPS_MAX || too_many_members {
             return Err(DomainsError::TooLarge);
         }
         let burst: BTreeMap<Arc<str>, SystemTime> =
--- a/crates/fleet/src/explain.rs
+++ b/crates/fleet/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explanation of what the fleet did and of why it did nothing.
+//! Explains the decisions about an instance, pool, team or wave and why steps do not start.
 
 use std::fmt;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 use crate::wave::{WaveStatus, maintenance_refusal, status};
 use crate::{demand, repair};
 
-/// Most decisions in an explanation.
+/// Maximum number of decisions in an explanation.
 const DECISIONS_MAX: usize = 16;
 
-/// What an explanation is about.
+/// Subject of an explanation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Subject {
     /// An instance.
@@ -32,36 +32,36 @@
     Wave(WaveId),
 }
 
-/// One thing that is known about the subject.
+/// A property of the subject.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fact {
-    /// What is known.
+    /// Name of the property.
     pub name: &'static str,
-    /// Its value.
+    /// Value of the property.
     pub value: Arc<str>,
 }
 
-/// Why something does not happen now.
+/// A step that does not start now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BlockedStep {
-    /// What does not happen.
+    /// Kind of the step.
     pub step: &'static str,
-    /// The rule that decided, with its inputs.
+    /// Rule that prevents it, with its inputs.
     pub refusal: Refusal,
 }
 
-/// What is known, what was decided and what is held back.
+/// Properties of a subject, its blocked steps and the latest decisions about it.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Explanation {
-    /// What is known.
+    /// Properties of the subject.
     pub facts: Vec<Fact>,
-    /// Steps that do not start now, with the rule that decided.
+    /// Steps that do not start now.
     pub blocked_steps: Vec<BlockedStep>,
-    /// Last decisions, newest first.
+    /// Latest decisions, newest first.
     pub decisions: Vec<Decision>,
 }
 
-/// Explains `subject` by what `view` holds now and by the decisions in `history`.
+/// Explains `subject` with the current state in `view` and the decisions in `history`.
 pub fn explain(
     view: &View<'_>,
     policy: &Policy,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Progress of a maintenance wave; `None` when the configuration holds no such wave.
+/// Progress of a maintenance wave; `None` if the configuration has no such wave.
 pub fn wave_status(view: &View<'_>, policy: &Policy, wave: &WaveId) -> Option<WaveStatus> {
     let mut round = Round::new(view, policy);
     round.count_budgets();
@@ -86,7 +86,7 @@
 }
 
 impl Explanation {
-    fn fact(&mut self, name: &'static str, value: impl fmt::Display) {
+    fn add_fact(&mut self, name: &'static str, value: impl fmt::Display) {
         self.facts.push(Fact { name, value: value.to_string().into() });
     }
 }
@@ -98,13 +98,13 @@
 ) -> Result<Explanation, FleetCode> {
     let placement = round.next.placements.get(id).ok_or(FleetCode::UnknownInstance)?;
     let mut explanation = Explanation::default();
-    placement_facts(&mut explanation, placement);
+    add_placement_facts(&mut explanation, placement);
     if let Some(listed) = round.view.listed.get(id) {
-        explanation.fact("zone", &listed.zone);
-        explanation.fact("rack", &listed.rack);
-        explanation.fact("failure domain", round.view.domains.domain_of(listed));
+        explanation.add_fact("zone", &listed.zone);
+        explanation.add_fact("rack", &listed.rack);
+        explanation.add_fact("failure domain", round.view.domains.domain_of(listed));
     }
-    explanation.fact("available", round.view.available(id, placement));
+    explanation.add_fact("available", round.view.available(id, placement));
     let refusal = maintenance_refusal(round, id);
     explanation.blocked_steps.push(BlockedStep { step: "maintenance", refusal });
     let refusal = repair::check(round, id).err().unwrap_or(FleetCode::Due.into());
@@ -113,15 +113,15 @@
     Ok(explanation)
 }
 
-fn placement_facts(explanation: &mut Explanation, placement: &Placement) {
-    explanation.fact("pool", &placement.pool);
-    explanation.fact("home pool", &placement.home);
+fn add_placement_facts(explanation: &mut Explanation, placement: &Placement) {
+    explanation.add_fact("pool", &placement.pool);
+    explanation.add_fact("home pool", &placement.home);
     if let Some(step) = &placement.step {
-        explanation.fact("step", format!("{}, {}", step.kind, step.phase));
+        explanation.add_fact("step", format!("{}, {}", step.kind, step.phase));
     }
     if let Some(failure) = &placement.failure {
         let attempts = failure.attempts;
-        explanation.fact("failure", format!("{:?}, {attempts} repairs", failure.symptom));
+        explanation.add_fact("failure", format!("{:?}, {attempts} repairs", failure.symptom));
     }
 }
 
@@ -133,31 +133,32 @@
     let pool = round.view.config.pools.get(id).ok_or(FleetCode::UnknownPool)?;
     let mut explanation = Explanation::default();
     let members = round.placements().filter(|(_, placement)| placement.pool == *id);
-    explanation.fact("instances", members.count());
+    explanation.add_fact("instances", members.count());
     let home = round.placements().filter(|(_, placement)| placement.home == *id);
-    explanation.fact("instances at home here", home.count());
+    explanation.add_fact("instances at home here", home.count());
     if let Some(service) = &pool.service {
-        explanation.fact("service", service);
-        explanation.fact("instances for demand", demand::demand_instances(round.view, service));
+        explanation.add_fact("service", service);
+        explanation.add_fact("instances for demand", demand::demand_instances(round.view, service));
         if let Some(budget) = round.budgets.get(service) {
-            budget_facts(&mut explanation, round, budget);
+            add_budget_facts(&mut explanation, round, budget);
         }
     }
     explanation.decisions = history.of_pool(id, DECISIONS_MAX);
     Ok(explanation)
 }
 
-fn budget_facts(explanation: &mut Explanation, round: &Round<'_>, budget: &Budget) {
-    let (reserve, slot) = budget.reserve(&[]);
-    explanation.fact("available", budget.available);
-    explanation.fact("floor", budget.floor);
-    explanation.fact("reserve", reserve);
-    if let Some(slot) = slot {
-        explanation.fact("worst failure domain", round.budgets.index().name(slot));
+fn add_budget_facts(explanation: &mut Explanation, round: &Round<'_>, budget: &Budget) {
+    let (reserve, position) = budget.reserve(&[]);
+    explanation.add_fact("available", budget.available);
+    explanation.add_fact("floor", budget.floor);
+    explanation.add_fact("reserve", reserve);
+    if let Some(position) = position {
+        explanation.add_fact("worst failure domain", round.budgets.index().name(position));
     }
 }
 
-/// A team is served by the slots of all services; the fleet decides how many there are.
+/// Explains a team by the available slots of all services, which serve every team. Shows the latest
+/// decisions about pools with a service.
 fn explain_team(
     round: &Round<'_>,
     history: &History,
@@ -167,12 +168,12 @@
     let team = config.teams.get(id).ok_or(FleetCode::UnknownTeam)?;
     let mut explanation = Explanation::default();
     let shares: u64 = config.teams.values().map(|team| u64::from(team.share)).sum();
-    explanation.fact("share", format!("{} of {shares}", team.share));
-    explanation.fact("upper limit", team.upper_limit);
+    explanation.add_fact("share", format!("{} of {shares}", team.share));
+    explanation.add_fact("upper limit", team.upper_limit);
     for (service, budget) in round.budgets.iter() {
         let slots = config.services.get(service).map_or(0, |service| service.slots_per_instance);
         let slots = slots as usize * budget.available;
-        explanation.fact("available slots", format!("{service}: {slots}"));
+        explanation.add_fact("available slots", format!("{service}: {slots}"));
     }
     explanation.decisions = history.last(DECISIONS_MAX, |decision| {
         let pool = decision.pool.as_ref();
@@ -188,12 +189,12 @@
 ) -> Result<Explanation, FleetCode> {
     let status = status(round, id).ok_or(FleetCode::UnknownWave)?;
     let mut explanation = Explanation::default();
-    explanation.fact("instances", status.total);
-    explanation.fact("done", status.done);
-    explanation.fact("in progress", status.in_progress);
-    explanation.fact("set back", status.deferred);
-    explanation.fact("overdue", status.overdue);
-    explanation.fact("late", status.late(round.now));
+    explanation.add_fact("instances", status.total);
+    explanation.add_fact("done", status.done);
+    explanation.add_fact("in progress", status.in_progress);
+    explanation.add_fact("set back", status.deferred);
+    explanation.add_fact("overdue", status.overdue);
+    explanation.add_fact("late", status.late(round.now));
     if let Some(code) = status.paused {
         explanation.blocked_steps.push(BlockedStep { step: "wave", refusal: code.into() });
     }
--- a/crates/fleet/src/history.rs
+++ b/crates/fleet/src/history.rs
@@ -1,7 +1,7 @@
-//! The last decisions, bounded, kept in the store by segments.
+//! Bounded history of the latest decisions, stored in segments.
 //!
-//! A segment is one key that holds up to [`SEGMENT_MAX`] decisions; segments are reused in turn,
-//! so a save rewrites only the last one.
+//! A segment is one key with up to [`SEGMENT_MAX`] decisions. Segment keys are reused in rotation,
+//! and a save writes only the segments that have changed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -17,17 +17,18 @@
 
 /// Prefix of the keys of the segments.
 pub const DECISIONS_PREFIX: &str = "cassiafold/fleet-decisions/";
-/// Most decisions in a segment.
+/// Maximum number of decisions in a segment.
 pub const SEGMENT_MAX: usize = 128;
 /// Number of segments.
 pub const SEGMENTS: u64 = 16;
 
-/// The last decisions, oldest first.
+/// The latest decisions, oldest first.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     decisions: VecDeque<Decision>,
-    /// Decisions ever noted.
+    /// Number of decisions ever recorded.
     total: u64,
+    /// Value of `total` at the last save.
     saved: u64,
 }
 
@@ -41,51 +42,52 @@
     pub decisions: Vec<RawDecision>,
 }
 
-/// A segment needs no check: each decision is checked when the history is restored.
+/// A segment is its own serialized form: decisions are validated when the history is restored.
 impl Document for RawSegment {
     type Wire = Self;
 }
 
-/// Wire form of [`Decision`].
+/// Serialized form of [`Decision`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawDecision {
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the decision, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
     /// Number of the event.
     pub event: u16,
-    /// Instance.
+    /// Affected instance.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub instance: Option<Arc<str>>,
-    /// Pool.
+    /// Affected pool.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pool: Option<Arc<str>>,
-    /// Wave.
+    /// Affected wave.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub wave: Option<Arc<str>>,
-    /// Inputs.
+    /// Values that the decision is based on.
     pub inputs: Inputs,
 }
 
-/// Why a stored decision cannot be used: its event is unknown.
+/// A stored decision has an unknown event number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("unknown event {0}")]
+#[error("unknown event number {0}")]
 pub struct UnknownEvent(pub u16);
 
 impl History {
-    /// Notes decisions.
+    /// Adds decisions and drops the oldest ones beyond the limit.
     pub fn extend(&mut self, decisions: impl IntoIterator<Item = Decision>) {
         for decision in decisions {
             self.decisions.push_back(decision);
             self.total += 1;
         }
-        let bound = SEGMENT_MAX * (SEGMENTS as usize - 1);
-        while self.decisions.len() > bound {
+        let limit = SEGMENT_MAX * (SEGMENTS as usize - 1);
+        while self.decisions.len() > limit {
             self.decisions.pop_front();
         }
     }
 
-    /// Notes the start of moves in progress that no round has decided: operators have.
+    /// Adds the start of moves in progress that operators have requested. Moves that are already in
+    /// the history are skipped.
     pub fn record_operator_moves(&mut self, document: &FleetDocument) {
         for (id, placement) in &document.placements {
             let Some(step) = &placement.step else { continue };
@@ -106,32 +108,32 @@
         }
     }
 
-    /// Every decision kept, oldest first.
+    /// All decisions in the history, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Decision> {
         self.decisions.iter()
     }
 
-    /// Last `count` decisions that `predicate` picks, newest first.
+    /// Latest `count` decisions that satisfy `predicate`, newest first.
     pub fn last(&self, count: usize, predicate: impl Fn(&Decision) -> bool) -> Vec<Decision> {
         self.iter().rev().filter(|decision| predicate(decision)).take(count).cloned().collect()
     }
 
-    /// Last decisions on an instance.
+    /// Latest decisions about an instance, newest first.
     pub fn of_instance(&self, id: &InstanceId, count: usize) -> Vec<Decision> {
         self.last(count, |decision| decision.instance.as_ref() == Some(id))
     }
 
-    /// Last decisions on a pool.
+    /// Latest decisions about a pool, newest first.
     pub fn of_pool(&self, id: &PoolId, count: usize) -> Vec<Decision> {
         self.last(count, |decision| decision.pool.as_ref() == Some(id))
     }
 
-    /// Last decisions on a wave.
+    /// Latest decisions about a wave, newest first.
     pub fn of_wave(&self, id: &WaveId, count: usize) -> Vec<Decision> {
         self.last(count, |decision| decision.wave.as_ref() == Some(id))
     }
 
-    /// Segments that changed since the last call of [`History::mark_saved`], by store key.
+    /// Segments that have changed since the last call of [`History::mark_saved`], by store key.
     pub fn unsaved(&self) -> BTreeMap<String, RawSegment> {
         let per_segment = SEGMENT_MAX as u64;
         let first = self.total - self.decisions.len() as u64;
@@ -151,12 +153,12 @@
         segments.collect()
     }
 
-    /// Notes that everything up to now is stored.
+    /// Marks all current decisions as saved.
     pub fn mark_saved(&mut self) {
         self.saved = self.total;
     }
 
-    /// Reads the history that is stored.
+    /// Reads the history from the store; malformed segments are skipped.
     pub async fn load<S: Store>(store: &S) -> Result<Self, StoreError> {
         let records = store.list(DECISIONS_PREFIX).await?.records;
         let segments = records.iter().filter_map(|record| {
@@ -166,7 +168,7 @@
         Ok(Self::restore(segments.collect()))
     }
 
-    /// Restores the history from stored segments; unreadable decisions are left out.
+    /// Restores the history from stored segments; decisions with an unknown event are skipped.
     pub fn restore(mut segments: Vec<RawSegment>) -> Self {
         segments.sort_by_key(|segment| segment.number);
         let total = segments.last().map_or(0, |segment| {
--- a/crates/fleet/src/operator.rs
+++ b/crates/fleet/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask of the fleet.
+//! Moves of instances requested by operators.
 
 use cassiafold_config::{InstanceId, PoolId};
 use cassiafold_platform::{Store, UpdateOutcome, Writer, update};
@@ -12,7 +12,7 @@
 use crate::policy::Policy;
 use crate::view::View;
 
-/// Plans the move of one instance to `pool` for good: drain, reassign, admit. Refused where the
+/// Plans a permanent move of one instance to `pool`, which starts with a drain. Fails if the
 /// availability budget does not allow it.
 pub fn plan_move(
     view: &View<'_>,
@@ -42,8 +42,8 @@
     Ok(round.into_plan())
 }
 
-/// Starts the move of one instance by compare-and-swap of the stored document. `view` gives
-/// everything but the document, which is read from the store.
+/// Starts a permanent move of one instance by compare-and-swap of the stored document. The document
+/// is read from the store; the one in `view` is ignored.
 pub async fn move_instance<S: Store>(
     store: &S,
     writer: &Writer,
--- a/crates/fleet/src/repair.rs
+++ b/crates/fleet/src/repair.rs
@@ -97,19 +97,19 @@
     let Some(spare) = spare_pool(round.view.config).filter(|spare| *spare != home).cloned() else {
         return false;
     };
-    let Some(substitute) = choose_spare(round, &spare, home) else {
+    let Some(replacement) = choose_spare(round, &spare, home) else {
         return false;
     };
-    let Some(placement) = round.next.placements.get_mut(&substitute) else {
+    let Some(placement) = round.next.placements.get_mut(&replacement) else {
         return false;
     };
     placement.home = home.clone();
     placement.pool = home.clone();
     if let Some(service) = round.view.config.service_of_pool(home) {
-        round.budgets.add(service, &substitute);
+        round.budgets.add(service, &replacement);
     }
     round.record(FleetEvent::InstanceReplaced, id, home, Inputs::None);
-    round.record(FleetEvent::InstanceAssigned, &substitute, home, Inputs::None);
+    round.record(FleetEvent::InstanceAssigned, &replacement, home, Inputs::None);
     round.start_step(id, StepKind::Move { to: spare, permanent: true });
     true
 }
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -1,4 +1,4 @@
-//! One static HTML page of pools, budgets, waves, moves and suspected failure domains over time.
+//! Static HTML report of pools, budgets, waves, moves and suspected failure domains over time.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,16 +12,16 @@
 
 mod chart;
 
-/// Most decisions in the table.
+/// Maximum number of decisions in the table.
 const DECISIONS_MAX: usize = 100;
 
-/// Writes the page.
+/// Renders the report as an HTML page.
 pub fn report(
     timeline: &Timeline,
     domains: &LearnedDomains,
     history: &History,
 ) -> Result<String, ChartError> {
-    let mut page = String::from(HEAD);
+    let mut page = String::from(PAGE_HEAD);
     for chart in charts(timeline) {
         let title = escape(chart.title);
         let _ = write!(page, "<section><h2>{title}</h2>{}</section>", chart.svg()?);
@@ -32,7 +32,7 @@
     Ok(page)
 }
 
-const HEAD: &str = "<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\">\
+const PAGE_HEAD: &str = "<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\">\
 <title>cassiafold fleet</title><style>body{font-family:sans-serif;margin:2em}\
 table{border-collapse:collapse}td,th{border:1px solid #bbb;padding:2px 8px;text-align:left}\
 </style></head><body><h1>Fleet</h1>\n";
@@ -67,7 +67,7 @@
     counts.map(|(name, count)| (name.into(), f64::from(count))).into()
 }
 
-/// One line for each id, over hours before the last sample.
+/// One line for each id; x is the time relative to the last sample, in hours (zero or negative).
 fn lines(timeline: &Timeline, values: impl Fn(&Sample) -> BTreeMap<Arc<str>, f64>) -> Vec<Line> {
     let last_s = timeline.samples.back().map_or(0, |sample| sample.at_unix_s);
     let mut lines: BTreeMap<Arc<str>, Vec<(f64, f64)>> = BTreeMap::new();
--- a/crates/fleet/src/report/chart.rs
+++ b/crates/fleet/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! A line chart as SVG.
+//! Line charts in SVG.
 
 use std::sync::Arc;
 
@@ -13,20 +13,20 @@
 const SIZE_PX: (u32, u32) = (900, 320);
 const MARGIN_PX: u32 = 10;
 const LABELS_PX: u32 = 40;
-/// Most lines that are named; more would cover the chart.
-const NAMED_MAX: usize = 16;
+/// Maximum number of lines in the legend; more would cover the chart.
+const LEGEND_LINES_MAX: usize = 16;
 
-/// A chart cannot be drawn.
+/// Error while drawing a chart.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("chart cannot be drawn: {0}")]
+#[error("failed to draw the chart: {0}")]
 pub struct ChartError(Arc<str>);
 
 /// One line of a chart.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
-    /// What the line shows.
+    /// Name of the line in the legend.
     pub name: Arc<str>,
-    /// Hours before the last sample, and value.
+    /// Points: time relative to the last sample in hours, and value.
     pub points: Vec<(f64, f64)>,
 }
 
@@ -39,12 +39,12 @@
 }
 
 impl Chart {
-    /// A chart of `lines`.
+    /// Creates a chart of `lines`.
     pub fn new(title: &'static str, lines: Vec<Line>) -> Self {
         Self { title, lines }
     }
 
-    /// The chart as SVG.
+    /// Renders the chart as SVG.
     pub fn svg(&self) -> Result<String, ChartError> {
         let mut svg = String::new();
         let area = SVGBackend::with_string(&mut svg, SIZE_PX).into_drawing_area();
@@ -72,7 +72,7 @@
             let color = Palette99::pick(index).mix(0.9);
             let series = LineSeries::new(line.points.iter().copied(), color);
             let drawn = chart.draw_series(series).map_err(|error| text(&error))?;
-            if index < NAMED_MAX {
+            if index < LEGEND_LINES_MAX {
                 drawn
                     .label(&*line.name)
                     .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 15, y)], color));
--- a/crates/fleet/src/timeline.rs
+++ b/crates/fleet/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Samples of the fleet over time, bounded, for the report.
+//! Bounded series of samples of the fleet for the report.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -20,16 +20,16 @@
 
 /// Key of the samples in the key-value service.
 pub const TIMELINE_KEY: &str = "cassiafold/fleet-timeline";
-/// Time between two samples.
+/// Interval of the samples.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_secs(600);
-/// Most samples kept: two days.
+/// Maximum number of samples: two days.
 pub const SAMPLES_MAX: usize = 288;
 
-/// Samples, oldest first. It is its own wire type: it holds counts only.
+/// Series of samples.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Timeline {
-    /// The samples.
+    /// Samples, oldest first.
     pub samples: VecDeque<Sample>,
 }
 
@@ -39,29 +39,29 @@
 pub struct Sample {
     /// Start of the interval, in seconds since the Unix epoch.
     pub at_unix_s: u64,
-    /// Each service with its lowest margin in the interval.
+    /// Each service at its lowest margin in the interval.
     pub services: BTreeMap<Arc<str>, ServiceSample>,
-    /// Instances in each pool.
+    /// Instances in each pool at the end of the interval.
     pub pools: BTreeMap<Arc<str>, u32>,
-    /// Instances maintained so far in each wave.
+    /// Instances already maintained in each wave at the end of the interval.
     pub waves: BTreeMap<Arc<str>, u32>,
     /// Moves and assignments in the interval.
     pub moves: u32,
-    /// Instances under maintenance.
+    /// Maximum number of instances under maintenance in the interval.
     pub maintaining: u32,
-    /// Failing instances.
+    /// Maximum number of failing instances in the interval.
     pub failing: u32,
-    /// Members of each suspected failure domain.
+    /// Members of each suspected failure domain at the end of the interval.
     pub suspected: BTreeMap<Arc<str>, u32>,
 }
 
-/// Lowest margin of one service in an interval.
+/// State of a service at its lowest margin in an interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSample {
     /// Available instances.
     pub available: u32,
-    /// Lowest number of available instances.
+    /// Minimum number of available instances that the budget requires.
     pub floor: u32,
 }
 
@@ -75,7 +75,7 @@
     type Wire = RawTimeline;
 }
 
-/// Wire form of [`Timeline`].
+/// Serialized form of [`Timeline`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RawTimeline(Timeline);
 
@@ -96,32 +96,33 @@
 }
 
 impl Timeline {
-    /// Reads the samples that are stored.
+    /// Reads the samples from the store.
     pub async fn load<S: Store>(store: &S) -> Result<Self, StoreError> {
         Ok(read(store, TIMELINE_KEY).await?.unwrap_or_default())
     }
 
-    /// Takes a planning round in. Returns whether a new interval began.
+    /// Adds a planning round to the current interval, or starts a new one. Returns whether a new
+    /// interval started.
     pub fn record_round(&mut self, view: &View<'_>, policy: &Policy, plan: &Plan) -> bool {
-        let sample = Sample::of(view, policy, plan);
+        let sample = Sample::from_round(view, policy, plan);
         let now = unix_s(view.now);
-        let begins = self
+        let starts_interval = self
             .samples
             .back()
             .is_none_or(|last| now >= last.at_unix_s + SAMPLE_INTERVAL.as_secs());
-        match self.samples.back_mut().filter(|_| !begins) {
+        match self.samples.back_mut().filter(|_| !starts_interval) {
             Some(last) => last.merge(sample),
             None => self.samples.push_back(sample),
         }
         while self.samples.len() > SAMPLES_MAX {
             self.samples.pop_front();
         }
-        begins
+        starts_interval
     }
 }
 
 impl Sample {
-    fn of(view: &View<'_>, policy: &Policy, plan: &Plan) -> Self {
+    fn from_round(view: &View<'_>, policy: &Policy, plan: &Plan) -> Self {
         let mut sample = Self { at_unix_s: unix_s(view.now), ..Self::default() };
         let index = DomainIndex::new(view.listed, view.domains);
         for (id, budget) in Budgets::new(view, &plan.next, index).iter() {
@@ -145,7 +146,7 @@
         sample
     }
 
-    /// Takes in a later round of the same interval.
+    /// Merges a later round of the same interval.
     fn merge(&mut self, later: Self) {
         for (id, service) in later.services {
             let known = self.services.entry(id).or_insert(service);
--- a/crates/fleet/src/wave.rs
+++ b/crates/fleet/src/wave.rs
@@ -1,7 +1,7 @@
-//! Maintenance waves: order, pauses and the rule for each instance.
+//! Maintenance waves: order, pauses and the checks for each instance.
 //!
-//! A wave takes its zones in order, and within a zone goes by failure domain, so that the
-//! instances that are down share as few domains with the rest as possible.
+//! A wave maintains its zones one after another. Within a zone it goes by failure domain, so that
+//! the instances under maintenance share as few domains as possible with the remaining ones.
 
 use std::time::SystemTime;
 
@@ -34,17 +34,17 @@
             continue;
         };
         for instance in candidates(round, wave, zone) {
-            if parallel_limit(round) {
+            if parallel_limit_reached(round) {
                 return;
             }
             if check_instance(round, &instance).is_ok() {
-                maintain(round, id, &instance);
+                start_maintenance(round, id, &instance);
             }
         }
     }
 }
 
-fn maintain(round: &mut Round<'_>, wave: &WaveId, id: &InstanceId) {
+fn start_maintenance(round: &mut Round<'_>, wave: &WaveId, id: &InstanceId) {
     let Some(placement) = round.next.placements.get(id) else {
         return;
     };
@@ -60,16 +60,16 @@
         return Inputs::None;
     };
     let index = round.budgets.index();
-    let (reserve, slot) = budget.reserve(index.of(id));
+    let (reserve, position) = budget.reserve(index.of(id));
     Inputs::Budget {
         available: budget.available,
         floor: budget.floor,
         reserve,
-        domain: slot.map(|slot| index.name(slot).clone()),
+        domain: position.map(|position| index.name(position).clone()),
     }
 }
 
-/// Whether a wave covers an instance: by zone, and by home pool.
+/// Whether a wave covers an instance, by its zone and home pool.
 pub(crate) fn covers(
     round: &Round<'_>,
     wave: &Wave,
@@ -86,7 +86,7 @@
     placement.maintained_at.is_some_and(|time| time >= wave.start)
 }
 
-/// Rule that holds back the whole wave, if any.
+/// Reason why the whole wave is paused, if any.
 pub(crate) fn pause_reason(round: &Round<'_>, wave: &Wave) -> Option<FleetCode> {
     if round.now < wave.start {
         return Some(FleetCode::WaveNotStarted);
@@ -100,15 +100,15 @@
     if recent_failures(round) >= pause_limit(round) {
         return Some(FleetCode::PausedByFailures);
     }
-    let lost = |placement: &&Placement| {
+    let not_returned = |placement: &&Placement| {
         let failure = placement.failure.as_ref();
         failure.is_some_and(|failure| {
             failure.symptom == Symptom::NotReturned
                 && failure.attempts < round.policy.repair_attempts_max
         })
     };
-    let lost = round.next.placements.values().filter(lost).count();
-    (lost >= round.policy.wave_failures_max).then_some(FleetCode::PausedByWave)
+    let not_returned = round.next.placements.values().filter(not_returned).count();
+    (not_returned >= round.policy.wave_failures_max).then_some(FleetCode::PausedByWave)
 }
 
 fn pause_limit(round: &Round<'_>) -> usize {
@@ -126,26 +126,26 @@
     round.next.placements.values().filter(recent).count()
 }
 
-/// First zone in the wave's order that still holds an instance to maintain or under maintenance.
-/// Instances that cannot be maintained now hold nothing up.
+/// First zone in the wave's order with an instance that is under maintenance or still to be
+/// maintained. Instances that cannot be maintained now do not block later zones.
 pub(crate) fn active_zone<'a>(round: &Round<'a>, wave: &'a Wave) -> Option<&'a ZoneId> {
-    let holds = |zone: &ZoneId| {
+    let blocks = |zone: &ZoneId| {
         round.placements().any(|(id, placement)| {
             round.view.listed.get(id).is_some_and(|listed| listed.zone == *zone)
                 && covers(round, wave, id, placement)
                 && !is_done(wave, placement)
-                && holds_up(round, id, placement)
+                && blocks_zone(round, id, placement)
         })
     };
-    wave.zones.iter().find(|zone| holds(zone))
+    wave.zones.iter().find(|zone| blocks(zone))
 }
 
-fn holds_up(round: &Round<'_>, id: &InstanceId, placement: &Placement) -> bool {
-    let later = placement.not_before.is_some_and(|time| time > round.now);
-    placement.step.is_some() || (round.view.healthy(id, placement) && !later)
+fn blocks_zone(round: &Round<'_>, id: &InstanceId, placement: &Placement) -> bool {
+    let in_backoff = placement.not_before.is_some_and(|time| time > round.now);
+    placement.step.is_some() || (round.view.healthy(id, placement) && !in_backoff)
 }
 
-/// Instances of `zone` still to be maintained, by failure domain.
+/// Instances of `zone` still to be maintained, in order of their failure domains.
 fn candidates(round: &Round<'_>, wave: &Wave, zone: &ZoneId) -> Vec<InstanceId> {
     let waiting = round.placements().filter(|(id, placement)| {
         round.view.listed.get(*id).is_some_and(|listed| listed.zone == *zone)
@@ -154,23 +154,23 @@
             && placement.step.is_none()
     });
     let mut waiting: Vec<(DomainId, InstanceId)> =
-        waiting.map(|(id, _)| (domain(round, id), id.clone())).collect();
+        waiting.map(|(id, _)| (primary_domain(round, id), id.clone())).collect();
     waiting.sort();
     waiting.into_iter().map(|(_, id)| id).collect()
 }
 
-/// The learned domain of an instance where there is one, else its rack.
-fn domain(round: &Round<'_>, id: &InstanceId) -> DomainId {
+/// Learned domain of an instance, or its rack if there is none.
+fn primary_domain(round: &Round<'_>, id: &InstanceId) -> DomainId {
     let index = round.budgets.index();
-    index.of(id).last().map_or_else(|| "".into(), |slot| index.name(*slot).clone())
+    index.of(id).last().map_or_else(|| "".into(), |position| index.name(*position).clone())
 }
 
-fn parallel_limit(round: &Round<'_>) -> bool {
+fn parallel_limit_reached(round: &Round<'_>) -> bool {
     let limit = limit_for_share(round.policy.maintenance_share_max, round.next.placements.len());
     round.steps(|step| matches!(step.kind, StepKind::Maintain { .. })) >= limit
 }
 
-/// Whether maintenance of one instance may start now, apart from its wave.
+/// Checks whether maintenance of one instance may start now, regardless of the state of its wave.
 fn check_instance(round: &Round<'_>, id: &InstanceId) -> Result<(), Refusal> {
     let placement = round.next.placements.get(id).ok_or(FleetCode::UnknownInstance)?;
     let listed = round.view.listed.get(id).ok_or(FleetCode::NotListed)?;
@@ -223,7 +223,7 @@
     Ok(())
 }
 
-/// Why maintenance of `id` does not start now; [`FleetCode::Due`] when nothing holds it back.
+/// Reason why maintenance of `id` does not start now; [`FleetCode::Due`] if it can start.
 pub(crate) fn maintenance_refusal(round: &Round<'_>, id: &InstanceId) -> Refusal {
     let Some(placement) = round.next.placements.get(id) else {
         return FleetCode::UnknownInstance.into();
@@ -247,11 +247,12 @@
     if active_zone(round, wave) != zone {
         return FleetCode::EarlierZone.into();
     }
-    let code = if parallel_limit(round) { FleetCode::ParallelLimit } else { FleetCode::Due };
+    let code =
+        if parallel_limit_reached(round) { FleetCode::ParallelLimit } else { FleetCode::Due };
     code.into()
 }
 
-/// Whether the instance was last maintained longer ago than the period allows.
+/// Whether the last maintenance of the instance is longer ago than the maintenance period.
 pub(crate) fn overdue(round: &Round<'_>, placement: &Placement) -> bool {
     let since = placement.maintained_at.unwrap_or(SystemTime::UNIX_EPOCH);
     let age = round.now.duration_since(since).unwrap_or_default();
--- a/crates/fleet/src/wave/blackout.rs
+++ b/crates/fleet/src/wave/blackout.rs
@@ -6,10 +6,10 @@
 
 const HOUR_S: u64 = 3_600;
 const HOURS_PER_DAY: u64 = 24;
-/// The Unix epoch was a Thursday; Monday is 0.
+/// Weekday of the Unix epoch, a Thursday; Monday is 0.
 const EPOCH_WEEKDAY: u64 = 3;
 
-/// Whether `time` lies in blackout hours of the wave.
+/// Whether `time` is in the blackout hours of the wave.
 pub fn in_blackout(wave: &Wave, time: SystemTime) -> bool {
     let hours = time.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs() / HOUR_S;
     let weekday = (hours / HOURS_PER_DAY + EPOCH_WEEKDAY) % 7;
@@ -20,37 +20,38 @@
     })
 }
 
-/// Time outside blackout hours from `from` to `to`.
+/// Total time outside blackout hours between `from` and `to`.
 pub fn time_outside_blackouts(wave: &Wave, from: SystemTime, to: SystemTime) -> Duration {
-    let mut open = Duration::ZERO;
+    let mut total = Duration::ZERO;
     let mut time = from;
     while time < to {
         let end = next_hour(time).min(to);
         if !in_blackout(wave, time) {
-            open += end.duration_since(time).unwrap_or_default();
+            total += end.duration_since(time).unwrap_or_default();
         }
         time = end;
     }
-    open
+    total
 }
 
-/// When `work` outside blackout hours, begun at `from`, ends; `None` beyond `limit`.
+/// End of `work` that starts at `from` and continues only outside blackout hours; `None` if it
+/// takes longer than `limit`, blackout hours included.
 pub fn completion_time(
     wave: &Wave,
     from: SystemTime,
     work: Duration,
     limit: Duration,
 ) -> Option<SystemTime> {
-    let mut left = work;
+    let mut remaining = work;
     let mut time = from;
     while time.duration_since(from).unwrap_or_default() < limit {
         let end = next_hour(time);
         let span = end.duration_since(time).unwrap_or_default();
         if !in_blackout(wave, time) {
-            if left <= span {
-                return Some(time + left);
+            if remaining <= span {
+                return Some(time + remaining);
             }
-            left -= span;
+            remaining -= span;
         }
         time = end;
     }
