--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -65,8 +65,8 @@
         self.home.saturating_sub(self.floor + 1)
     }
 
-    /// Reserve for a failure of the worst domain after an instance in the domains `excluded` is taken
-    /// out of service, and that domain.
+    /// Reserve for a failure of the worst domain once an instance in the domains `excluded` is out
+    /// of service, and that domain.
     pub fn reserve(&self, excluded: &[DomainPosition]) -> (usize, Option<DomainPosition>) {
         let remaining = self
             .domains
@@ -105,7 +105,7 @@
                 continue;
             }
             if let Some(budget) = view.service_of(placement).and_then(|id| services.get_mut(id)) {
-                budget.add(index.of(id));
+                budget.add(index.positions(id));
             }
         }
         for (id, service) in &view.config.services {
@@ -136,7 +136,7 @@
         let Some(budget) = self.services.get(service) else {
             return Ok(());
         };
-        let positions = self.index.of(id);
+        let positions = self.index.positions(id);
         if budget.allows(positions) {
             return Ok(());
         }
@@ -146,13 +146,13 @@
             available: budget.available,
             floor: budget.floor,
             reserve,
-            domain: position.map(|position| self.index.name(position).clone()),
+            domain: position.map(|position| self.index.domain_id(position).clone()),
         })
     }
 
     /// Subtracts an available instance from `service`.
     pub fn remove(&mut self, service: &ServiceId, id: &InstanceId) {
-        let positions = self.index.of(id);
+        let positions = self.index.positions(id);
         if let Some(budget) = self.services.get_mut(service) {
             budget.remove(positions);
         }
@@ -160,7 +160,7 @@
 
     /// Adds an available instance to `service`.
     pub fn add(&mut self, service: &ServiceId, id: &InstanceId) {
-        let positions = self.index.of(id);
+        let positions = self.index.positions(id);
         if let Some(budget) = self.services.get_mut(service) {
             budget.add(positions);
         }
@@ -171,7 +171,8 @@
         let Some(budget) = self.services.get(service) else {
             return 0;
         };
-        let counts = self.index.of(id).iter().filter_map(|position| budget.domains.get(position));
+        let counts =
+            self.index.positions(id).iter().filter_map(|position| budget.domains.get(position));
         counts.copied().max().unwrap_or(0)
     }
 }
--- a/crates/fleet/src/controller/persistence.rs
+++ b/crates/fleet/src/controller/persistence.rs
@@ -126,8 +126,8 @@
         self.log_and_record(newly_paused.chain(resumed).collect::<Vec<_>>());
     }
 
-    /// Saves changed state as long as `holds_control` returns true. A save that fails is repeated in
-    /// a later round.
+    /// Saves changed state as long as `holds_control` returns true. A failed save is repeated in a
+    /// later round.
     pub(super) async fn save<S: Store>(
         &mut self,
         store: &S,
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether the demand or the floor is not covered, rather than only the reserve.
-    fn is_urgent(&self) -> bool {
+    fn urgent(&self) -> bool {
         self.available < self.demand.max(self.floor)
     }
 
@@ -92,8 +92,7 @@
     update_trends(round, &needs);
     let mut short: Vec<(&ServiceId, &Need)> =
         needs.iter().filter(|(_, need)| need.shortfall() > 0).collect();
-    short
-        .sort_by_key(|(_, need)| (need.available >= need.floor, !need.is_urgent(), need.available));
+    short.sort_by_key(|(_, need)| (need.available >= need.floor, !need.urgent(), need.available));
     let mut spares = IdleSpares::new(round);
     let movable = MovableInstances::new(round);
     let sources = Sources { needs: &needs, movable: &movable };
@@ -163,7 +162,7 @@
     }
 
     /// Removes the instance that shares a failure domain with the fewest instances of the service,
-    /// unless only `kept` instances are remaining.
+    /// unless only `kept` instances are left.
     fn take_best(
         &mut self,
         round: &Round<'_>,
@@ -207,7 +206,7 @@
     spares: &mut IdleSpares,
 ) {
     let since = round.trends.short_since.get(service);
-    if !need.is_urgent() && !has_lasted(round, since, round.policy.return_after) {
+    if !need.urgent() && !has_lasted(round, since, round.policy.return_after) {
         return;
     }
     let donate = need.below_floor() || has_lasted(round, since, round.policy.reassign_after);
--- a/crates/fleet/src/domain.rs
+++ b/crates/fleet/src/domain.rs
@@ -136,7 +136,7 @@
         self.groups.is_empty()
     }
 
-    /// Suspected domain of an instance with the highest score, or its declared rack if there is none.
+    /// Suspected domain of an instance with the highest score, or its declared rack if it has none.
     pub fn domain_of(&self, listed: &ListedInstance) -> DomainId {
         let groups = self.suspected().filter(|group| group.members.contains_key(&listed.id));
         let best = groups.max_by(|a, b| a.score_nats.total_cmp(&b.score_nats));
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Updates the rate of independent failures, an exponential moving average; a burst counts once.
+    /// Updates the moving average of the rate of independent failures; a burst counts once.
     fn update_rate(&mut self, now: SystemTime) {
         let elapsed_s = now.duration_since(self.rate_updated_at).unwrap_or_default().as_secs_f64();
         let tau_s = RATE_HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
--- a/crates/fleet/src/domain/index.rs
+++ b/crates/fleet/src/domain/index.rs
@@ -13,7 +13,7 @@
 /// Failure domains of each listed instance: its declared rack, then its suspected groups.
 #[derive(Debug, Clone, Default)]
 pub struct DomainIndex {
-    names: Vec<DomainId>,
+    domain_ids: Vec<DomainId>,
     positions: HashMap<InstanceId, Vec<DomainPosition>>,
 }
 
@@ -24,14 +24,14 @@
         let mut racks = HashMap::new();
         for (id, instance) in listed {
             let position = *racks.entry((&instance.zone, &instance.rack)).or_insert_with(|| {
-                index.names.push(rack_domain(&instance.zone, &instance.rack));
-                index.names.len() - 1
+                index.domain_ids.push(rack_domain(&instance.zone, &instance.rack));
+                index.domain_ids.len() - 1
             });
             index.positions.insert(id.clone(), vec![position]);
         }
         for group in domains.suspected() {
-            let position = index.names.len();
-            index.names.push(group.domain_id());
+            let position = index.domain_ids.len();
+            index.domain_ids.push(group.domain_id());
             for id in group.members.keys() {
                 if let Some(positions) = index.positions.get_mut(id) {
                     positions.push(position);
@@ -42,22 +42,22 @@
     }
 
     /// Domains of an instance; empty if it is not listed.
-    pub fn of(&self, id: &InstanceId) -> &[DomainPosition] {
+    pub fn positions(&self, id: &InstanceId) -> &[DomainPosition] {
         self.positions.get(id).map_or(&[], Vec::as_slice)
     }
 
     /// Identifier of a domain.
-    pub fn name(&self, position: DomainPosition) -> &DomainId {
-        &self.names[position]
+    pub fn domain_id(&self, position: DomainPosition) -> &DomainId {
+        &self.domain_ids[position]
     }
 
     /// Number of domains.
     pub fn len(&self) -> usize {
-        self.names.len()
+        self.domain_ids.len()
     }
 
     /// Whether there are no domains.
     pub fn is_empty(&self) -> bool {
-        self.names.is_empty()
+        self.domain_ids.is_empty()
     }
 }
--- a/crates/fleet/src/explain.rs
+++ b/crates/fleet/src/explain.rs
@@ -153,7 +153,7 @@
     explanation.add_fact("floor", budget.floor);
     explanation.add_fact("reserve", reserve);
     if let Some(position) = position {
-        explanation.add_fact("worst failure domain", round.budgets.index().name(position));
+        explanation.add_fact("worst failure domain", round.budgets.index().domain_id(position));
     }
 }
 
--- a/crates/fleet/src/policy.rs
+++ b/crates/fleet/src/policy.rs
@@ -49,7 +49,8 @@
     /// How long a service must be short of instances before other services give up instances from
     /// their home pools.
     pub reassign_after: Duration,
-    /// How long a service must have a surplus before it returns borrowed instances.
+    /// How long a service must have a surplus before it returns borrowed instances, and how long a
+    /// shortage of reserve instances only must last before it is filled.
     pub return_after: Duration,
     /// Factor on the demand for a service; instances beyond it are surplus.
     pub surplus_factor: f64,
--- a/crates/fleet/src/wave.rs
+++ b/crates/fleet/src/wave.rs
@@ -60,12 +60,12 @@
         return Inputs::None;
     };
     let index = round.budgets.index();
-    let (reserve, position) = budget.reserve(index.of(id));
+    let (reserve, position) = budget.reserve(index.positions(id));
     Inputs::Budget {
         available: budget.available,
         floor: budget.floor,
         reserve,
-        domain: position.map(|position| index.name(position).clone()),
+        domain: position.map(|position| index.domain_id(position).clone()),
     }
 }
 
@@ -162,7 +162,10 @@
 /// Learned domain of an instance, or its rack if there is none.
 fn primary_domain(round: &Round<'_>, id: &InstanceId) -> DomainId {
     let index = round.budgets.index();
-    index.of(id).last().map_or_else(|| "".into(), |position| index.name(*position).clone())
+    index
+        .positions(id)
+        .last()
+        .map_or_else(|| "".into(), |position| index.domain_id(*position).clone())
 }
 
 fn parallel_limit_reached(round: &Round<'_>) -> bool {
@@ -212,12 +215,12 @@
 
 fn check_spare(round: &Round<'_>, placement: &Placement) -> Result<(), Refusal> {
     let members = round.placements().filter(|(_, other)| other.pool == placement.pool);
-    let (mut total, mut stepping) = (0, 0);
+    let (mut total, mut in_progress) = (0, 0);
     for (_, other) in members {
         total += 1;
-        stepping += usize::from(other.step.is_some());
+        in_progress += usize::from(other.step.is_some());
     }
-    if stepping >= limit_for_share(round.policy.spare_share_max, total) {
+    if in_progress >= limit_for_share(round.policy.spare_share_max, total) {
         return Err(FleetCode::ParallelLimit.into());
     }
     Ok(())
--- a/crates/fleet/src/wave/status.rs
+++ b/crates/fleet/src/wave/status.rs
@@ -9,7 +9,7 @@
 use crate::wave::blackout::{completion_time, time_outside_blackouts};
 use crate::wave::{covers, is_done, overdue, pause_reason};
 
-/// Limit of the forecast: a in_backoff expected end is not computed.
+/// Limit of the forecast: a later expected end is not computed.
 const FORECAST_MAX: Duration = Duration::from_secs(90 * 86_400);
 
 /// Progress of a maintenance wave.
