--- a/crates/event/src/event.rs
+++ b/crates/event/src/event.rs
@@ -49,6 +49,16 @@
 /// `emit!(DispatchEvent::InstanceEjected, instance = id, failures = count)`
 #[macro_export]
 macro_rules! emit {
+    (target: $target:expr, $event:expr $(, $key:ident = $value:expr)* $(,)?) => {{
+        let row = $event.row();
+        $crate::log::log!(
+            target: $target,
+            row.level,
+            event = row.number $(, $key:% = $value)*;
+            "{}",
+            row.message
+        );
+    }};
     ($event:expr $(, $key:ident = $value:expr)* $(,)?) => {{
         let row = $event.row();
         $crate::log::log!(
--- a/crates/fleet/src/controller/persistence.rs
+++ b/crates/fleet/src/controller/persistence.rs
@@ -26,6 +26,8 @@
 const SAVE_INTERVAL: Duration = Duration::from_secs(30);
 /// Timeout for one save.
 const SAVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Log target of this module, which operators' filters name.
+const LOG_TARGET: &str = "cassiafold_fleet::controller::keep";
 
 /// Learned failure domains, recent decisions and samples.
 #[derive(Debug, Default)]
@@ -185,7 +187,7 @@
     match Envelope::<T>::decode(&record.value) {
         Ok(envelope) => Ok(Some(envelope.value)),
         Err(error) => {
-            emit!(FleetEvent::DocumentRefused, key = key, error = error);
+            emit!(target: LOG_TARGET, FleetEvent::DocumentRefused, key = key, error = error);
             Ok(None)
         }
     }
@@ -208,7 +210,7 @@
             false
         }
         UpdateOutcome::NotApplied(_) | UpdateOutcome::StillUnknown { .. } => {
-            emit!(FleetEvent::StoreFailed, key = key);
+            emit!(target: LOG_TARGET, FleetEvent::StoreFailed, key = key);
             false
         }
     }
