--- a/crates/fleet/src/budget/tests.rs
+++ b/crates/fleet/src/budget/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn failed_and_zoned_out_instances_do_not_count_as_available() {
+fn failing_instances_and_zones_out_of_service_are_not_available() {
     let mut fixture = Fixture::new(&SMALL);
     assert_eq!((budget(&fixture).available, budget(&fixture).floor), (9, 5));
     fixture.fail("s0-0", Symptom::Unreachable);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn floor_counts_home_instances_wherever_they_are() {
+fn floor_counts_instances_by_home_pool() {
     let mut fixture = Fixture::new(&SMALL);
     for id in ["s0-0", "s0-1", "s0-2"] {
         fixture.document.placements.get_mut(id).expect("placed").pool = "s1".into();
@@ -38,7 +38,7 @@
 }
 
 /// Tries the failure of each domain in turn on a list of the domains of available instances.
-fn naive_allows(available: &[Vec<usize>], taken: usize, floor: usize, home: usize) -> bool {
+fn brute_force_allows(available: &[Vec<usize>], taken: usize, floor: usize, home: usize) -> bool {
     let rest: Vec<&Vec<usize>> =
         available.iter().enumerate().filter(|(at, _)| *at != taken).map(|(_, it)| it).collect();
     let lost = |domain: usize| rest.iter().filter(|slots| slots.contains(&domain)).count();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn check_agrees_with_trying_each_domain() {
+fn check_matches_brute_force_over_domains() {
     let slots = prop::collection::btree_set(0_usize..8, 1..3);
     let members = prop::collection::vec(slots, 1..14);
     let strategy = (members, 0_usize..14, 0_usize..4);
@@ -70,7 +70,7 @@
         let mut budget = Budget { home, floor, ..Budget::default() };
         members.iter().for_each(|slots| budget.add(slots));
         for (at, slots) in members.iter().enumerate() {
-            assert_eq!(budget.allows(slots), naive_allows(&members, at, floor, home));
+            assert_eq!(budget.allows(slots), brute_force_allows(&members, at, floor, home));
         }
         Ok(())
     });
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn taking_and_giving_back_leaves_the_budget_as_it_was() {
+fn removing_and_adding_an_instance_restores_the_budget() {
     let fixture = Fixture::new(&SMALL);
     let mut budgets = budgets(&fixture);
     let before: BTreeMap<_, _> = budgets.iter().map(|(id, b)| (id.clone(), b.clone())).collect();
--- a/crates/fleet/src/controller/tests.rs
+++ b/crates/fleet/src/controller/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn outage_starts_no_step_and_steps_under_way_end_after_it() {
+async fn store_outage_starts_no_step_and_steps_in_progress_complete_afterwards() {
     let mut race = Race::new();
     for _ in 0..3 {
         race.first.round().await;
@@ -54,19 +54,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn next_controller_goes_on_with_steps_evidence_and_history() {
+async fn next_controller_continues_with_steps_evidence_and_history() {
     let mut race = Race::new();
     race.first.round().await;
     let feed: BTreeSet<std::sync::Arc<str>> = ["s0-0", "s0-6", "s1-3"].map(Into::into).into();
-    race.change(|world| {
-        world.failing.extend(feed.clone());
-        world.failing.insert("s0-1".into());
+    race.change(|conditions| {
+        conditions.failing.extend(feed.clone());
+        conditions.failing.insert("s0-1".into());
     });
     for _ in 0..60 {
         race.wait(Duration::from_secs(1)).await;
         race.first.round().await;
     }
-    race.change(|world| world.failing.clear());
+    race.change(|conditions| conditions.failing.clear());
     let started = document(&race);
     for _ in 0..200 {
         race.wait(Duration::from_secs(20)).await;
--- a/crates/fleet/src/demand/tests.rs
+++ b/crates/fleet/src/demand/tests.rs
@@ -24,28 +24,28 @@
 }
 
 #[test]
-fn demand_leaves_the_last_spare_instance_to_the_budgets() {
+fn demand_leaves_reserved_spare_instances_to_the_budgets() {
     let mut fixture = Fixture::new(&SMALL);
     fixture.demand("s0", 40 * SLOTS);
     fixture.round();
     assert_eq!(size(&fixture, "spare"), 1);
     let floor = cassiafold_config::Floor::Count(10);
     fixture.config.services.get_mut("s1").expect("the service exists").floor = floor;
-    fixture.after(SECOND);
+    fixture.round_after(SECOND);
     assert_eq!((size(&fixture, "s1"), size(&fixture, "spare")), (10, 0));
 }
 
 #[test]
-fn donor_gives_only_after_the_shortage_lasted_and_keeps_its_budget() {
+fn donor_gives_instances_only_in_a_lasting_shortage_and_within_its_budget() {
     let mut fixture = Fixture::new(&SMALL);
     fixture.demand("s0", 40 * SLOTS);
     let plan = fixture.round();
     assert_eq!(count(&plan, FleetEvent::MoveStarted), 0);
-    let plan = fixture.after(2 * SECOND);
+    let plan = fixture.round_after(2 * SECOND);
     let started = count(&plan, FleetEvent::MoveStarted);
     assert!(started > 0);
     for _ in 0..20 {
-        fixture.after(SECOND);
+        fixture.round_after(SECOND);
     }
     let available = size(&fixture, "s1");
     assert!(available > 5, "{available} left with floor 5 and a reserve");
@@ -53,53 +53,53 @@
 }
 
 #[test]
-fn drained_instance_changes_pool_only_when_nothing_runs_on_it() {
+fn instance_changes_pool_only_after_its_requests_have_finished() {
     let mut fixture = Fixture::new(&SMALL);
     fixture.demand("s0", 40 * SLOTS);
     for id in fixture.listed.keys() {
         fixture.observations.running.insert(id.clone(), 1);
     }
     fixture.round();
-    fixture.after(2 * SECOND);
-    fixture.after(10 * SECOND);
+    fixture.round_after(2 * SECOND);
+    fixture.round_after(10 * SECOND);
     assert_eq!(size(&fixture, "s0"), 11);
     fixture.observations.running.clear();
-    fixture.after(SECOND);
+    fixture.round_after(SECOND);
     assert!(size(&fixture, "s0") > 11);
 }
 
 #[test]
-fn loan_goes_home_only_after_a_quiet_time() {
+fn borrowed_instance_returns_only_after_a_lasting_surplus() {
     let mut fixture = Fixture::new(&SMALL);
     fixture.demand("s0", 11 * SLOTS);
     fixture.round();
     fixture.demand("s0", SLOTS);
-    fixture.after(SECOND);
-    fixture.after(59 * SECOND);
+    fixture.round_after(SECOND);
+    fixture.round_after(59 * SECOND);
     assert_eq!(size(&fixture, "s0"), 11);
     for _ in 0..10 {
-        fixture.after(5 * SECOND);
+        fixture.round_after(5 * SECOND);
     }
     assert_eq!((size(&fixture, "s0"), size(&fixture, "spare")), (9, 3));
 }
 
 #[test]
-fn repeated_peaks_keep_the_loan() {
+fn repeated_peaks_keep_the_borrowed_instances() {
     let mut fixture = Fixture::new(&SMALL);
     let mut moves = 0;
     for _ in 0..20 {
         fixture.demand("s0", 11 * SLOTS);
-        let plan = fixture.after(SECOND);
+        let plan = fixture.round_after(SECOND);
         moves += count(&plan, FleetEvent::InstanceAssigned);
         fixture.demand("s0", SLOTS);
-        let plan = fixture.after(30 * SECOND);
+        let plan = fixture.round_after(30 * SECOND);
         moves += count(&plan, FleetEvent::MoveStarted);
     }
     assert_eq!(moves, 2);
 }
 
 #[test]
-fn zone_taken_out_is_covered_like_a_peak() {
+fn zone_out_of_service_is_covered_by_spare_instances() {
     let mut fixture = Fixture::new(&SMALL);
     fixture.demand("s0", 8 * SLOTS);
     fixture.config.zones.get_mut("z1").expect("the zone exists").out = true;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn spare_instance_in_another_rack_goes_first() {
+fn spare_instance_in_another_rack_is_preferred() {
     let mut fixture = Fixture::new(&SMALL);
     let racks: Vec<_> = fixture
         .listed
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn service_below_its_floor_takes_from_the_reserve_of_others_and_not_from_their_floor() {
+fn service_below_its_floor_uses_the_reserves_of_others_but_not_their_floors() {
     let mut fixture = Fixture::new(&SMALL);
     let floors = [("s0", 14), ("s1", 6)];
     for (id, count) in floors {
@@ -141,16 +141,16 @@
         service.floor = cassiafold_config::Floor::Count(count);
     }
     for _ in 0..20 {
-        fixture.after(SECOND);
+        fixture.round_after(SECOND);
     }
     assert_eq!((size(&fixture, "s0"), size(&fixture, "s1"), size(&fixture, "spare")), (14, 7, 0));
     for _ in 0..20 {
-        fixture.after(SECOND);
+        fixture.round_after(SECOND);
     }
     let service = fixture.config.services.get_mut("s0").expect("the service exists");
     service.floor = cassiafold_config::Floor::Count(20);
     for _ in 0..20 {
-        fixture.after(SECOND);
+        fixture.round_after(SECOND);
     }
     assert_eq!((size(&fixture, "s0"), size(&fixture, "s1")), (15, 6));
 }
--- a/crates/fleet/src/document/tests.rs
+++ b/crates/fleet/src/document/tests.rs
@@ -11,13 +11,13 @@
 const STORE_MAX_BYTES: usize = 1_000_000;
 
 #[test]
-fn wire_form_returns_the_same_document() {
+fn serialized_document_round_trips() {
     let mut fixture = Fixture::with_wave(&SMALL);
     fixture.fail("s0-1", Symptom::Hanging);
     fixture.demand("s1", 1_000);
-    fixture.after(Duration::from_secs(60));
+    fixture.round_after(Duration::from_secs(60));
     fixture.listed.remove("s0-2");
-    fixture.after(Duration::from_secs(60));
+    fixture.round_after(Duration::from_secs(60));
     let raw = RawDocument::from(&fixture.document);
     assert!(!raw.failures.is_empty() && !raw.steps.is_empty() && !raw.homes.is_empty());
     assert!(!raw.vanished_unix_s.is_empty());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn instance_in_two_pools_is_refused() {
+fn instance_in_two_pools_is_rejected() {
     let fixture = Fixture::new(&SMALL);
     let mut raw = RawDocument::from(&fixture.document);
     let members = raw.pools.get_mut("s1").expect("the pool exists");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn step_of_an_unknown_instance_is_refused() {
+fn entry_for_an_unknown_instance_is_rejected() {
     let fixture = Fixture::new(&SMALL);
     let mut raw = RawDocument::from(&fixture.document);
     raw.homes.insert("nobody".into(), "s0".into());
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn steps_are_shown_in_words() {
+fn step_kinds_are_displayed_as_text() {
     let shown = [
         StepKind::Maintain { wave: "weekly".into() },
         StepKind::Repair,
--- a/crates/fleet/src/domain/tests.rs
+++ b/crates/fleet/src/domain/tests.rs
@@ -114,10 +114,10 @@
 }
 
 learns! {
-    three_shared_failures_show_the_feed_among_50: fleet_of_50, 3, 0.7, 0.7;
-    three_shared_failures_show_the_feed_among_870: fleet_of_870, 3, 0.7, 0.7;
-    five_shared_failures_show_the_feed_among_50: fleet_of_50, 5, 0.8, 0.8;
-    five_shared_failures_show_the_feed_among_870: fleet_of_870, 5, 0.8, 0.8;
+    three_shared_failures_identify_the_feed_among_50: fleet_of_50, 3, 0.7, 0.7;
+    three_shared_failures_identify_the_feed_among_870: fleet_of_870, 3, 0.7, 0.7;
+    five_shared_failures_identify_the_feed_among_50: fleet_of_50, 5, 0.8, 0.8;
+    five_shared_failures_identify_the_feed_among_870: fleet_of_870, 5, 0.8, 0.8;
 }
 
 #[test]
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn one_coincidence_of_two_is_not_suspected_and_a_second_one_is() {
+fn pair_is_suspected_only_after_its_second_shared_failure() {
     let fleet = fleet_of_50();
     let mut domains = LearnedDomains::default();
     fail_together(&mut domains, &fleet, &["s0-0", "s2-6"], monday());
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn failure_of_a_rack_teaches_nothing_new() {
+fn rack_failure_creates_no_group() {
     let fleet = fleet_of_50();
     let rack: Vec<&str> = fleet
         .values()
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn failure_of_a_zone_is_not_a_feed() {
+fn zone_failure_creates_no_group() {
     let fleet = fleet_of_50();
     let zone: Vec<&str> = fleet
         .values()
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn repeated_notes_of_one_failure_count_once() {
+fn repeated_records_of_one_failure_count_once() {
     let fleet = fleet_of_50();
     let mut domains = LearnedDomains::default();
     for _ in 0..10 {
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn old_evidence_fades() {
+fn old_evidence_decays() {
     let fleet = fleet_of_50();
     let mut domains = LearnedDomains::default();
     fail_together(&mut domains, &fleet, &["s0-0", "s1-3", "s2-6"], monday());
--- a/crates/fleet/src/explain/tests.rs
+++ b/crates/fleet/src/explain/tests.rs
@@ -31,22 +31,22 @@
 }
 
 /// A fleet in which one instance has failed and was repaired, and a service had a peak.
-fn eventful() -> (Fixture, History) {
+fn fixture_after_repair_and_peak() -> (Fixture, History) {
     let mut fixture = Fixture::with_wave(&SMALL);
     let mut history = History::default();
     fixture.fail("s0-4", Symptom::Hanging);
     history.extend(fixture.round().decisions);
     fixture.demand("s1", 80);
     for _ in 0..4 {
-        history.extend(fixture.after(MINUTE).decisions);
-        fixture.answer_all();
+        history.extend(fixture.round_after(MINUTE).decisions);
+        fixture.complete_requests();
     }
     (fixture, history)
 }
 
 #[test]
-fn instance_tells_its_repair_and_why_it_is_not_maintained() {
-    let (fixture, history) = eventful();
+fn instance_explains_its_repair_and_why_it_is_not_maintained() {
+    let (fixture, history) = fixture_after_repair_and_peak();
     check(
         &fixture,
         &history,
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn instance_that_waits_tells_the_rule() {
-    let (mut fixture, history) = eventful();
+fn waiting_instance_explains_the_rule() {
+    let (mut fixture, history) = fixture_after_repair_and_peak();
     let service = fixture.config.services.get_mut("s0").expect("the service exists");
     service.floor = cassiafold_config::Floor::Count(9);
     check(
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn pool_tells_its_budget_and_moves() {
-    let (fixture, history) = eventful();
+fn pool_explains_its_budget_and_moves() {
+    let (fixture, history) = fixture_after_repair_and_peak();
     check(
         &fixture,
         &history,
@@ -120,8 +120,8 @@
 }
 
 #[test]
-fn wave_tells_its_progress() {
-    let (mut fixture, history) = eventful();
+fn wave_explains_its_progress() {
+    let (mut fixture, history) = fixture_after_repair_and_peak();
     fixture.config.waves.get_mut("w").expect("the wave exists").paused = true;
     check(
         &fixture,
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn unknown_subjects_have_a_code() {
+fn unknown_subjects_give_a_result_code() {
     let fixture = Fixture::new(&SMALL);
     let code =
         |subject| explain(&fixture.view(), &fixture.policy, &History::default(), &subject).err();
--- a/crates/fleet/src/handle/tests.rs
+++ b/crates/fleet/src/handle/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn lower_number_is_refused() {
+fn document_with_a_lower_number_is_ignored() {
     let handle = FleetHandle::default();
     let document = |number| Arc::new(FleetDocument { number, ..FleetDocument::default() });
     assert!(handle.update_if_newer(document(5)));
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn follower_sees_a_drain_within_two_seconds_and_after_an_outage() {
+async fn watch_receives_a_drain_within_two_seconds_and_after_an_outage() {
     let store = MemoryStore::default();
     let handle = FleetHandle::default();
     let mut fixture = Fixture::with_wave(&SMALL);
@@ -65,7 +65,7 @@
     store.faults().set_outage(true);
     tokio::time::sleep(Duration::from_secs(60)).await;
     store.faults().set_outage(false);
-    fixture.after(Duration::from_secs(60));
+    fixture.round_after(Duration::from_secs(60));
     store_document(&store, &fixture.document).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(*handle.load().document, fixture.document);
--- a/crates/fleet/src/history/tests.rs
+++ b/crates/fleet/src/history/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn history_is_bounded_and_survives_its_segments() {
+fn history_is_bounded_and_restored_from_its_segments() {
     let mut history = History::default();
     let mut stored = std::collections::BTreeMap::new();
     for number in 0..5_000 {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn save_rewrites_only_the_last_segments() {
+fn save_writes_only_changed_segments() {
     let mut history = History::default();
     history.extend((0..1_000).map(decision));
     history.mark_saved();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn last_decisions_come_newest_first() {
+fn latest_decisions_are_ordered_newest_first() {
     let mut history = History::default();
     history.extend((0..20).map(decision));
     let last = history.of_instance(&"i1".into(), 2);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_move_by_operators_is_noted_once_and_one_by_a_round_not_again() {
+fn move_is_recorded_once_whether_by_operators_or_by_a_round() {
     let mut fixture = Fixture::new(&SMALL);
     let mut history = History::default();
     let placements = fixture.document.placements.iter();
--- a/crates/fleet/src/operator/tests.rs
+++ b/crates/fleet/src/operator/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn refusals_name_their_rule() {
+fn refusals_carry_the_result_code_of_the_rule() {
     let mut fixture = Fixture::with_wave(&SMALL);
     assert_eq!(code(&fixture, "s0-0", "s1"), None);
     assert_eq!(code(&fixture, "nobody", "s1"), Some(FleetCode::UnknownInstance));
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn moved_instance_settles_in_its_new_pool_though_answers_are_lost() {
+async fn move_is_permanent_and_survives_a_lost_response() {
     let mut fixture = Fixture::new(&SMALL);
     let store = MemoryStore::default();
     let writer = Writer::new("operator");
@@ -51,7 +51,7 @@
     assert_eq!(refusal.code, FleetCode::StepInProgress);
     fixture.document = value;
     fixture.observations.confirmed = fixture.document.number;
-    fixture.after(Duration::from_secs(5));
+    fixture.round_after(Duration::from_secs(5));
     let placement = fixture.placement("s0-0");
     assert_eq!((&*placement.pool, &*placement.home, &placement.step), ("s1", "s1", &None));
 }
--- a/crates/fleet/src/repair/tests.rs
+++ b/crates/fleet/src/repair/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn repairing(fixture: &Fixture) -> usize {
-    fixture.stepping(|kind| *kind == StepKind::Repair).len()
+    fixture.with_step(|kind| *kind == StepKind::Repair).len()
 }
 
 #[test]
@@ -26,7 +26,7 @@
     fixture.round();
     assert_eq!(code(&fixture, "s0-0"), Some(FleetCode::RepairTooSoon));
     fixture.observations.symptoms.clear();
-    fixture.after(MINUTE);
+    fixture.round_after(MINUTE);
     assert_eq!(code(&fixture, "s0-0"), Some(FleetCode::NotFailing));
     assert_eq!(repairing(&fixture), 0);
 }
@@ -37,13 +37,13 @@
     fixture.fail("s0-0", Symptom::FailingAll);
     fixture.fail("s1-1", Symptom::FailingAll);
     fixture.round();
-    fixture.after(MINUTE);
+    fixture.round_after(MINUTE);
     assert_eq!(repairing(&fixture), 1);
     assert_eq!(code(&fixture, "s1-1"), Some(FleetCode::RepairLimit));
 }
 
 #[test]
-fn storm_of_a_zone_starts_no_reboot() {
+fn zone_outage_starts_no_reboot() {
     let layout = Layout { per_service: 18, ..SMALL };
     let mut fixture = Fixture::new(&layout);
     let ids: Vec<_> = fixture.listed.values().filter(|it| &*it.zone == "z0").cloned().collect();
@@ -52,9 +52,9 @@
     }
     fixture.fail("s0-1", Symptom::Unreachable);
     fixture.round();
-    fixture.after(MINUTE);
+    fixture.round_after(MINUTE);
     assert_eq!(code(&fixture, &ids[0].id), Some(FleetCode::ZoneStorm));
-    assert_eq!(fixture.stepping(|kind| *kind == StepKind::Repair), ["s0-1".into()]);
+    assert_eq!(fixture.with_step(|kind| *kind == StepKind::Repair), ["s0-1".into()]);
 }
 
 #[test]
@@ -63,12 +63,12 @@
     fixture.fail("s0-0", Symptom::Unreachable);
     fixture.round();
     fixture.config.zones.get_mut("z0").expect("the zone exists").out = true;
-    fixture.after(MINUTE);
+    fixture.round_after(MINUTE);
     assert_eq!(code(&fixture, "s0-0"), Some(FleetCode::ZoneOut));
 }
 
 #[test]
-fn instance_that_repairs_do_not_help_is_exchanged_for_a_spare_one() {
+fn instance_is_replaced_by_a_spare_one_after_unsuccessful_repairs() {
     let mut fixture = Fixture::new(&SMALL);
     let failure = Failure {
         since: fixture.now,
@@ -77,27 +77,27 @@
         retry_at: fixture.now,
     };
     fixture.document.placements.get_mut("s0-0").expect("placed").failure = Some(failure);
-    fixture.after(MINUTE);
+    fixture.round_after(MINUTE);
     let home = |fixture: &Fixture| {
         fixture.document.placements.values().filter(|placement| &*placement.home == "s0").count()
     };
-    fixture.after(MINUTE);
+    fixture.round_after(MINUTE);
     assert_eq!(&*fixture.placement("s0-0").home, "spare");
     assert_eq!(&*fixture.placement("s0-0").pool, "spare");
     assert_eq!(home(&fixture), SMALL.per_service);
 }
 
 #[test]
-fn repair_that_helps_clears_the_failure() {
+fn successful_repair_clears_the_failure() {
     let mut fixture = Fixture::new(&SMALL);
     fixture.fail("s0-0", Symptom::Hanging);
     fixture.round();
     for _ in 0..4 {
-        fixture.after(MINUTE);
-        fixture.answer_all();
+        fixture.round_after(MINUTE);
+        fixture.complete_requests();
     }
     fixture.observations.symptoms.clear();
-    fixture.after(MINUTE);
+    fixture.round_after(MINUTE);
     let placement = fixture.placement("s0-0");
     assert_eq!((placement.failure.clone(), placement.step.clone()), (None, None));
     assert_eq!(placement.maintained_at, None);
--- a/crates/fleet/src/report/tests.rs
+++ b/crates/fleet/src/report/tests.rs
@@ -23,7 +23,7 @@
         fixture.now = monday() + Duration::from_secs(minute * 60);
         fixture.domains.advance(fixture.now, &fixture.listed);
         let plan = fixture.round();
-        fixture.answer_all();
+        fixture.complete_requests();
         timeline.record_round(&fixture.view(), &fixture.policy, &plan);
         history.extend(plan.decisions);
     }
@@ -63,7 +63,7 @@
     let mut fixture = Fixture::new(&SMALL);
     let mut timeline = Timeline::default();
     let mut note = |fixture: &mut Fixture| {
-        let plan = fixture.after(Duration::from_secs(60));
+        let plan = fixture.round_after(Duration::from_secs(60));
         timeline.record_round(&fixture.view(), &fixture.policy, &plan);
         timeline.samples[0].services["s0"].available
     };
--- a/crates/fleet/src/tests/fixture.rs
+++ b/crates/fleet/src/tests/fixture.rs
@@ -97,28 +97,28 @@
     }
 
     /// Lets time pass and plans a round.
-    pub fn after(&mut self, time: Duration) -> Plan {
+    pub fn round_after(&mut self, time: Duration) -> Plan {
         self.now += time;
         self.round()
     }
 
     /// Plans a round each minute, with every reboot and trial answered where `answer` says so,
     /// until `done`.
-    pub fn until(&mut self, answer: bool, done: impl Fn(&Self) -> bool) {
+    pub fn run_until(&mut self, answer: bool, done: impl Fn(&Self) -> bool) {
         for _ in 0..1_000 {
             if done(self) {
                 return;
             }
-            self.after(Duration::from_secs(60));
+            self.round_after(Duration::from_secs(60));
             if answer {
-                self.answer_all();
+                self.complete_requests();
             }
         }
         panic!("not done after a thousand minutes");
     }
 
     /// Lets every reboot and trial that the document asks for succeed.
-    pub fn answer_all(&mut self) {
+    pub fn complete_requests(&mut self) {
         for (id, placement) in &self.document.placements {
             let Some(step) = &placement.step else { continue };
             match step.phase {
@@ -146,7 +146,7 @@
     }
 
     /// Ids of the instances with a step that `predicate` picks.
-    pub fn stepping(&self, predicate: impl Fn(&StepKind) -> bool) -> Vec<InstanceId> {
+    pub fn with_step(&self, predicate: impl Fn(&StepKind) -> bool) -> Vec<InstanceId> {
         let placements = self.document.placements.iter();
         let chosen = placements.filter(|(_, placement)| {
             placement.step.as_ref().is_some_and(|step| predicate(&step.kind))
@@ -155,7 +155,7 @@
     }
 
     pub fn maintaining(&self) -> Vec<InstanceId> {
-        self.stepping(|kind| matches!(kind, StepKind::Maintain { .. }))
+        self.with_step(|kind| matches!(kind, StepKind::Maintain { .. }))
     }
 }
 
@@ -189,7 +189,7 @@
 /// Instances of `layout`: zones in turn, four to a rack, racks shared by all services.
 pub fn listed(layout: &Layout) -> ListedInstances {
     let pools = (0..layout.services).map(|service| (format!("s{service}"), layout.per_service));
-    let mut racked = vec![0; layout.zones];
+    let mut placed = vec![0; layout.zones];
     let mut listed = ListedInstances::new();
     for (pool, count) in pools.chain([("spare".to_owned(), layout.spare)]) {
         for number in 0..count {
@@ -199,10 +199,10 @@
                 id: id.clone(),
                 address: ([127, 0, 0, 1], 1).into(),
                 zone: format!("z{zone}").into(),
-                rack: format!("r{}", racked[zone] / 4).into(),
+                rack: format!("r{}", placed[zone] / 4).into(),
                 state: InstanceState::Live,
             };
-            racked[zone] += 1;
+            placed[zone] += 1;
             listed.insert(id, instance);
         }
     }
--- a/crates/fleet/src/tests/race.rs
+++ b/crates/fleet/src/tests/race.rs
@@ -26,21 +26,21 @@
 
 /// What the whole fleet is like.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct World {
+pub(crate) struct Conditions {
     pub failing: BTreeSet<InstanceId>,
     elapsed: Duration,
 }
 
 /// One controller's surroundings.
-pub(crate) struct Surroundings {
+pub(crate) struct TestEnvironment {
     store: MemoryStore,
     instances: MemoryInstances,
     config: Arc<Config>,
-    world: Arc<Mutex<World>>,
+    conditions: Arc<Mutex<Conditions>>,
     handle: FleetHandle,
 }
 
-impl Environment for Surroundings {
+impl Environment for TestEnvironment {
     type Store = MemoryStore;
     type List = MemoryInstances;
     type Control = MemoryInstances;
@@ -62,15 +62,15 @@
     }
 
     fn observations(&self) -> Option<Observations> {
-        let world = self.world.lock().expect("no test panics while it holds the lock");
-        let failing = world.failing.iter().map(|id| (id.clone(), Symptom::Unreachable));
+        let conditions = self.conditions.lock().expect("no test panics while it holds the lock");
+        let failing = conditions.failing.iter().map(|id| (id.clone(), Symptom::Unreachable));
         let confirmed = self.handle.load().number();
         Some(Observations { confirmed, symptoms: failing.collect(), ..Observations::default() })
     }
 
     async fn send_trial_request(&self, instance: &ListedInstance) -> bool {
-        let world = self.world.lock().expect("no test panics while it holds the lock");
-        !world.failing.contains(&instance.id)
+        let conditions = self.conditions.lock().expect("no test panics while it holds the lock");
+        !conditions.failing.contains(&instance.id)
     }
 
     fn holds_control(&self) -> bool {
@@ -78,7 +78,7 @@
     }
 
     fn now(&self) -> SystemTime {
-        monday() + self.world.lock().expect("no test panics while it holds the lock").elapsed
+        monday() + self.conditions.lock().expect("no test panics while it holds the lock").elapsed
     }
 }
 
@@ -115,15 +115,15 @@
 }
 
 pub(crate) struct Race {
-    pub first: Controller<Surroundings>,
-    pub second: Controller<Surroundings>,
+    pub first: Controller<TestEnvironment>,
+    pub second: Controller<TestEnvironment>,
     pub store: MemoryStore,
     pub instances: MemoryInstances,
-    world: Arc<Mutex<World>>,
+    conditions: Arc<Mutex<Conditions>>,
     config: Arc<Config>,
     listed: ListedInstances,
     /// Worlds since the last document was written.
-    worlds: Vec<World>,
+    recent_conditions: Vec<Conditions>,
     document: FleetDocument,
     revision: u64,
     /// Request ids of every step that came to its reboot.
@@ -140,29 +140,29 @@
             raw.waves.get_mut("w").expect("the wave exists").paused = false;
         };
         let config = Arc::new(config(&LAYOUT, unpaused));
-        let world = Arc::new(Mutex::new(World::default()));
+        let conditions = Arc::new(Mutex::new(Conditions::default()));
         let controller = |name: &str| {
             let handle = FleetHandle::default();
             let client = store.client(name);
             let (follower, followed) = (handle.clone(), client.clone());
             tokio::spawn(async move { follower.watch_store(followed).await });
-            let surroundings = Surroundings {
+            let environment = TestEnvironment {
                 store: client,
                 instances: instances.clone(),
                 config: config.clone(),
-                world: world.clone(),
+                conditions: conditions.clone(),
                 handle: handle.clone(),
             };
             let policy = Policy { maintenance_share_max: 1.0, pause_min: 4, ..Policy::default() };
-            Controller::new(surroundings, policy, name.into(), handle)
+            Controller::new(environment, policy, name.into(), handle)
         };
         Self {
             first: controller("a"),
             second: controller("b"),
             store,
             instances,
-            worlds: vec![World::default()],
-            world,
+            recent_conditions: vec![Conditions::default()],
+            conditions,
             config,
             listed,
             document: FleetDocument::default(),
@@ -171,10 +171,11 @@
         }
     }
 
-    pub fn change(&mut self, change: impl FnOnce(&mut World)) {
-        let mut world = self.world.lock().expect("no test panics while it holds the lock");
-        change(&mut world);
-        self.worlds.push(world.clone());
+    pub fn change(&mut self, change: impl FnOnce(&mut Conditions)) {
+        let mut conditions =
+            self.conditions.lock().expect("no test panics while it holds the lock");
+        change(&mut conditions);
+        self.recent_conditions.push(conditions.clone());
     }
 
     async fn act(&mut self, action: &Action) {
@@ -195,9 +196,9 @@
             Action::Fail(numbers) => {
                 let ids: Vec<InstanceId> = self.listed.keys().cloned().collect();
                 let hit = numbers.iter().map(|number| ids[number % ids.len()].clone());
-                self.change(|world| world.failing.extend(hit));
+                self.change(|conditions| conditions.failing.extend(hit));
             }
-            Action::Recover => self.change(|world| world.failing.clear()),
+            Action::Recover => self.change(|conditions| conditions.failing.clear()),
             Action::Wait(seconds) => self.wait(Duration::from_secs(*seconds)).await,
         }
         self.check().await;
@@ -205,7 +206,7 @@
 
     /// Lets time pass on the wall clock and on the monotonic one.
     pub async fn wait(&mut self, time: Duration) {
-        self.change(|world| world.elapsed += time);
+        self.change(|conditions| conditions.elapsed += time);
         sleep(time).await;
     }
 
@@ -235,7 +236,7 @@
         for change in changes {
             self.check_change(change);
         }
-        self.worlds.drain(..self.worlds.len() - 1);
+        self.recent_conditions.drain(..self.recent_conditions.len() - 1);
         self.check_reboots();
     }
 
@@ -244,8 +245,11 @@
         let envelope = Envelope::<FleetDocument>::decode(&record.value);
         let document = envelope.expect("the document is well formed").value;
         assert_eq!(document.number, self.document.number + 1);
-        let fits = self.worlds.iter().any(|world| self.fits(&document, &world.failing));
-        assert!(fits, "document {} breaks a budget", document.number);
+        let within_budgets = self
+            .recent_conditions
+            .iter()
+            .any(|conditions| self.within_budgets(&document, &conditions.failing));
+        assert!(within_budgets, "document {} breaks a budget", document.number);
         for (id, placement) in &document.placements {
             if let Some(step) = placement.step.as_ref().filter(|step| step.phase != Phase::Draining)
             {
@@ -256,7 +260,7 @@
         self.document = document;
     }
 
-    fn fits(&self, document: &FleetDocument, failing: &BTreeSet<InstanceId>) -> bool {
+    fn within_budgets(&self, document: &FleetDocument, failing: &BTreeSet<InstanceId>) -> bool {
         let before = &self.document;
         broken_by_plan(&self.config, &self.listed, failing, before, document).is_none()
     }
--- a/crates/fleet/src/tests/schedule.rs
+++ b/crates/fleet/src/tests/schedule.rs
@@ -181,7 +181,7 @@
             }
             Event::Idle => self.fixture.observations.running.clear(),
             Event::Confirm(confirming) => self.confirming = *confirming,
-            Event::Answer => self.fixture.answer_all(),
+            Event::Answer => self.fixture.complete_requests(),
             Event::Wait(seconds) => self.fixture.now += Duration::from_secs(*seconds),
         }
     }
--- a/crates/fleet/src/wave/tests.rs
+++ b/crates/fleet/src/wave/tests.rs
@@ -27,8 +27,8 @@
 fn run_wave(fixture: &mut Fixture) -> Vec<std::sync::Arc<str>> {
     let mut zones: Vec<std::sync::Arc<str>> = Vec::new();
     for _ in 0..3_000 {
-        fixture.after(MINUTE);
-        fixture.answer_all();
+        fixture.round_after(MINUTE);
+        fixture.complete_requests();
         for id in fixture.maintaining() {
             let zone = &fixture.listed[&id].zone;
             if zones.last() != Some(zone) {
@@ -50,17 +50,17 @@
     let done = status(&fixture);
     assert_eq!((done.done, done.total, done.overdue), (21, 21, 0));
     assert_eq!(code(&fixture, "s0-0"), FleetCode::Maintained);
-    fixture.after(MINUTE);
+    fixture.round_after(MINUTE);
     assert!(fixture.maintaining().is_empty());
 }
 
 #[test]
-fn wave_waits_for_a_zone_that_is_out_and_takes_it_up_later() {
+fn wave_skips_a_zone_out_of_service_and_maintains_it_later() {
     let mut fixture = Fixture::with_wave(&Layout { floor: 0.1, ..SMALL });
     fixture.config.zones.get_mut("z0").expect("the zone exists").out = true;
     for _ in 0..300 {
-        fixture.after(MINUTE);
-        fixture.answer_all();
+        fixture.round_after(MINUTE);
+        fixture.complete_requests();
     }
     let in_z0 = fixture.listed.values().filter(|instance| &*instance.zone == "z0").count();
     assert_eq!(status(&fixture).done, status(&fixture).total - in_z0);
@@ -69,7 +69,7 @@
     run_wave(&mut fixture);
 }
 
-macro_rules! held_back {
+macro_rules! blocked {
     ($($name:ident: $code:ident, $id:literal, $change:expr;)+) => {$(
         #[test]
         fn $name() {
@@ -83,7 +83,7 @@
     )+};
 }
 
-held_back! {
+blocked! {
     paused_by_operators: WavePaused, "s0-0", |fixture| {
         fixture.config.waves.get_mut("w").expect("the wave exists").paused = true;
     };
@@ -138,14 +138,14 @@
 }
 
 #[test]
-fn wave_resumes_by_itself_after_failures() {
+fn wave_resumes_when_failures_have_ended() {
     let mut fixture = Fixture::with_wave(&SMALL);
     fixture.fail("s0-1", Symptom::Hanging);
     fixture.fail("s1-1", Symptom::Hanging);
     fixture.round();
     assert_eq!(status(&fixture).paused, Some(FleetCode::PausedByFailures));
     fixture.observations.symptoms.clear();
-    fixture.after(MINUTE);
+    fixture.round_after(MINUTE);
     assert_eq!(status(&fixture).paused, None);
 }
 
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn forecast_leaves_blackout_hours_out() {
+fn forecast_excludes_blackout_hours() {
     let (wave, six) = saturday_morning();
     assert_eq!(time_outside_blackouts(&wave, six - HOUR, six + 7 * HOUR), 2 * HOUR);
     let end = completion_time(&wave, six - HOUR, 2 * HOUR, 48 * HOUR);
@@ -192,11 +192,11 @@
 }
 
 #[test]
-fn expected_end_follows_the_pace_and_late_waves_are_told() {
+fn expected_end_follows_the_average_speed_and_shows_late_waves() {
     let mut fixture = Fixture::with_wave(&SMALL);
     assert_eq!(status(&fixture).expected_end, None);
     fixture.config.waves.get_mut("w").expect("the wave exists").deadline = monday() + HOUR;
-    fixture.until(true, |fixture| status(fixture).done >= 7);
+    fixture.run_until(true, |fixture| status(fixture).done >= 7);
     let pace = status(&fixture);
     let elapsed = fixture.now.duration_since(monday()).expect("time has passed");
     let remaining = (elapsed / 7) * (pace.total - 7) as u32;
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn instances_under_maintenance_at_once_leave_the_worst_rack_to_fail() {
+fn concurrent_maintenance_keeps_the_floor_if_the_worst_rack_fails() {
     let mut fixture = Fixture::with_wave(&SMALL);
     fixture.policy.maintenance_share_max = 1.0;
     fixture.round();
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn maintenance_leaves_most_of_the_spare_pool_in_reach() {
+fn maintenance_is_limited_to_a_share_of_the_spare_pool() {
     let mut fixture = Fixture::with_wave(&Layout { spare: 24, ..SMALL });
     fixture.policy.maintenance_share_max = 1.0;
     fixture.round();
