--- a/crates/fleet/src/advance/tests.rs
+++ b/crates/fleet/src/advance/tests.rs
@@ -12,7 +12,7 @@
     plan.decisions.iter().map(|decision| decision.event).collect()
 }
 
-/// A fleet with one instance under maintenance, in its drain.
+/// A fleet with one draining instance under maintenance.
 fn draining() -> (Fixture, std::sync::Arc<str>) {
     let mut fixture = Fixture::with_wave(&SMALL);
     fixture.round();
@@ -119,9 +119,11 @@
         fixture.round_after(SECOND);
         let plan = fixture.round_after(10 * MINUTE);
         assert!(events(&plan).contains(&FleetEvent::InstanceNotReturned));
-        let failure = fixture.placement(&id).failure.clone().expect("the failure is noted");
+        let failure = fixture.placement(&id).failure.clone().expect("the failure is recorded");
         assert_eq!(failure.symptom, Symptom::NotReturned);
-        waits.push(failure.retry_at.duration_since(fixture.now).expect("it lies ahead"));
+        waits.push(
+            failure.retry_at.duration_since(fixture.now).expect("the retry is in the future"),
+        );
     }
     assert_eq!(waits, [5 * MINUTE, 10 * MINUTE, 20 * MINUTE]);
 }
--- a/crates/fleet/src/budget/tests.rs
+++ b/crates/fleet/src/budget/tests.rs
@@ -37,21 +37,21 @@
     assert_eq!((budget(&fixture).available, budget(&fixture).floor), (6, 5));
 }
 
-/// Tries the failure of each domain in turn on a list of the domains of available instances.
+/// Tries the failure of each domain with the domains of the available instances.
 fn brute_force_allows(available: &[Vec<usize>], taken: usize, floor: usize, home: usize) -> bool {
     let rest: Vec<&Vec<usize>> =
         available.iter().enumerate().filter(|(at, _)| *at != taken).map(|(_, it)| it).collect();
-    let lost = |domain: usize| rest.iter().filter(|slots| slots.contains(&domain)).count();
+    let lost = |domain: usize| rest.iter().filter(|positions| positions.contains(&domain)).count();
     let worst = (0..8).map(lost).max().unwrap_or(0);
-    // At full strength one instance can always be spared.
-    let spared = worst.min(home.saturating_sub(floor + 1));
-    rest.len() >= floor + spared
+    // With all home instances available, one may always be taken out of service.
+    let reserve = worst.min(home.saturating_sub(floor + 1));
+    rest.len() >= floor + reserve
 }
 
 #[test]
 fn check_matches_brute_force_over_domains() {
-    let slots = prop::collection::btree_set(0_usize..8, 1..3);
-    let members = prop::collection::vec(slots, 1..14);
+    let positions = prop::collection::btree_set(0_usize..8, 1..3);
+    let members = prop::collection::vec(positions, 1..14);
     let strategy = (members, 0_usize..14, 0_usize..4);
     let config = RunnerConfig {
         rng_seed: RngSeed::Fixed(51),
@@ -61,20 +61,20 @@
     };
     let strategy = strategy.prop_map(|(members, floor, missing)| {
         let members: Vec<Vec<usize>> =
-            members.into_iter().map(|slots| slots.into_iter().collect()).collect();
+            members.into_iter().map(|positions| positions.into_iter().collect()).collect();
         (members, floor, missing)
     });
     let mut runner = TestRunner::new(config);
     let result = runner.run(&strategy, |(members, floor, missing)| {
         let home = members.len() + missing;
         let mut budget = Budget { home, floor, ..Budget::default() };
-        members.iter().for_each(|slots| budget.add(slots));
-        for (at, slots) in members.iter().enumerate() {
-            assert_eq!(budget.allows(slots), brute_force_allows(&members, at, floor, home));
+        members.iter().for_each(|positions| budget.add(positions));
+        for (at, positions) in members.iter().enumerate() {
+            assert_eq!(budget.allows(positions), brute_force_allows(&members, at, floor, home));
         }
         Ok(())
     });
-    result.expect("the budget agrees with its twin");
+    result.expect("the budget matches the brute-force check");
 }
 
 #[test]
--- a/crates/fleet/src/controller/tests.rs
+++ b/crates/fleet/src/controller/tests.rs
@@ -58,7 +58,7 @@
     let mut race = Race::new();
     race.first.round().await;
     let feed: BTreeSet<std::sync::Arc<str>> = ["s0-0", "s0-6", "s1-3"].map(Into::into).into();
-    race.change(|conditions| {
+    race.change_conditions(|conditions| {
         conditions.failing.extend(feed.clone());
         conditions.failing.insert("s0-1".into());
     });
@@ -66,7 +66,7 @@
         race.wait(Duration::from_secs(1)).await;
         race.first.round().await;
     }
-    race.change(|conditions| conditions.failing.clear());
+    race.change_conditions(|conditions| conditions.failing.clear());
     let started = document(&race);
     for _ in 0..200 {
         race.wait(Duration::from_secs(20)).await;
--- a/crates/fleet/src/document/tests.rs
+++ b/crates/fleet/src/document/tests.rs
@@ -7,7 +7,7 @@
 use crate::raw::{FleetDocumentError, RawDocument};
 use crate::tests::fixture::{Fixture, Layout, SMALL};
 
-/// Largest value that the store holds.
+/// Maximum size of a value in the store.
 const STORE_MAX_BYTES: usize = 1_000_000;
 
 #[test]
@@ -45,20 +45,20 @@
 
 #[test]
 fn document_of_870_instances_with_a_step_and_a_failure_each_fits_the_store() {
-    let layout = Layout { zones: 4, services: 43, per_service: 20, spare: 10, floor: 0.5 };
+    let layout = Layout { zones: 4, services: 43, per_service: 20, spare: 10, floor_share: 0.5 };
     let mut fixture = Fixture::with_wave(&layout);
     assert_eq!(fixture.document.placements.len(), 870);
     for placement in fixture.document.placements.values_mut() {
         placement.maintained_at = Some(fixture.now);
     }
-    let at_rest = encoded(&fixture.document);
+    let idle = encoded(&fixture.document);
     fixture.document.placements.values_mut().for_each(|placement| placement.maintained_at = None);
     fixture.policy.maintenance_share_max = 1.0;
     fixture.round();
     let step = fixture.step("s0-0").cloned().expect("maintenance has started");
     fixture.fail("s0-0", Symptom::FailingAll);
     fixture.round();
-    let failure = fixture.placement("s0-0").failure.clone().expect("the failure is noted");
+    let failure = fixture.placement("s0-0").failure.clone().expect("the failure is recorded");
     for placement in fixture.document.placements.values_mut() {
         placement.step = Some(step.clone());
         placement.failure = Some(failure.clone());
@@ -66,9 +66,9 @@
         placement.missing_since = Some(fixture.now);
         placement.home = "s1".into();
     }
-    let worst = encoded(&fixture.document);
-    println!("at rest {} bytes, worst {} bytes for 870 instances", at_rest, worst);
-    assert!(worst < STORE_MAX_BYTES);
+    let worst_case = encoded(&fixture.document);
+    println!("idle {} bytes, worst case {} bytes for 870 instances", idle, worst_case);
+    assert!(worst_case < STORE_MAX_BYTES);
 }
 
 fn encoded(document: &FleetDocument) -> usize {
--- a/crates/fleet/src/domain/tests.rs
+++ b/crates/fleet/src/domain/tests.rs
@@ -11,31 +11,31 @@
 use crate::view::ListedInstances;
 
 const DAY: Duration = Duration::from_secs(86_400);
-/// Failures of single instances on an ordinary day.
+/// Independent failures per day.
 const FAILURES_PER_DAY: f64 = 6.0;
 
 fn fleet_of_50() -> ListedInstances {
-    listed(&Layout { zones: 3, services: 5, per_service: 10, spare: 0, floor: 0.5 })
+    listed(&Layout { zones: 3, services: 5, per_service: 10, spare: 0, floor_share: 0.5 })
 }
 
 fn fleet_of_870() -> ListedInstances {
-    listed(&Layout { zones: 8, services: 43, per_service: 20, spare: 10, floor: 0.5 })
+    listed(&Layout { zones: 8, services: 43, per_service: 20, spare: 10, floor_share: 0.5 })
 }
 
-/// Instances of zone `z0`, every `step`th from `first`, so that no rack holds them.
+/// Instances of a power feed: every `step`th instance of zone `z0` from `first`, in several racks.
 fn feed(fleet: &ListedInstances, first: usize, step: usize, size: usize) -> BTreeSet<InstanceId> {
     let zone = fleet.values().filter(|instance| &*instance.zone == "z0");
     zone.skip(first).step_by(step).take(size).map(|instance| instance.id.clone()).collect()
 }
 
-/// Failures in order of time: ordinary ones, and shared ones of `feed` on each day of `shared`.
+/// Independent failures and shared failures of a feed.
 struct Failures {
     rng: StdRng,
     failures: Vec<(SystemTime, InstanceId)>,
 }
 
 impl Failures {
-    fn ordinary(seed: u64, fleet: &ListedInstances, days: u32) -> Self {
+    fn independent(seed: u64, fleet: &ListedInstances, days: u32) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let ids: Vec<&InstanceId> = fleet.keys().collect();
         let count = (FAILURES_PER_DAY * f64::from(days)) as usize;
@@ -48,8 +48,8 @@
         Self { rng, failures }
     }
 
-    /// Each member fails with a probability of 0.8 within ten seconds.
-    fn shared(&mut self, feed: &BTreeSet<InstanceId>, at: SystemTime) {
+    /// Adds a shared failure: each member fails with a probability of 0.8 within ten seconds.
+    fn add_shared(&mut self, feed: &BTreeSet<InstanceId>, at: SystemTime) {
         for id in feed {
             if self.rng.random_bool(0.8) {
                 let delay = Duration::from_secs_f64(self.rng.random::<f64>() * 10.0);
@@ -80,7 +80,7 @@
     pairs
 }
 
-/// Precision and recall over pairs of instances that share a feed.
+/// Precision and recall of the pairs of instances that share a feed.
 fn quality(domains: &LearnedDomains, feed: &BTreeSet<InstanceId>) -> (f64, f64) {
     let truth = pairs(feed);
     let groups = domains.suspected().map(|group| pairs(group.members.keys()));
@@ -89,12 +89,12 @@
     (right / found.len().max(1) as f64, right / truth.len() as f64)
 }
 
-fn after_shared(fleet: &ListedInstances, count: u32, seed: u64) -> (f64, f64) {
+fn quality_after_shared_failures(fleet: &ListedInstances, count: u32, seed: u64) -> (f64, f64) {
     let feed = feed(fleet, 0, 2, 8);
     let days = count * 45;
-    let mut failures = Failures::ordinary(seed, fleet, days);
+    let mut failures = Failures::independent(seed, fleet, days);
     for number in 0..count {
-        failures.shared(&feed, monday() + DAY * (number * 45 + 30));
+        failures.add_shared(&feed, monday() + DAY * (number * 45 + 30));
     }
     quality(&failures.learn(fleet), &feed)
 }
@@ -105,7 +105,7 @@
         fn $name() {
             let fleet = $fleet();
             for seed in 0..20 {
-                let (precision, recall) = after_shared(&fleet, $shared, seed);
+                let (precision, recall) = quality_after_shared_failures(&fleet, $shared, seed);
                 assert!(precision >= $precision, "seed {seed}: precision {precision}");
                 assert!(recall >= $recall, "seed {seed}: recall {recall}");
             }
@@ -124,7 +124,7 @@
 fn year_of_independent_failures_raises_at_most_one_false_alarm() {
     for fleet in [fleet_of_50(), fleet_of_870()] {
         for seed in 0..5 {
-            let domains = Failures::ordinary(seed, &fleet, 365).learn(&fleet);
+            let domains = Failures::independent(seed, &fleet, 365).learn(&fleet);
             let alarms: Vec<&Group> = domains.suspected().collect();
             assert!(alarms.len() <= 1, "seed {seed}: {alarms:?}");
         }
--- a/crates/fleet/src/explain/tests.rs
+++ b/crates/fleet/src/explain/tests.rs
@@ -30,7 +30,7 @@
     expected.assert_eq(&text(&explanation.expect("the subject is known")));
 }
 
-/// A fleet in which one instance has failed and was repaired, and a service had a peak.
+/// A fleet in which one instance failed and was repaired, and a service had peak demand.
 fn fixture_after_repair_and_peak() -> (Fixture, History) {
     let mut fixture = Fixture::with_wave(&SMALL);
     let mut history = History::default();
--- a/crates/fleet/src/handle/tests.rs
+++ b/crates/fleet/src/handle/tests.rs
@@ -26,7 +26,7 @@
     let state = handle.load();
     let draining = fixture.maintaining();
     for listed in fixture.listed.values() {
-        let instance = state.instance(listed).expect("the instance is placed");
+        let instance = state.instance(listed).expect("the instance has a placement");
         let expected = match draining.contains(&listed.id) {
             true => InstanceState::Leaving,
             false => InstanceState::Live,
@@ -52,7 +52,7 @@
     let handle = FleetHandle::default();
     let mut fixture = Fixture::with_wave(&SMALL);
     store_document(&store, &fixture.document).await;
-    let follower = {
+    let watching = {
         let (handle, store) = (handle.clone(), store.clone());
         tokio::spawn(async move { handle.watch_store(store).await })
     };
@@ -69,5 +69,5 @@
     store_document(&store, &fixture.document).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(*handle.load().document, fixture.document);
-    follower.abort();
+    watching.abort();
 }
--- a/crates/fleet/src/history/tests.rs
+++ b/crates/fleet/src/history/tests.rs
@@ -79,10 +79,10 @@
         history.record_operator_moves(&fixture.document);
     }
     for id in &ids {
-        let noted = history.of_instance(id, 9);
-        let events: Vec<_> = noted.iter().map(|decision| decision.event).collect();
+        let recorded = history.of_instance(id, 9);
+        let events: Vec<_> = recorded.iter().map(|decision| decision.event).collect();
         assert_eq!(events, [FleetEvent::MoveStarted], "{id}");
-        assert_eq!(noted[0].at, fixture.now);
+        assert_eq!(recorded[0].at, fixture.now);
     }
 }
 
--- a/crates/fleet/src/repair/tests.rs
+++ b/crates/fleet/src/repair/tests.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn zone_taken_out_starts_no_repair() {
+fn zone_out_of_service_starts_no_repair() {
     let mut fixture = Fixture::new(&SMALL);
     fixture.fail("s0-0", Symptom::Unreachable);
     fixture.round();
--- a/crates/fleet/src/report/tests.rs
+++ b/crates/fleet/src/report/tests.rs
@@ -6,7 +6,7 @@
 use crate::tests::fixture::{Fixture, SMALL, monday};
 use crate::timeline::{SAMPLE_INTERVAL, SAMPLES_MAX, Timeline};
 
-fn two_days() -> (Fixture, Timeline, History) {
+fn run_two_days() -> (Fixture, Timeline, History) {
     let mut fixture = Fixture::with_wave(&SMALL);
     let mut timeline = Timeline::default();
     let mut history = History::default();
@@ -32,7 +32,7 @@
 
 #[test]
 fn page_shows_pools_budgets_waves_moves_and_domains() {
-    let (fixture, timeline, history) = two_days();
+    let (fixture, timeline, history) = run_two_days();
     let page = report(&timeline, &fixture.domains, &history).expect("the charts can be drawn");
     for text in ["Budgets:", "Pools:", "Waves:", "Moves,", "learned-1", "s0-1, s0-4, s1-7", "1405"]
     {
@@ -56,21 +56,21 @@
 
 #[test]
 fn samples_are_bounded_and_keep_the_lowest_margin_of_their_interval() {
-    let (_, timeline, _) = two_days();
+    let (_, timeline, _) = run_two_days();
     assert_eq!(timeline.samples.len(), SAMPLES_MAX);
     let span = timeline.samples[1].at_unix_s - timeline.samples[0].at_unix_s;
     assert_eq!(span, SAMPLE_INTERVAL.as_secs());
     let mut fixture = Fixture::new(&SMALL);
     let mut timeline = Timeline::default();
-    let mut note = |fixture: &mut Fixture| {
+    let mut record = |fixture: &mut Fixture| {
         let plan = fixture.round_after(Duration::from_secs(60));
         timeline.record_round(&fixture.view(), &fixture.policy, &plan);
         timeline.samples[0].services["s0"].available
     };
-    let before = note(&mut fixture);
+    let before = record(&mut fixture);
     fixture.fail("s0-0", Symptom::Hanging);
-    let during = note(&mut fixture);
+    let during = record(&mut fixture);
     fixture.observations.symptoms.clear();
-    let after = note(&mut fixture);
+    let after = record(&mut fixture);
     assert_eq!((before, during, after), (9, 8, 8));
 }
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -1,4 +1,4 @@
-//! Fixtures and random schedules.
+//! Fixtures and property tests.
 
 pub(crate) mod fixture;
 pub(crate) mod race;
--- a/crates/fleet/src/tests/fixture.rs
+++ b/crates/fleet/src/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A small fleet whose planning rounds are driven by hand.
+//! A fleet whose planning rounds the test runs one by one.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -20,16 +20,18 @@
 
 const MONDAY_UNIX_S: u64 = 1_767_571_200;
 
-/// Size and floors of a fleet.
+/// Size and floor share of a test fleet.
 pub struct Layout {
     pub zones: usize,
     pub services: usize,
     pub per_service: usize,
     pub spare: usize,
-    pub floor: f64,
+    /// Floor of each service as a share of its instances.
+    pub floor_share: f64,
 }
 
-pub const SMALL: Layout = Layout { zones: 3, services: 2, per_service: 9, spare: 3, floor: 0.5 };
+pub const SMALL: Layout =
+    Layout { zones: 3, services: 2, per_service: 9, spare: 3, floor_share: 0.5 };
 
 pub struct Fixture {
     pub config: Config,
@@ -44,7 +46,8 @@
 }
 
 impl Fixture {
-    /// A fleet of `layout` that is adopted and at rest, with the wave `w` over all zones.
+    /// A fleet of `layout` after its first round, without steps in progress. The wave `w`, which
+    /// covers all zones, is paused.
     pub fn new(layout: &Layout) -> Self {
         let mut fixture = Self {
             config: config(layout, |_| {}),
@@ -61,7 +64,7 @@
         fixture
     }
 
-    /// The fleet with a wave that has started.
+    /// The same fleet with the wave `w` not paused.
     pub fn with_wave(layout: &Layout) -> Self {
         let mut fixture = Self::new(layout);
         fixture.config = config(layout, |raw| {
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Plans one round and puts it in force; the entry instances act on it at once.
+    /// Plans one round and applies it; the entry instances confirm it immediately.
     pub fn round(&mut self) -> Plan {
         let mut plan = plan(&self.view(), &self.policy);
         if plan.next != self.document {
@@ -96,28 +99,28 @@
         plan
     }
 
-    /// Lets time pass and plans a round.
+    /// Advances the clock by `time` and plans a round.
     pub fn round_after(&mut self, time: Duration) -> Plan {
         self.now += time;
         self.round()
     }
 
-    /// Plans a round each minute, with every reboot and trial answered where `answer` says so,
-    /// until `done`.
-    pub fn run_until(&mut self, answer: bool, done: impl Fn(&Self) -> bool) {
+    /// Plans a round each minute until `done`. With `complete`, every reboot and trial request
+    /// succeeds.
+    pub fn run_until(&mut self, complete: bool, done: impl Fn(&Self) -> bool) {
         for _ in 0..1_000 {
             if done(self) {
                 return;
             }
             self.round_after(Duration::from_secs(60));
-            if answer {
+            if complete {
                 self.complete_requests();
             }
         }
         panic!("not done after a thousand minutes");
     }
 
-    /// Lets every reboot and trial that the document asks for succeed.
+    /// Completes every reboot and trial request of the steps in the document.
     pub fn complete_requests(&mut self) {
         for (id, placement) in &self.document.placements {
             let Some(step) = &placement.step else { continue };
@@ -145,13 +148,13 @@
         self.placement(id).step.as_ref()
     }
 
-    /// Ids of the instances with a step that `predicate` picks.
+    /// Ids of the instances with a step that satisfies `predicate`.
     pub fn with_step(&self, predicate: impl Fn(&StepKind) -> bool) -> Vec<InstanceId> {
         let placements = self.document.placements.iter();
-        let chosen = placements.filter(|(_, placement)| {
+        let matching = placements.filter(|(_, placement)| {
             placement.step.as_ref().is_some_and(|step| predicate(&step.kind))
         });
-        chosen.map(|(id, _)| id.clone()).collect()
+        matching.map(|(id, _)| id.clone()).collect()
     }
 
     pub fn maintaining(&self) -> Vec<InstanceId> {
@@ -159,7 +162,7 @@
     }
 }
 
-/// Configuration of `layout`, changed by `change` before the check.
+/// Configuration of `layout`, modified by `change` before validation.
 pub fn config(layout: &Layout, change: impl Fn(&mut RawConfig)) -> Config {
     let zones: Vec<String> = (0..layout.zones).map(|zone| format!("z{zone}")).collect();
     let services: Vec<String> = (0..layout.services).map(|service| format!("s{service}")).collect();
@@ -172,7 +175,7 @@
         raw["zones"][zone] = serde_json::json!({"region": "r"});
     }
     for service in &services {
-        raw["services"][service] = serde_json::json!({"floor_share": layout.floor});
+        raw["services"][service] = serde_json::json!({"floor_share": layout.floor_share});
         raw["pools"][service] = serde_json::json!({"service": service});
     }
     raw["waves"]["w"] = serde_json::json!({
@@ -186,7 +189,8 @@
     Config::try_from(raw).expect("the configuration is valid")
 }
 
-/// Instances of `layout`: zones in turn, four to a rack, racks shared by all services.
+/// Instances of `layout`, spread over the zones in rotation; racks have four instances of any
+/// service.
 pub fn listed(layout: &Layout) -> ListedInstances {
     let pools = (0..layout.services).map(|service| (format!("s{service}"), layout.per_service));
     let mut placed = vec![0; layout.zones];
--- a/crates/fleet/src/tests/race.rs
+++ b/crates/fleet/src/tests/race.rs
@@ -1,5 +1,5 @@
-//! Two controllers on one store that both believe to be in control: they race, one is paused
-//! in the middle of a round, answers are lost, the store is down.
+//! Two controllers on one store that both believe that they hold control: they run concurrently,
+//! one is paused during a round, responses are lost, the store is unavailable.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -22,16 +22,16 @@
 use crate::tests::schedule::broken_by_plan;
 use crate::view::{ListedInstances, Observations};
 
-const LAYOUT: Layout = Layout { zones: 3, services: 2, per_service: 8, spare: 2, floor: 0.6 };
+const LAYOUT: Layout = Layout { zones: 3, services: 2, per_service: 8, spare: 2, floor_share: 0.6 };
 
-/// What the whole fleet is like.
+/// Conditions of the whole fleet.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Conditions {
     pub failing: BTreeSet<InstanceId>,
     elapsed: Duration,
 }
 
-/// One controller's surroundings.
+/// Dependencies of one controller.
 pub(crate) struct TestEnvironment {
     store: MemoryStore,
     instances: MemoryInstances,
@@ -86,9 +86,9 @@
 enum Action {
     Round(bool),
     Race,
-    /// The first controller stops in the middle of its round while the other goes on.
+    /// The first controller is paused during its round while the other one continues.
     Pause(u64),
-    Lose(WriteFault),
+    FailWrite(WriteFault),
     Outage,
     Fail(Vec<usize>),
     Recover,
@@ -106,7 +106,7 @@
         Just(Action::Race),
         Just(Action::Race),
         (1_u64..20).prop_map(Action::Pause),
-        faults.prop_map(Action::Lose),
+        faults.prop_map(Action::FailWrite),
         Just(Action::Outage),
         prop::collection::vec(0_usize..18, 1..3).prop_map(Action::Fail),
         Just(Action::Recover),
@@ -122,11 +122,11 @@
     conditions: Arc<Mutex<Conditions>>,
     config: Arc<Config>,
     listed: ListedInstances,
-    /// Worlds since the last document was written.
+    /// Conditions since the last document was written.
     recent_conditions: Vec<Conditions>,
     document: FleetDocument,
     revision: u64,
-    /// Request ids of every step that came to its reboot.
+    /// Request ids of all steps whose reboot was decided.
     reboots: BTreeSet<Arc<str>>,
 }
 
@@ -144,8 +144,8 @@
         let controller = |name: &str| {
             let handle = FleetHandle::default();
             let client = store.client(name);
-            let (follower, followed) = (handle.clone(), client.clone());
-            tokio::spawn(async move { follower.watch_store(followed).await });
+            let (watching_handle, watched_store) = (handle.clone(), client.clone());
+            tokio::spawn(async move { watching_handle.watch_store(watched_store).await });
             let environment = TestEnvironment {
                 store: client,
                 instances: instances.clone(),
@@ -171,14 +171,14 @@
         }
     }
 
-    pub fn change(&mut self, change: impl FnOnce(&mut Conditions)) {
+    pub fn change_conditions(&mut self, change: impl FnOnce(&mut Conditions)) {
         let mut conditions =
             self.conditions.lock().expect("no test panics while it holds the lock");
         change(&mut conditions);
         self.recent_conditions.push(conditions.clone());
     }
 
-    async fn act(&mut self, action: &Action) {
+    async fn apply(&mut self, action: &Action) {
         match action {
             Action::Round(true) => drop(self.first.round().await),
             Action::Round(false) => drop(self.second.round().await),
@@ -186,7 +186,7 @@
                 tokio::join!(self.first.round(), self.second.round());
             }
             Action::Pause(seconds) => self.pause(Duration::from_secs(*seconds)).await,
-            Action::Lose(fault) => self.store.faults().fail_writes(1, *fault),
+            Action::FailWrite(fault) => self.store.faults().fail_writes(1, *fault),
             Action::Outage => {
                 self.store.faults().set_outage(true);
                 tokio::join!(self.first.round(), self.second.round());
@@ -195,22 +195,23 @@
             }
             Action::Fail(numbers) => {
                 let ids: Vec<InstanceId> = self.listed.keys().cloned().collect();
-                let hit = numbers.iter().map(|number| ids[number % ids.len()].clone());
-                self.change(|conditions| conditions.failing.extend(hit));
+                let affected = numbers.iter().map(|number| ids[number % ids.len()].clone());
+                self.change_conditions(|conditions| conditions.failing.extend(affected));
             }
-            Action::Recover => self.change(|conditions| conditions.failing.clear()),
+            Action::Recover => self.change_conditions(|conditions| conditions.failing.clear()),
             Action::Wait(seconds) => self.wait(Duration::from_secs(*seconds)).await,
         }
         self.check().await;
     }
 
-    /// Lets time pass on the wall clock and on the monotonic one.
+    /// Advances the wall clock and the monotonic clock.
     pub async fn wait(&mut self, time: Duration) {
-        self.change(|conditions| conditions.elapsed += time);
+        self.change_conditions(|conditions| conditions.elapsed += time);
         sleep(time).await;
     }
 
-    /// Delays the calls of the first controller's round, so that the other writes in between.
+    /// Delays the store calls of the first controller's round, so that the other controller writes
+    /// in between.
     async fn pause(&mut self, pause: Duration) {
         self.store.faults().set_delay(Duration::from_millis(900));
         let faults = self.store.faults();
@@ -230,7 +231,8 @@
         if record.is_none_or(|record| record.revision <= self.revision) {
             return;
         }
-        let mut watch = self.store.watch(DOCUMENT_KEY, self.revision).await.expect("it is up");
+        let mut watch =
+            self.store.watch(DOCUMENT_KEY, self.revision).await.expect("the store is up");
         let changes = watch.next().await.expect("the store is up");
         watch.close();
         for change in changes {
@@ -265,7 +267,7 @@
         broken_by_plan(&self.config, &self.listed, failing, before, document).is_none()
     }
 
-    /// Each reboot was decided in a stored document, and no decision was carried out twice.
+    /// Checks that each reboot was decided in a stored document and requested only once.
     fn check_reboots(&self) {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for reboot in self.instances.reboots() {
@@ -287,7 +289,7 @@
     runtime.block_on(async {
         let mut race = Race::new();
         for action in actions {
-            race.act(action).await;
+            race.apply(action).await;
         }
         race.reboots.len()
     })
--- a/crates/fleet/src/tests/schedule.rs
+++ b/crates/fleet/src/tests/schedule.rs
@@ -1,5 +1,6 @@
-//! Random schedules of failures, zone changes, demand and time, checked after each round against
-//! a twin that counts from the instances themselves and tries the failure of each domain.
+//! Random schedules of failures, zone changes, demand and time. After each round, the availability
+//! budgets are checked against a brute-force model that counts the instances one by one and tries
+//! the failure of each rack.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,9 +13,9 @@
 use crate::tests::fixture::{Fixture, Layout};
 use crate::view::ListedInstances;
 
-const LAYOUT: Layout = Layout { zones: 3, services: 3, per_service: 8, spare: 4, floor: 0.6 };
+const LAYOUT: Layout = Layout { zones: 3, services: 3, per_service: 8, spare: 4, floor_share: 0.6 };
 
-/// What happens before a round.
+/// Event before a round.
 #[derive(Debug, Clone)]
 enum Event {
     Fail(Vec<usize>),
@@ -46,7 +47,7 @@
     ]
 }
 
-/// Instances that serve `service`, counted one by one.
+/// Available instances of `service`, found one by one.
 pub fn serving(
     config: &Config,
     listed: &ListedInstances,
@@ -66,7 +67,7 @@
     listed.keys().filter(|id| serves(id)).cloned().collect()
 }
 
-/// Instances whose home is a pool of `service`, and its floor.
+/// Number of instances whose home is a pool of `service`, and the floor of the service.
 fn home_and_floor(
     config: &Config,
     document: &FleetDocument,
@@ -80,26 +81,26 @@
     (home, config.services[service].floor.instances(home))
 }
 
-/// Fewest instances that `service` needs with `up` in service: the floor, and more if the worst
-/// rack may fail, as far as a service at full strength could ever bear it.
-fn needed(
+/// Minimum number of instances of `service` if `available` are in service: the floor plus a reserve
+/// for the worst rack, limited so that one instance of a complete service can be taken out.
+fn required(
     config: &Config,
     listed: &ListedInstances,
     document: &FleetDocument,
-    up: &[InstanceId],
+    available: &[InstanceId],
     service: &ServiceId,
 ) -> usize {
     let (home, floor) = home_and_floor(config, document, service);
     let mut racks: BTreeMap<_, usize> = BTreeMap::new();
-    for id in up {
+    for id in available {
         *racks.entry((&listed[id].zone, &listed[id].rack)).or_default() += 1;
     }
     let worst = racks.values().max().copied().unwrap_or(0);
     floor + worst.min(home.saturating_sub(floor + 1))
 }
 
-/// First service whose budget a step that was planned between two documents broke. A move to a
-/// service that is below its floor may use the reserve.
+/// First service whose budget is broken by a step that started between two documents. A move to a
+/// service below its floor may use the reserve.
 pub fn broken_by_plan(
     config: &Config,
     listed: &ListedInstances,
@@ -110,7 +111,7 @@
     let serving = |service: &ServiceId| serving(config, listed, failing, after, service);
     let below_floor =
         |service: &ServiceId| serving(service).len() < home_and_floor(config, after, service).1;
-    let mut rescues: BTreeMap<ServiceId, bool> = BTreeMap::new();
+    let mut reserve_allowed: BTreeMap<ServiceId, bool> = BTreeMap::new();
     for (id, placement) in &after.placements {
         let Some(old) = before.placements.get(id) else { continue };
         let Some(step) = placement.step.as_ref().filter(|_| old.step.is_none()) else { continue };
@@ -118,21 +119,21 @@
         if placement.failure.is_some() || failing.contains(id) {
             continue;
         }
-        let rescue = match &step.kind {
+        let allowed = match &step.kind {
             StepKind::Move { to, .. } => config.pools[to].service.as_ref().is_some_and(below_floor),
             StepKind::Maintain { .. } | StepKind::Repair => false,
         };
-        *rescues.entry(service.clone()).or_default() |= rescue;
+        *reserve_allowed.entry(service.clone()).or_default() |= allowed;
     }
-    let broken = |(service, rescue): &(ServiceId, bool)| {
-        let up = serving(service);
-        let needed = match rescue {
+    let broken = |(service, allowed): &(ServiceId, bool)| {
+        let available = serving(service);
+        let required = match allowed {
             true => home_and_floor(config, after, service).1,
-            false => needed(config, listed, after, &up, service),
+            false => required(config, listed, after, &available, service),
         };
-        up.len() < needed
+        available.len() < required
     };
-    rescues.into_iter().find(broken).map(|(service, _)| service)
+    reserve_allowed.into_iter().find(broken).map(|(service, _)| service)
 }
 
 struct Schedule {
@@ -164,9 +165,10 @@
             Event::FailRack(number) => {
                 let rack = self.fixture.listed[&self.id(*number)].clone();
                 let listed = self.fixture.listed.values();
-                let hit = listed.filter(|it| (&it.zone, &it.rack) == (&rack.zone, &rack.rack));
-                let hit: Vec<InstanceId> = hit.map(|instance| instance.id.clone()).collect();
-                hit.iter().for_each(|id| self.fixture.fail(id, Symptom::Hanging));
+                let affected = listed.filter(|it| (&it.zone, &it.rack) == (&rack.zone, &rack.rack));
+                let affected: Vec<InstanceId> =
+                    affected.map(|instance| instance.id.clone()).collect();
+                affected.iter().for_each(|id| self.fixture.fail(id, Symptom::Hanging));
             }
             Event::Recover => self.fixture.observations.symptoms.clear(),
             Event::ToggleZone(zone) => {
@@ -204,17 +206,18 @@
         assert_eq!(broken, None, "the budget of a service is broken");
     }
 
-    /// Reboots and moves only what is drained, everywhere confirmed, or failing for long.
+    /// Checks that instances are rebooted or moved only after a confirmed drain, or if they are
+    /// failing.
     fn check_steps(&self, before: &FleetDocument, confirmed: u64) {
         for (id, placement) in &self.fixture.document.placements {
             let Some(old) = before.placements.get(id) else { continue };
             let Some(step) = &old.step else { continue };
             let running = self.fixture.observations.running(id);
             let rebooting = placement.step.as_ref().is_some_and(|it| it.phase == Phase::Rebooting);
-            // Nothing runs on a spare instance, so it needs no drain.
+            // No request runs on a spare instance, so it needs no drain.
             let moved = placement.pool != old.pool && &*old.pool != "spare";
             if step.phase == Phase::Draining && (rebooting || moved) {
-                assert!(confirmed >= step.document_number, "{id} was not out of work everywhere");
+                assert!(confirmed >= step.document_number, "the drain of {id} was not confirmed");
                 assert!(running == 0 || old.failure.is_some() || placement.failure.is_some());
             }
             if moved && step.phase != Phase::Trying {
--- a/crates/fleet/src/wave/tests.rs
+++ b/crates/fleet/src/wave/tests.rs
@@ -23,7 +23,7 @@
     maintenance_refusal(&round, &id.into()).code
 }
 
-/// Runs rounds until the wave is done; returns the order in which zones were maintained.
+/// Runs rounds until the wave is done; returns the zones in the order of their maintenance.
 fn run_wave(fixture: &mut Fixture) -> Vec<std::sync::Arc<str>> {
     let mut zones: Vec<std::sync::Arc<str>> = Vec::new();
     for _ in 0..3_000 {
@@ -56,7 +56,7 @@
 
 #[test]
 fn wave_skips_a_zone_out_of_service_and_maintains_it_later() {
-    let mut fixture = Fixture::with_wave(&Layout { floor: 0.1, ..SMALL });
+    let mut fixture = Fixture::with_wave(&Layout { floor_share: 0.1, ..SMALL });
     fixture.config.zones.get_mut("z0").expect("the zone exists").out = true;
     for _ in 0..300 {
         fixture.round_after(MINUTE);
@@ -164,31 +164,39 @@
 
 #[test]
 fn blackout_covers_its_hours_in_utc() {
-    let (wave, six) = saturday_morning();
-    let inside: Vec<bool> = [six - MINUTE, six, six + 6 * HOUR - MINUTE, six + 6 * HOUR]
-        .map(|time| in_blackout(&wave, time))
-        .to_vec();
+    let (wave, blackout_start) = saturday_morning();
+    let inside: Vec<bool> = [
+        blackout_start - MINUTE,
+        blackout_start,
+        blackout_start + 6 * HOUR - MINUTE,
+        blackout_start + 6 * HOUR,
+    ]
+    .map(|time| in_blackout(&wave, time))
+    .to_vec();
     assert_eq!(inside, [false, true, true, false]);
 }
 
 #[test]
 fn drain_that_could_reach_into_a_blackout_does_not_start() {
-    let (wave, six) = saturday_morning();
+    let (wave, blackout_start) = saturday_morning();
     let mut fixture = Fixture::with_wave(&SMALL);
     fixture.config.waves.insert("w".into(), wave);
-    fixture.now = six - 9 * MINUTE;
+    fixture.now = blackout_start - 9 * MINUTE;
     assert_eq!(code(&fixture, "s0-0"), FleetCode::Blackout);
-    fixture.now = six - 11 * MINUTE;
+    fixture.now = blackout_start - 11 * MINUTE;
     assert_eq!(code(&fixture, "s0-0"), FleetCode::Due);
 }
 
 #[test]
 fn forecast_excludes_blackout_hours() {
-    let (wave, six) = saturday_morning();
-    assert_eq!(time_outside_blackouts(&wave, six - HOUR, six + 7 * HOUR), 2 * HOUR);
-    let end = completion_time(&wave, six - HOUR, 2 * HOUR, 48 * HOUR);
-    assert_eq!(end, Some(six + 7 * HOUR));
-    assert_eq!(completion_time(&wave, six, 2 * HOUR, HOUR), None);
+    let (wave, blackout_start) = saturday_morning();
+    assert_eq!(
+        time_outside_blackouts(&wave, blackout_start - HOUR, blackout_start + 7 * HOUR),
+        2 * HOUR
+    );
+    let end = completion_time(&wave, blackout_start - HOUR, 2 * HOUR, 48 * HOUR);
+    assert_eq!(end, Some(blackout_start + 7 * HOUR));
+    assert_eq!(completion_time(&wave, blackout_start, 2 * HOUR, HOUR), None);
 }
 
 #[test]
