--- a/crates/fleet/benches/round.rs
+++ b/crates/fleet/benches/round.rs
@@ -1,4 +1,4 @@
-//! Time of one planning round by number of instances.
+//! Benchmark of one planning round by number of instances.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -14,7 +14,7 @@
 
 const START_UNIX_S: u64 = 1_767_571_200;
 const ZONES: usize = 4;
-const PER_SERVICE: usize = 20;
+const INSTANCES_PER_SERVICE: usize = 20;
 
 fn config(services: usize) -> Config {
     let mut raw = serde_json::json!({
@@ -38,7 +38,7 @@
 
 fn listed(instances: usize) -> ListedInstances {
     let instance = |number: usize| {
-        let service = number / PER_SERVICE;
+        let service = number / INSTANCES_PER_SERVICE;
         let id: std::sync::Arc<str> = format!("s{service:02}-{number}").into();
         let instance = ListedInstance {
             id: id.clone(),
@@ -55,7 +55,7 @@
 fn round(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("planning round");
     for instances in [50, 100, 400, 870] {
-        let config = config(instances / PER_SERVICE);
+        let config = config(instances / INSTANCES_PER_SERVICE);
         let listed = listed(instances);
         let empty = FleetDocument::default();
         let view = View {
--- a/crates/fleet/examples/measure/domains.rs
+++ b/crates/fleet/examples/measure/domains.rs
@@ -1,4 +1,4 @@
-//! Failure domains: precision and recall after shared failures, and false alarms.
+//! Learned failure domains: precision and recall after shared failures, and false alarms.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime};
@@ -12,21 +12,21 @@
 
 const DAY: Duration = Duration::from_secs(86_400);
 const FAILURES_PER_DAY: f64 = 6.0;
-/// Chance that a member of a feed fails with it.
-const FEED_SHARE: f64 = 0.8;
+/// Probability that a member of a power feed fails together with the feed.
+const MEMBER_FAILURE_PROBABILITY: f64 = 0.8;
 /// Days between two failures of one feed.
-const FEED_DAYS: u32 = 45;
+const FEED_FAILURE_INTERVAL_DAYS: u32 = 45;
 const SEEDS: u64 = 20;
 
-const FIFTY: Layout =
-    Layout { name: "50", zones: 3, services: 5, per_service: 9, spare: 5, floor: 0.6 };
-const LETTER: Layout =
-    Layout { name: "870", zones: 8, services: 43, per_service: 20, spare: 10, floor: 0.6 };
+const SMALL: Layout =
+    Layout { name: "50", zones: 3, services: 5, per_service: 9, spare: 5, floor_share: 0.6 };
+const LARGE: Layout =
+    Layout { name: "870", zones: 8, services: 43, per_service: 20, spare: 10, floor_share: 0.6 };
 
 type Failures = Vec<(SystemTime, InstanceId)>;
 
 pub fn measure() {
-    for layout in [FIFTY, LETTER] {
+    for layout in [SMALL, LARGE] {
         let listed = layout.listed();
         for shared in [1, 2, 3, 5] {
             measure_shared(&layout, &listed, shared);
@@ -37,30 +37,31 @@
 
 fn measure_shared(layout: &Layout, listed: &ListedInstances, shared: u32) {
     let feeds = feeds(listed);
-    let (mut right, mut found, mut truth) = (0, 0, 0);
+    let (mut correct, mut found, mut expected) = (0, 0, 0);
     for seed in 0..SEEDS {
         let mut rng = StdRng::seed_from_u64(seed);
-        let days = shared * FEED_DAYS;
-        let mut failures = ordinary(&mut rng, listed, days);
+        let days = shared * FEED_FAILURE_INTERVAL_DAYS;
+        let mut failures = independent_failures(&mut rng, listed, days);
         for feed in &feeds {
             for number in 0..shared {
-                let day = f64::from(number * FEED_DAYS) + rng.random::<f64>() * 40.0;
-                share(&mut rng, &mut failures, feed, start() + DAY.mul_f64(day));
+                let day =
+                    f64::from(number * FEED_FAILURE_INTERVAL_DAYS) + rng.random::<f64>() * 40.0;
+                add_shared_failure(&mut rng, &mut failures, feed, start() + DAY.mul_f64(day));
             }
         }
         let domains = learn(listed, failures);
         let groups = domains.suspected().map(|group| pairs(group.members.keys()));
         let suspected: BTreeSet<_> = groups.flatten().collect();
         let real: BTreeSet<_> = feeds.iter().flat_map(pairs).collect();
-        right += suspected.intersection(&real).count();
+        correct += suspected.intersection(&real).count();
         found += suspected.len();
-        truth += real.len();
+        expected += real.len();
     }
     let line = serde_json::json!({
         "measure": "failure domains", "instances": layout.name, "feeds": feeds.len(),
         "shared_failures": shared, "seeds": SEEDS,
-        "precision": right as f64 / (found.max(1)) as f64,
-        "recall": right as f64 / truth as f64,
+        "precision": correct as f64 / (found.max(1)) as f64,
+        "recall": correct as f64 / expected as f64,
     });
     println!("{line}");
 }
@@ -69,7 +70,7 @@
     let mut alarms = Vec::new();
     for seed in 0..SEEDS {
         let mut rng = StdRng::seed_from_u64(1_000 + seed);
-        let failures = ordinary(&mut rng, listed, 365);
+        let failures = independent_failures(&mut rng, listed, 365);
         alarms.push(learn(listed, failures).suspected().count());
     }
     let line = serde_json::json!({
@@ -79,7 +80,7 @@
     println!("{line}");
 }
 
-fn ordinary(rng: &mut StdRng, listed: &ListedInstances, days: u32) -> Failures {
+fn independent_failures(rng: &mut StdRng, listed: &ListedInstances, days: u32) -> Failures {
     let ids: Vec<&InstanceId> = listed.keys().collect();
     let count = (FAILURES_PER_DAY * f64::from(days)) as usize;
     let failure = |_| {
@@ -89,10 +90,15 @@
     (0..count).map(failure).collect()
 }
 
-/// Members of the feed fail within ten seconds.
-fn share(rng: &mut StdRng, failures: &mut Failures, feed: &[InstanceId], at: SystemTime) {
+/// Adds failures of members of the feed within ten seconds.
+fn add_shared_failure(
+    rng: &mut StdRng,
+    failures: &mut Failures,
+    feed: &[InstanceId],
+    at: SystemTime,
+) {
     for id in feed {
-        if rng.random_bool(FEED_SHARE) {
+        if rng.random_bool(MEMBER_FAILURE_PROBABILITY) {
             failures.push((at + Duration::from_secs_f64(rng.random::<f64>() * 10.0), id.clone()));
         }
     }
--- a/crates/fleet/examples/measure/main.rs
+++ b/crates/fleet/examples/measure/main.rs
@@ -1,7 +1,8 @@
-//! Measures the fleet's decisions in accelerated time; prints one JSON line for each measurement.
+//! Measures the planner in simulated time; prints one JSON line for each measurement.
 //!
 //! `cargo run --release -p cassiafold-fleet --example measure -- [domains] [rounds] [deployments]`
-//! and, to run the deployments of one planner only, `learned`, `racks` or `naive`.
+//!
+//! To run the deployments of one planner only, pass `learned`, `racks` or `naive`.
 
 mod deployment;
 mod domains;
@@ -11,18 +12,18 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let wanted = |name: &str| arguments.is_empty() || arguments.iter().any(|it| it == name);
-    if wanted("domains") {
+    let selected = |name: &str| arguments.is_empty() || arguments.iter().any(|it| it == name);
+    if selected("domains") {
         domains::measure();
     }
-    if wanted("rounds") {
+    if selected("rounds") {
         rounds::measure();
     }
     let planners: Vec<&str> = ["learned", "racks", "naive"]
         .into_iter()
         .filter(|planner| arguments.iter().any(|argument| argument == planner))
         .collect();
-    if wanted("deployments") || !planners.is_empty() {
+    if selected("deployments") || !planners.is_empty() {
         deployment::measure(&planners);
     }
 }
--- a/crates/fleet/examples/measure/naive.rs
+++ b/crates/fleet/examples/measure/naive.rs
@@ -1,5 +1,6 @@
-//! A naive planner: goes by the floor alone, in the order of the list, and moves spare instances
-//! to where work waits and back as soon as it does not.
+//! A naive planner as the baseline of the measurements: it considers only the floor, maintains
+//! instances in the order of the list, and moves spare instances to services with unmet demand and
+//! back as soon as the demand is gone.
 
 use std::time::Duration;
 
@@ -8,7 +9,7 @@
 use cassiafold_fleet::demand::demand_instances;
 use cassiafold_fleet::{FleetDocument, Phase, Placement, Policy, Step, StepKind, View};
 
-/// One round: steps in progress, repairs, moves, maintenance.
+/// Plans one round; returns the next document and the number of moves.
 pub fn plan(view: &View<'_>, policy: &Policy) -> (FleetDocument, u32) {
     let mut next = view.document.clone();
     let mut moves = 0;
@@ -18,15 +19,15 @@
             let pool = pool.expect("there is a spare pool").clone();
             next.placements.insert(id.clone(), Placement::new(pool));
         }
-        moves += advance(view, &mut next, id);
+        moves += advance_step(view, &mut next, id);
     }
     for service in view.config.services.keys() {
-        moves += balance(view, &mut next, service);
+        moves += move_for_demand(view, &mut next, service);
     }
     let ids: Vec<InstanceId> = next.placements.keys().cloned().collect();
     for id in &ids {
         if view.observations.symptoms.contains_key(id) && next.placements[id].step.is_none() {
-            begin(view, &mut next, id, StepKind::Repair);
+            start_step(view, &mut next, id, StepKind::Repair);
         }
     }
     let limit = (policy.maintenance_share_max * ids.len() as f64) as usize;
@@ -43,7 +44,7 @@
             && view.available(id, placement)
             && above_floor(view, &next, id)
         {
-            begin(view, &mut next, id, StepKind::Maintain { wave: "w".into() });
+            start_step(view, &mut next, id, StepKind::Maintain { wave: "w".into() });
             maintained += 1;
         }
     }
@@ -61,7 +62,7 @@
     serving.count() > view.config.services[service].floor.instances(home.count())
 }
 
-fn begin(view: &View<'_>, next: &mut FleetDocument, id: &InstanceId, kind: StepKind) {
+fn start_step(view: &View<'_>, next: &mut FleetDocument, id: &InstanceId, kind: StepKind) {
     let step = Step {
         kind,
         phase: Phase::Draining,
@@ -69,11 +70,11 @@
         started: view.now,
         phase_started: view.now,
     };
-    next.placements.get_mut(id).expect("placed").step = Some(step);
+    next.placements.get_mut(id).expect("the instance has a placement").step = Some(step);
 }
 
-fn advance(view: &View<'_>, next: &mut FleetDocument, id: &InstanceId) -> u32 {
-    let placement = next.placements.get_mut(id).expect("placed");
+fn advance_step(view: &View<'_>, next: &mut FleetDocument, id: &InstanceId) -> u32 {
+    let placement = next.placements.get_mut(id).expect("the instance has a placement");
     let Some(step) = &mut placement.step else { return 0 };
     let waited = view.now.duration_since(step.phase_started).unwrap_or_default();
     let request = step.request_id(id);
@@ -102,7 +103,11 @@
     0
 }
 
-fn balance(view: &View<'_>, next: &mut FleetDocument, service: &std::sync::Arc<str>) -> u32 {
+fn move_for_demand(
+    view: &View<'_>,
+    next: &mut FleetDocument,
+    service: &std::sync::Arc<str>,
+) -> u32 {
     let need = demand_instances(view, service);
     let serving: Vec<InstanceId> = next
         .placements
@@ -117,13 +122,13 @@
             view.service_of(placement).is_none() && view.available(id, placement)
         });
         let Some(id) = spare.map(|(id, _)| id.clone()) else { return 0 };
-        next.placements.get_mut(&id).expect("placed").pool = service.clone();
+        next.placements.get_mut(&id).expect("the instance has a placement").pool = service.clone();
         return 1;
     }
-    let loaned = serving.iter().find(|id| next.placements[*id].home != next.placements[*id].pool);
-    if let Some(id) = loaned.filter(|_| serving.len() > need).cloned() {
+    let borrowed = serving.iter().find(|id| next.placements[*id].home != next.placements[*id].pool);
+    if let Some(id) = borrowed.filter(|_| serving.len() > need).cloned() {
         let to = next.placements[&id].home.clone();
-        begin(view, next, &id, StepKind::Move { to, permanent: false });
+        start_step(view, next, &id, StepKind::Move { to, permanent: false });
     }
     0
 }
--- a/crates/fleet/examples/measure/rounds.rs
+++ b/crates/fleet/examples/measure/rounds.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of one planning round by number of instances.
+//! CPU time and memory of one planning round by number of instances.
 
 use std::time::{Duration, Instant};
 
@@ -13,10 +13,10 @@
 const ROUNDS: u32 = 200;
 
 const SIZES: [Layout; 4] = [
-    Layout { name: "50", zones: 3, services: 5, per_service: 9, spare: 5, floor: 0.6 },
-    Layout { name: "100", zones: 4, services: 5, per_service: 19, spare: 5, floor: 0.6 },
-    Layout { name: "400", zones: 4, services: 20, per_service: 19, spare: 20, floor: 0.6 },
-    Layout { name: "870", zones: 8, services: 43, per_service: 20, spare: 10, floor: 0.6 },
+    Layout { name: "50", zones: 3, services: 5, per_service: 9, spare: 5, floor_share: 0.6 },
+    Layout { name: "100", zones: 4, services: 5, per_service: 19, spare: 5, floor_share: 0.6 },
+    Layout { name: "400", zones: 4, services: 20, per_service: 19, spare: 20, floor_share: 0.6 },
+    Layout { name: "870", zones: 8, services: 43, per_service: 20, spare: 10, floor_share: 0.6 },
 ];
 
 pub fn measure() {
@@ -53,9 +53,9 @@
     let document = plan(&view, &policy).next;
     let view = View { document: &document, now: start() + Duration::from_secs(1), ..view };
     let round = time(&view, &policy);
-    measure_busy(&view, layout);
+    measure_peak(&view, layout);
     let before = resident_bytes();
-    let held: Vec<(Plan, Budgets)> = (0..ROUNDS)
+    let retained: Vec<(Plan, Budgets)> = (0..ROUNDS)
         .map(|_| {
             let round = plan(&view, &policy);
             let index = cassiafold_fleet::domain::DomainIndex::new(&listed, &domains);
@@ -63,7 +63,7 @@
             (round, budgets)
         })
         .collect();
-    let memory_bytes = resident_bytes().saturating_sub(before) / held.len();
+    let memory_bytes = resident_bytes().saturating_sub(before) / retained.len();
     let line = serde_json::json!({
         "measure": "planning round", "instances": listed.len(), "rounds": ROUNDS,
         "round_us": round.as_secs_f64() * 1e6, "round_held_bytes": memory_bytes,
@@ -73,8 +73,9 @@
     (round, memory_bytes)
 }
 
-/// A fifth of the services asks for more than its pool holds, and the spare pool is used up.
-fn measure_busy(view: &View<'_>, layout: &Layout) {
+/// Measures a round in which a fifth of the services needs more instances than its pool has and the
+/// spare pool is exhausted.
+fn measure_peak(view: &View<'_>, layout: &Layout) {
     let mut observations = Observations { confirmed: u64::MAX, ..Observations::default() };
     for service in view.config.services.keys().step_by(5) {
         let waiting = layout.per_service as u32 * 8 * 13 / 10;
@@ -97,14 +98,14 @@
 }
 
 fn time(view: &View<'_>, policy: &Policy) -> Duration {
-    let begin = Instant::now();
+    let start = Instant::now();
     for _ in 0..ROUNDS {
         std::hint::black_box(plan(std::hint::black_box(view), policy));
     }
-    begin.elapsed() / ROUNDS
+    start.elapsed() / ROUNDS
 }
 
-/// Resident memory of this process.
+/// Resident memory of this process, in bytes.
 fn resident_bytes() -> usize {
     const PAGE_BYTES: usize = 4_096;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -112,7 +113,7 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Slope of the least-squares line.
+/// Slope of the least-squares regression line.
 fn slope(points: impl Iterator<Item = (f64, f64)>) -> f64 {
     let points: Vec<(f64, f64)> = points.collect();
     let count = points.len() as f64;
--- a/crates/fleet/examples/measure/world.rs
+++ b/crates/fleet/examples/measure/world.rs
@@ -1,4 +1,5 @@
-//! Synthetic fleets: instances, racks and power feeds that no list shows.
+//! Synthetic fleets: instances, racks and power feeds. The platform's list does not contain the
+//! feeds.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -14,7 +15,7 @@
 const WAVE_DAYS: u64 = 21;
 const INSTANCES_PER_RACK: usize = 4;
 
-/// Size of a fleet.
+/// Size and floor share of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Layout {
     pub name: &'static str,
@@ -22,7 +23,8 @@
     pub services: usize,
     pub per_service: usize,
     pub spare: usize,
-    pub floor: f64,
+    /// Floor of each service as a share of its instances.
+    pub floor_share: f64,
 }
 
 pub fn start() -> SystemTime {
@@ -40,7 +42,7 @@
             raw["zones"][zone] = serde_json::json!({"region": "r"});
         }
         for service in (0..self.services).map(|service| format!("s{service:02}")) {
-            raw["services"][&service] = serde_json::json!({"floor_share": self.floor});
+            raw["services"][&service] = serde_json::json!({"floor_share": self.floor_share});
             raw["pools"][&service] = serde_json::json!({"service": service});
         }
         raw["waves"]["w"] = serde_json::json!({
@@ -52,7 +54,8 @@
         Config::try_from(raw).expect("the configuration is valid")
     }
 
-    /// Instances: zones in turn; in a zone, racks in turn, so that a rack mixes services.
+    /// Instances, spread over zones and over the racks of a zone in rotation, so that a rack has
+    /// instances of several services.
     pub fn listed(&self) -> ListedInstances {
         let pools = (0..self.services).map(|service| (format!("s{service:02}"), self.per_service));
         let pools: Vec<(String, usize)> = pools.chain([("spare".to_owned(), self.spare)]).collect();
@@ -78,20 +81,20 @@
     }
 }
 
-/// Power feeds: each feeds four racks of one zone that lie apart.
+/// Instances of each power feed. A feed supplies about four nonadjacent racks of one zone.
 pub fn feeds(listed: &ListedInstances) -> Vec<Vec<InstanceId>> {
     let mut racks: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for instance in listed.values() {
-        let known = racks.entry(&instance.zone).or_default();
-        if !known.contains(&&*instance.rack) {
-            known.push(&instance.rack);
+        let zone_racks = racks.entry(&instance.zone).or_default();
+        if !zone_racks.contains(&&*instance.rack) {
+            zone_racks.push(&instance.rack);
         }
     }
     let mut feeds: BTreeMap<(String, usize), Vec<InstanceId>> = BTreeMap::new();
     for instance in listed.values() {
-        let known = &racks[&*instance.zone];
-        let position = known.iter().position(|rack| *rack == &*instance.rack).unwrap_or(0);
-        let feed = position % known.len().div_ceil(4).max(2);
+        let zone_racks = &racks[&*instance.zone];
+        let position = zone_racks.iter().position(|rack| *rack == &*instance.rack).unwrap_or(0);
+        let feed = position % zone_racks.len().div_ceil(4).max(2);
         feeds.entry((instance.zone.to_string(), feed)).or_default().push(instance.id.clone());
     }
     feeds.into_values().collect()
--- a/crates/fleet/src/domain/tests.rs
+++ b/crates/fleet/src/domain/tests.rs
@@ -22,7 +22,7 @@
     listed(&Layout { zones: 8, services: 43, per_service: 20, spare: 10, floor_share: 0.5 })
 }
 
-/// Instances of a power feed: every `step`th instance of zone `z0` from `first`, in several racks.
+/// Instances of a power feed: every `step`th instance of zone `z0` from `first`, spread over racks.
 fn feed(fleet: &ListedInstances, first: usize, step: usize, size: usize) -> BTreeSet<InstanceId> {
     let zone = fleet.values().filter(|instance| &*instance.zone == "z0");
     zone.skip(first).step_by(step).take(size).map(|instance| instance.id.clone()).collect()
--- a/crates/fleet/src/tests/schedule.rs
+++ b/crates/fleet/src/tests/schedule.rs
@@ -206,8 +206,8 @@
         assert_eq!(broken, None, "the budget of a service is broken");
     }
 
-    /// Checks that instances are rebooted or moved only after a confirmed drain, or if they are
-    /// failing.
+    /// Checks that an instance is rebooted or moved only after every entry instance has confirmed
+    /// its drain, and only if no request runs on it or it is failing.
     fn check_steps(&self, before: &FleetDocument, confirmed: u64) {
         for (id, placement) in &self.fixture.document.placements {
             let Some(old) = before.placements.get(id) else { continue };
