--- a/crates/fleet/examples/measure/naive.rs
+++ b/crates/fleet/examples/measure/naive.rs
@@ -70,11 +70,11 @@
         started: view.now,
         phase_started: view.now,
     };
-    next.placements.get_mut(id).expect("the instance has a placement").step = Some(step);
+    next.placements.get_mut(id).expect("placed").step = Some(step);
 }
 
 fn advance_step(view: &View<'_>, next: &mut FleetDocument, id: &InstanceId) -> u32 {
-    let placement = next.placements.get_mut(id).expect("the instance has a placement");
+    let placement = next.placements.get_mut(id).expect("placed");
     let Some(step) = &mut placement.step else { return 0 };
     let waited = view.now.duration_since(step.phase_started).unwrap_or_default();
     let request = step.request_id(id);
@@ -122,7 +122,7 @@
             view.service_of(placement).is_none() && view.available(id, placement)
         });
         let Some(id) = spare.map(|(id, _)| id.clone()) else { return 0 };
-        next.placements.get_mut(&id).expect("the instance has a placement").pool = service.clone();
+        next.placements.get_mut(&id).expect("placed").pool = service.clone();
         return 1;
     }
     let borrowed = serving.iter().find(|id| next.placements[*id].home != next.placements[*id].pool);
