--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -28,7 +28,7 @@
         ControlTaken = 1422, Info, "fleet control acquired";
         ControlLost = 1423, Info, "fleet control lost";
         StoreFailed = 1424, Warn, "request to the key-value service failed";
-        PlanConflict = 1425, Info, "fleet document changed during planning: retrying next round";
+        PlanConflict = 1425, Info, "fleet document changed concurrently: retrying in the next round";
         RebootFailed = 1426, Warn, "reboot request failed: retrying in the next round";
         DocumentRefused = 1427, Error, "fleet state rejected: malformed or too large";
         ListFailed = 1428, Warn, "instance list could not be read";
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -49,10 +49,11 @@
 pub(crate) struct Round<'a> {
     pub(crate) view: &'a View<'a>,
     pub(crate) policy: &'a Policy,
-    /// Time of the round, rounded to the resolution of the stored document (1 ms).
+    /// Time of the round, truncated to the resolution of the stored document (1 ms).
     pub(crate) now: SystemTime,
     pub(crate) next: FleetDocument,
     pub(crate) budgets: Budgets,
+    /// Failing instances by zone.
     pub(crate) failing: BTreeMap<ZoneId, usize>,
     pub(crate) trends: Trends,
     decisions: Vec<Decision>,
--- a/crates/fleet/src/tests/schedule.rs
+++ b/crates/fleet/src/tests/schedule.rs
@@ -23,10 +23,10 @@
     Recover,
     ToggleZone(usize),
     Demand(usize, u32),
-    Run(usize, u32),
-    Idle,
-    Confirm(bool),
-    Answer,
+    SetRunning(usize, u32),
+    ClearRunning,
+    SetConfirming(bool),
+    CompleteRequests,
     Wait(u64),
 }
 
@@ -37,11 +37,12 @@
         Just(Event::Recover),
         (0_usize..3).prop_map(Event::ToggleZone),
         ((0_usize..3), (0_u32..200)).prop_map(|(service, count)| Event::Demand(service, count)),
-        ((0_usize..28), (0_u32..4)).prop_map(|(instance, count)| Event::Run(instance, count)),
-        Just(Event::Idle),
-        any::<bool>().prop_map(Event::Confirm),
-        Just(Event::Answer),
-        Just(Event::Answer),
+        ((0_usize..28), (0_u32..4))
+            .prop_map(|(instance, count)| Event::SetRunning(instance, count)),
+        Just(Event::ClearRunning),
+        any::<bool>().prop_map(Event::SetConfirming),
+        Just(Event::CompleteRequests),
+        Just(Event::CompleteRequests),
         (1_u64..120).prop_map(Event::Wait),
         (1_u64..900).prop_map(Event::Wait),
     ]
@@ -68,7 +69,7 @@
 }
 
 /// Number of instances whose home is a pool of `service`, and the floor of the service.
-fn home_and_floor(
+fn home_count_and_floor(
     config: &Config,
     document: &FleetDocument,
     service: &ServiceId,
@@ -90,7 +91,7 @@
     available: &[InstanceId],
     service: &ServiceId,
 ) -> usize {
-    let (home, floor) = home_and_floor(config, document, service);
+    let (home, floor) = home_count_and_floor(config, document, service);
     let mut racks: BTreeMap<_, usize> = BTreeMap::new();
     for id in available {
         *racks.entry((&listed[id].zone, &listed[id].rack)).or_default() += 1;
@@ -109,8 +110,9 @@
     after: &FleetDocument,
 ) -> Option<ServiceId> {
     let serving = |service: &ServiceId| serving(config, listed, failing, after, service);
-    let below_floor =
-        |service: &ServiceId| serving(service).len() < home_and_floor(config, after, service).1;
+    let below_floor = |service: &ServiceId| {
+        serving(service).len() < home_count_and_floor(config, after, service).1
+    };
     let mut reserve_allowed: BTreeMap<ServiceId, bool> = BTreeMap::new();
     for (id, placement) in &after.placements {
         let Some(old) = before.placements.get(id) else { continue };
@@ -128,7 +130,7 @@
     let broken = |(service, allowed): &(ServiceId, bool)| {
         let available = serving(service);
         let required = match allowed {
-            true => home_and_floor(config, after, service).1,
+            true => home_count_and_floor(config, after, service).1,
             false => required(config, listed, after, &available, service),
         };
         available.len() < required
@@ -177,13 +179,13 @@
                 zone.out = !zone.out;
             }
             Event::Demand(service, count) => self.fixture.demand(&format!("s{service}"), *count),
-            Event::Run(number, count) => {
+            Event::SetRunning(number, count) => {
                 let id = self.id(*number);
                 self.fixture.observations.running.insert(id, *count);
             }
-            Event::Idle => self.fixture.observations.running.clear(),
-            Event::Confirm(confirming) => self.confirming = *confirming,
-            Event::Answer => self.fixture.complete_requests(),
+            Event::ClearRunning => self.fixture.observations.running.clear(),
+            Event::SetConfirming(confirming) => self.confirming = *confirming,
+            Event::CompleteRequests => self.fixture.complete_requests(),
             Event::Wait(seconds) => self.fixture.now += Duration::from_secs(*seconds),
         }
     }
