--- a/crates/fleet/src/explain.rs
+++ b/crates/fleet/src/explain.rs
@@ -46,7 +46,8 @@
 pub struct BlockedStep {
     /// Kind of the step.
     pub step: &'static str,
-    /// Rule that prevents it, with its inputs.
+    /// Rule that prevents it, with its inputs; [`FleetCode::Due`] if the step starts in the next
+    /// planning round.
     pub refusal: Refusal,
 }
 
