--- a/crates/fleet/src/budget/tests.rs
+++ b/crates/fleet/src/budget/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn failed_and_zoned_out_instances_do_not_count_as_available() {
+fn failing_instances_and_zones_out_of_service_are_not_available() {
     let mut fixture = Fixture::new(&SMALL);
     assert_eq!((budget(&fixture).available, budget(&fixture).floor), (9, 5));
     fixture.fail("s0-0", Symptom::Unreachable);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn floor_counts_home_instances_wherever_they_are() {
+fn floor_counts_instances_by_home_pool() {
     let mut fixture = Fixture::new(&SMALL);
     for id in ["s0-0", "s0-1", "s0-2"] {
         fixture.document.placements.get_mut(id).expect("placed").pool = "s1".into();
@@ -37,21 +37,21 @@
     assert_eq!((budget(&fixture).available, budget(&fixture).floor), (6, 5));
 }
 
-/// Tries the failure of each domain in turn on a list of the domains of available instances.
-fn naive_allows(available: &[Vec<usize>], taken: usize, floor: usize, home: usize) -> bool {
+/// Tries the failure of each domain with the domains of the available instances.
+fn brute_force_allows(available: &[Vec<usize>], taken: usize, floor: usize, home: usize) -> bool {
     let rest: Vec<&Vec<usize>> =
         available.iter().enumerate().filter(|(at, _)| *at != taken).map(|(_, it)| it).collect();
-    let lost = |domain: usize| rest.iter().filter(|slots| slots.contains(&domain)).count();
+    let lost = |domain: usize| rest.iter().filter(|positions| positions.contains(&domain)).count();
     let worst = (0..8).map(lost).max().unwrap_or(0);
-    // At full strength one instance can always be spared.
-    let spared = worst.min(home.saturating_sub(floor + 1));
-    rest.len() >= floor + spared
+    // With all home instances available, one may always be taken out of service.
+    let reserve = worst.min(home.saturating_sub(floor + 1));
+    rest.len() >= floor + reserve
 }
 
 #[test]
-fn check_agrees_with_trying_each_domain() {
-    let slots = prop::collection::btree_set(0_usize..8, 1..3);
-    let members = prop::collection::vec(slots, 1..14);
+fn check_matches_brute_force_over_domains() {
+    let positions = prop::collection::btree_set(0_usize..8, 1..3);
+    let members = prop::collection::vec(positions, 1..14);
     let strategy = (members, 0_usize..14, 0_usize..4);
     let config = RunnerConfig {
         rng_seed: RngSeed::Fixed(51),
@@ -61,24 +61,24 @@
     };
     let strategy = strategy.prop_map(|(members, floor, missing)| {
         let members: Vec<Vec<usize>> =
-            members.into_iter().map(|slots| slots.into_iter().collect()).collect();
+            members.into_iter().map(|positions| positions.into_iter().collect()).collect();
         (members, floor, missing)
     });
     let mut runner = TestRunner::new(config);
     let result = runner.run(&strategy, |(members, floor, missing)| {
         let home = members.len() + missing;
         let mut budget = Budget { home, floor, ..Budget::default() };
-        members.iter().for_each(|slots| budget.add(slots));
-        for (at, slots) in members.iter().enumerate() {
-            assert_eq!(budget.allows(slots), naive_allows(&members, at, floor, home));
+        members.iter().for_each(|positions| budget.add(positions));
+        for (at, positions) in members.iter().enumerate() {
+            assert_eq!(budget.allows(positions), brute_force_allows(&members, at, floor, home));
         }
         Ok(())
     });
-    result.expect("the budget agrees with its twin");
+    result.expect("the budget matches the brute-force check");
 }
 
 #[test]
-fn taking_and_giving_back_leaves_the_budget_as_it_was() {
+fn removing_and_adding_an_instance_restores_the_budget() {
     let fixture = Fixture::new(&SMALL);
     let mut budgets = budgets(&fixture);
     let before: BTreeMap<_, _> = budgets.iter().map(|(id, b)| (id.clone(), b.clone())).collect();
--- a/crates/fleet/src/tests/race.rs
+++ b/crates/fleet/src/tests/race.rs
@@ -1,5 +1,5 @@
-//! Two controllers on one store that both believe to be in control: they race, one is paused
-//! in the middle of a round, answers are lost, the store is down.
+//! Two controllers on one store that both believe that they hold control: they run concurrently,
+//! one is paused during a round, responses are lost, the store is unavailable.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -22,25 +22,25 @@
 use crate::tests::schedule::broken_by_plan;
 use crate::view::{ListedInstances, Observations};
 
-const LAYOUT: Layout = Layout { zones: 3, services: 2, per_service: 8, spare: 2, floor: 0.6 };
+const LAYOUT: Layout = Layout { zones: 3, services: 2, per_service: 8, spare: 2, floor_share: 0.6 };
 
-/// What the whole fleet is like.
+/// Conditions of the whole fleet.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct World {
+pub(crate) struct Conditions {
     pub failing: BTreeSet<InstanceId>,
     elapsed: Duration,
 }
 
-/// One controller's surroundings.
-pub(crate) struct Surroundings {
+/// Dependencies of one controller.
+pub(crate) struct TestEnvironment {
     store: MemoryStore,
     instances: MemoryInstances,
     config: Arc<Config>,
-    world: Arc<Mutex<World>>,
+    conditions: Arc<Mutex<Conditions>>,
     handle: FleetHandle,
 }
 
-impl Environment for Surroundings {
+impl Environment for TestEnvironment {
     type Store = MemoryStore;
     type List = MemoryInstances;
     type Control = MemoryInstances;
@@ -62,15 +62,15 @@
     }
 
     fn observations(&self) -> Option<Observations> {
-        let world = self.world.lock().expect("no test panics while it holds the lock");
-        let failing = world.failing.iter().map(|id| (id.clone(), Symptom::Unreachable));
+        let conditions = self.conditions.lock().expect("no test panics while it holds the lock");
+        let failing = conditions.failing.iter().map(|id| (id.clone(), Symptom::Unreachable));
         let confirmed = self.handle.load().number();
         Some(Observations { confirmed, symptoms: failing.collect(), ..Observations::default() })
     }
 
     async fn send_trial_request(&self, instance: &ListedInstance) -> bool {
-        let world = self.world.lock().expect("no test panics while it holds the lock");
-        !world.failing.contains(&instance.id)
+        let conditions = self.conditions.lock().expect("no test panics while it holds the lock");
+        !conditions.failing.contains(&instance.id)
     }
 
     fn holds_control(&self) -> bool {
@@ -78,7 +78,7 @@
     }
 
     fn now(&self) -> SystemTime {
-        monday() + self.world.lock().expect("no test panics while it holds the lock").elapsed
+        monday() + self.conditions.lock().expect("no test panics while it holds the lock").elapsed
     }
 }
 
@@ -86,9 +86,9 @@
 enum Action {
     Round(bool),
     Race,
-    /// The first controller stops in the middle of its round while the other goes on.
+    /// The first controller is paused during its round while the other one continues.
     Pause(u64),
-    Lose(WriteFault),
+    FailWrite(WriteFault),
     Outage,
     Fail(Vec<usize>),
     Recover,
@@ -106,7 +106,7 @@
         Just(Action::Race),
         Just(Action::Race),
         (1_u64..20).prop_map(Action::Pause),
-        faults.prop_map(Action::Lose),
+        faults.prop_map(Action::FailWrite),
         Just(Action::Outage),
         prop::collection::vec(0_usize..18, 1..3).prop_map(Action::Fail),
         Just(Action::Recover),
@@ -115,18 +115,18 @@
 }
 
 pub(crate) struct Race {
-    pub first: Controller<Surroundings>,
-    pub second: Controller<Surroundings>,
+    pub first: Controller<TestEnvironment>,
+    pub second: Controller<TestEnvironment>,
     pub store: MemoryStore,
     pub instances: MemoryInstances,
-    world: Arc<Mutex<World>>,
+    conditions: Arc<Mutex<Conditions>>,
     config: Arc<Config>,
     listed: ListedInstances,
-    /// Worlds since the last document was written.
-    worlds: Vec<World>,
+    /// Conditions since the last document was written.
+    recent_conditions: Vec<Conditions>,
     document: FleetDocument,
     revision: u64,
-    /// Request ids of every step that came to its reboot.
+    /// Request ids of all steps whose reboot was decided.
     reboots: BTreeSet<Arc<str>>,
 }
 
@@ -140,29 +140,29 @@
             raw.waves.get_mut("w").expect("the wave exists").paused = false;
         };
         let config = Arc::new(config(&LAYOUT, unpaused));
-        let world = Arc::new(Mutex::new(World::default()));
+        let conditions = Arc::new(Mutex::new(Conditions::default()));
         let controller = |name: &str| {
             let handle = FleetHandle::default();
             let client = store.client(name);
-            let (follower, followed) = (handle.clone(), client.clone());
-            tokio::spawn(async move { follower.watch_store(followed).await });
-            let surroundings = Surroundings {
+            let (watching_handle, watched_store) = (handle.clone(), client.clone());
+            tokio::spawn(async move { watching_handle.watch_store(watched_store).await });
+            let environment = TestEnvironment {
                 store: client,
                 instances: instances.clone(),
                 config: config.clone(),
-                world: world.clone(),
+                conditions: conditions.clone(),
                 handle: handle.clone(),
             };
             let policy = Policy { maintenance_share_max: 1.0, pause_min: 4, ..Policy::default() };
-            Controller::new(surroundings, policy, name.into(), handle)
+            Controller::new(environment, policy, name.into(), handle)
         };
         Self {
             first: controller("a"),
             second: controller("b"),
             store,
             instances,
-            worlds: vec![World::default()],
-            world,
+            recent_conditions: vec![Conditions::default()],
+            conditions,
             config,
             listed,
             document: FleetDocument::default(),
@@ -171,13 +171,14 @@
         }
     }
 
-    pub fn change(&mut self, change: impl FnOnce(&mut World)) {
-        let mut world = self.world.lock().expect("no test panics while it holds the lock");
-        change(&mut world);
-        self.worlds.push(world.clone());
+    pub fn change_conditions(&mut self, change: impl FnOnce(&mut Conditions)) {
+        let mut conditions =
+            self.conditions.lock().expect("no test panics while it holds the lock");
+        change(&mut conditions);
+        self.recent_conditions.push(conditions.clone());
     }
 
-    async fn act(&mut self, action: &Action) {
+    async fn apply(&mut self, action: &Action) {
         match action {
             Action::Round(true) => drop(self.first.round().await),
             Action::Round(false) => drop(self.second.round().await),
@@ -185,7 +186,7 @@
                 tokio::join!(self.first.round(), self.second.round());
             }
             Action::Pause(seconds) => self.pause(Duration::from_secs(*seconds)).await,
-            Action::Lose(fault) => self.store.faults().fail_writes(1, *fault),
+            Action::FailWrite(fault) => self.store.faults().fail_writes(1, *fault),
             Action::Outage => {
                 self.store.faults().set_outage(true);
                 tokio::join!(self.first.round(), self.second.round());
@@ -194,22 +195,23 @@
             }
             Action::Fail(numbers) => {
                 let ids: Vec<InstanceId> = self.listed.keys().cloned().collect();
-                let hit = numbers.iter().map(|number| ids[number % ids.len()].clone());
-                self.change(|world| world.failing.extend(hit));
+                let affected = numbers.iter().map(|number| ids[number % ids.len()].clone());
+                self.change_conditions(|conditions| conditions.failing.extend(affected));
             }
-            Action::Recover => self.change(|world| world.failing.clear()),
+            Action::Recover => self.change_conditions(|conditions| conditions.failing.clear()),
             Action::Wait(seconds) => self.wait(Duration::from_secs(*seconds)).await,
         }
         self.check().await;
     }
 
-    /// Lets time pass on the wall clock and on the monotonic one.
+    /// Advances the wall clock and the monotonic clock.
     pub async fn wait(&mut self, time: Duration) {
-        self.change(|world| world.elapsed += time);
+        self.change_conditions(|conditions| conditions.elapsed += time);
         sleep(time).await;
     }
 
-    /// Delays the calls of the first controller's round, so that the other writes in between.
+    /// Delays the store calls of the first controller's round, so that the other controller writes
+    /// in between.
     async fn pause(&mut self, pause: Duration) {
         self.store.faults().set_delay(Duration::from_millis(900));
         let faults = self.store.faults();
@@ -229,13 +231,14 @@
         if record.is_none_or(|record| record.revision <= self.revision) {
             return;
         }
-        let mut watch = self.store.watch(DOCUMENT_KEY, self.revision).await.expect("it is up");
+        let mut watch =
+            self.store.watch(DOCUMENT_KEY, self.revision).await.expect("the store is up");
         let changes = watch.next().await.expect("the store is up");
         watch.close();
         for change in changes {
             self.check_change(change);
         }
-        self.worlds.drain(..self.worlds.len() - 1);
+        self.recent_conditions.drain(..self.recent_conditions.len() - 1);
         self.check_reboots();
     }
 
@@ -244,8 +247,11 @@
         let envelope = Envelope::<FleetDocument>::decode(&record.value);
         let document = envelope.expect("the document is well formed").value;
         assert_eq!(document.number, self.document.number + 1);
-        let fits = self.worlds.iter().any(|world| self.fits(&document, &world.failing));
-        assert!(fits, "document {} breaks a budget", document.number);
+        let within_budgets = self
+            .recent_conditions
+            .iter()
+            .any(|conditions| self.within_budgets(&document, &conditions.failing));
+        assert!(within_budgets, "document {} breaks a budget", document.number);
         for (id, placement) in &document.placements {
             if let Some(step) = placement.step.as_ref().filter(|step| step.phase != Phase::Draining)
             {
@@ -256,12 +262,12 @@
         self.document = document;
     }
 
-    fn fits(&self, document: &FleetDocument, failing: &BTreeSet<InstanceId>) -> bool {
+    fn within_budgets(&self, document: &FleetDocument, failing: &BTreeSet<InstanceId>) -> bool {
         let before = &self.document;
         broken_by_plan(&self.config, &self.listed, failing, before, document).is_none()
     }
 
-    /// Each reboot was decided in a stored document, and no decision was carried out twice.
+    /// Checks that each reboot was decided in a stored document and requested only once.
     fn check_reboots(&self) {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for reboot in self.instances.reboots() {
@@ -283,7 +289,7 @@
     runtime.block_on(async {
         let mut race = Race::new();
         for action in actions {
-            race.act(action).await;
+            race.apply(action).await;
         }
         race.reboots.len()
     })
