--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -202,8 +202,9 @@
     Ok(Response::from_parts(parts, body))
 }
 
-/// Handles a missing response. On a reused connection, the idle connections to the instance may be
-/// dead too and are closed; on a new connection, the result counts against the instance.
+/// Handles a missing response. On a reused connection, the connections may be at fault: idle ones
+/// that completed no response since `since` are closed. On a new connection, the result counts
+/// against the instance.
 fn handle_no_response<E: Dependencies>(
     pool: &ConnectionPool<E>,
     connection: &Connection<E>,
--- a/crates/dispatch/src/backends.rs
+++ b/crates/dispatch/src/backends.rs
@@ -65,13 +65,13 @@
 
     /// Returns the gauge values of one service.
     pub fn counts(&self, service: &ServiceId) -> ServiceCounts {
-        let Some(known) = self.services.get(service) else {
+        let Some(service_backends) = self.services.get(service) else {
             return ServiceCounts::default();
         };
-        let members = known.members.iter().map(|index| &self.backends[*index]);
+        let members = service_backends.members.iter().map(|index| &self.backends[*index]);
         let mut counts = ServiceCounts {
-            instances: known.members.len(),
-            ejected: known.ejected,
+            instances: service_backends.members.len(),
+            ejected: service_backends.ejected,
             ..ServiceCounts::default()
         };
         for backend in members {
@@ -152,7 +152,7 @@
         if backend.health.routing_state() != RoutingState::Healthy {
             service.ejected += 1;
         }
-        if !service.zones.iter().any(|known| known.zone == backend.instance.zone) {
+        if !service.zones.iter().any(|entry| entry.zone == backend.instance.zone) {
             let zone = backend.instance.zone.clone();
             let entry = ZoneBackends { zone, free: Vec::new() };
             if entry.zone == self.home {
--- a/crates/dispatch/src/connection.rs
+++ b/crates/dispatch/src/connection.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Waits until the task writes nothing more, then returns whether any byte was written.
+    /// Stops the task, then returns whether any byte of the request was written.
     async fn send_error(&self) -> SendError<E> {
         self.state.close.cancel();
         self.state.stopped.cancelled().await;
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -49,6 +49,7 @@
 pub(crate) struct Shared<E: Dependencies> {
     pub(crate) dependencies: E,
     state: Mutex<State<E>>,
+    /// Wakes the source watcher after a backoff was added.
     pub(crate) backoff_added: Notify,
     observations: broadcast::Sender<Observation>,
     pub(crate) metrics: Metrics,
@@ -124,6 +125,7 @@
         self.wait(request, waiter, outcome, now).await
     }
 
+    /// Waits for the reply to a queued request until its deadline.
     async fn wait(
         &self,
         request: &Arc<AcceptedRequest>,
@@ -135,14 +137,15 @@
         let reply = tokio::time::timeout_at(request.deadline, outcome).await;
         let result = match reply {
             Ok(Ok(result)) => result,
-            Ok(Err(_)) | Err(_) => Err(self.timeout(request)),
+            Ok(Err(_)) | Err(_) => Err(self.timeout_refusal(request)),
         };
         drop(guard);
         self.shared.metrics.record_queue_wait(request, since.elapsed());
         result
     }
 
-    fn timeout(&self, request: &AcceptedRequest) -> Problem {
+    /// Refusal of a request whose deadline passed while it waited.
+    fn timeout_refusal(&self, request: &AcceptedRequest) -> Problem {
         let state = self.shared.lock();
         let at_limit = state.scheduler.is_at_limit(request);
         let code = if at_limit { DispatchCode::LimitReached } else { DispatchCode::QueueTimeout };
@@ -258,6 +261,7 @@
         self.deliver(replies);
     }
 
+    /// Records the result of an attempt and sends it to the observers.
     pub(crate) fn record(
         self: &Arc<Self>,
         index: BackendIndex,
@@ -283,6 +287,7 @@
         let _ = self.observations.send(Observation { instance: instance.clone(), result, at });
     }
 
+    /// Releases a finished request, then starts waiting requests in its place.
     pub(crate) fn release(self: &Arc<Self>, finished: &FinishedRequest<'_>) {
         let now = Instant::now();
         let mut replies = Vec::new();
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -11,7 +11,7 @@
     Ok,
     /// A server error (5xx).
     ServerError,
-    /// The instance refused the request without running it.
+    /// The instance refused the request without running it, or all its connections are in use.
     Refused,
     /// The connection could not be opened.
     ConnectFailed,
@@ -123,7 +123,7 @@
 }
 
 impl Health {
-    /// Whether the instance takes part in routing.
+    /// Returns the routing state.
     pub fn routing_state(&self) -> RoutingState {
         self.routing_state
     }
--- a/crates/dispatch/src/metrics.rs
+++ b/crates/dispatch/src/metrics.rs
@@ -1,6 +1,5 @@
 //! Metrics of the request path. Label values are configured services and teams, attempt results and
-//! result codes. Values chosen by callers are never used as labels, so that their number stays
-//! bounded.
+//! result codes. Values chosen by callers are never used as labels.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/dispatch/src/proxy.rs
+++ b/crates/dispatch/src/proxy.rs
@@ -47,6 +47,7 @@
 struct AttemptCounts {
     not_run: u32,
     outcome_unknown: u32,
+    /// Instances of the failed attempts.
     avoid: Vec<Instance>,
 }
 
@@ -119,15 +120,15 @@
         prepared: &PreparedRequest,
         request: &AcceptedRequest,
     ) -> bool {
-        let in_time = Instant::now() < request.deadline && prepared.body.is_available();
+        let can_resend = Instant::now() < request.deadline && prepared.body.is_available();
         match failure.run_state {
             RunState::NotRun => {
                 counts.not_run += 1;
-                in_time && counts.not_run < NOT_RUN_ATTEMPTS_MAX
+                can_resend && counts.not_run < NOT_RUN_ATTEMPTS_MAX
             }
             RunState::OutcomeUnknown => {
                 counts.outcome_unknown += 1;
-                in_time
+                can_resend
                     && request.idempotent
                     && counts.outcome_unknown < UNKNOWN_OUTCOME_ATTEMPTS_MAX
                     && self.budget.withdraw(&request.service)
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Makes one attempt. If an idempotent request gets no response within the hedge delay, makes a
+    /// Makes one attempt. If an idempotent request with a buffered body gets no response within the hedge delay, makes a
     /// second attempt in parallel, on a new connection to another instance.
     async fn attempt(
         &self,
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -140,8 +140,8 @@
             return Err(retry_later(DispatchCode::QueueFull, expected));
         }
         let remaining = request.deadline.saturating_duration_since(now);
-        let run = queue.expected_service_time(&request.team);
-        if expected.is_some_and(|expected| expected + run > remaining) {
+        let service_time = queue.expected_service_time(&request.team);
+        if expected.is_some_and(|expected| expected + service_time > remaining) {
             return Err(retry_later(DispatchCode::CannotStartInTime, expected));
         }
         queue.waiting.set_weight(&request.team, weight);
@@ -228,7 +228,7 @@
     }
 
     /// Starts the first request of `team`, or blocks the team if it is at its limit or share.
-    #[expect(clippy::type_complexity, reason = "a request and its start")]
+    #[expect(clippy::type_complexity, reason = "a request and its grant")]
     fn start_first(
         &mut self,
         service: &ServiceId,
--- a/crates/dispatch/src/selection.rs
+++ b/crates/dispatch/src/selection.rs
@@ -17,8 +17,8 @@
 /// Criteria for selecting a backend server.
 #[derive(Debug, Clone, Copy)]
 pub struct SelectionCriteria<'a> {
-    /// Whether the request may run more than once. Only idempotent requests are preferred for the
-    /// start of a trial.
+    /// Whether the request may run more than once. Only such requests have priority at the start
+    /// of a trial.
     pub idempotent: bool,
     /// Instances that failed the request before; others are preferred.
     pub avoid: &'a [Instance],
@@ -52,7 +52,7 @@
                 if rank == 0 {
                     return Some(index);
                 }
-                if best.is_none_or(|(service_backends, _)| rank < service_backends) {
+                if best.is_none_or(|(best_rank, _)| rank < best_rank) {
                     best = Some((rank, index));
                 }
             }
@@ -111,6 +111,7 @@
     }
 }
 
+/// Returns the `nth` free backend server of `zones`, counted across zones.
 fn nth_free(zones: &[ZoneBackends], mut nth: usize) -> Option<BackendIndex> {
     for zone in zones {
         match zone.free.get(nth) {
