--- a/crates/dispatch/benches/decision.rs
+++ b/crates/dispatch/benches/decision.rs
@@ -79,7 +79,7 @@
                 service: service.clone(),
                 team: format!("team-{team}").into(),
                 key: Some("key".into()),
-                checked: 1,
+                checked_version: 1,
                 idempotent: true,
                 deadline: now + Duration::from_secs(600),
             })
--- a/crates/dispatch/examples/memory.rs
+++ b/crates/dispatch/examples/memory.rs
@@ -99,7 +99,7 @@
         service: "portal".into(),
         team: "families".into(),
         key: Some(OTHER_KEY.into()),
-        checked: 0,
+        checked_version: 0,
         idempotent: false,
         deadline: Instant::now() + Duration::from_secs(600),
     })
--- a/crates/dispatch/src/accepted_request.rs
+++ b/crates/dispatch/src/accepted_request.rs
@@ -22,7 +22,7 @@
     /// Key that the caller sent; `None` for an anonymous caller of an open queue.
     pub key: Option<Arc<str>>,
     /// Version of the configuration against which the key was checked.
-    pub checked: Version,
+    pub checked_version: Version,
     /// Whether the request may run more than once (RFC 9110, 9.2.2).
     pub idempotent: bool,
     /// Time after which the caller no longer needs the response.
@@ -33,7 +33,7 @@
     /// Whether `config` still allows the request: its key belongs to the same team, or it has no
     /// key and the queue is open.
     pub fn is_authorized(&self, config: &Config) -> bool {
-        if self.checked == config.version {
+        if self.checked_version == config.version {
             return true;
         }
         let Some(service) = config.services.get(&self.service) else {
--- a/crates/dispatch/src/caller_api.rs
+++ b/crates/dispatch/src/caller_api.rs
@@ -203,7 +203,7 @@
         service: service_id,
         team: caller.team,
         key: caller.key,
-        checked: config.version,
+        checked_version: config.version,
         idempotent: request::is_idempotent(&parts.method),
         deadline,
     });
--- a/crates/dispatch/src/dispatcher/tests.rs
+++ b/crates/dispatch/src/dispatcher/tests.rs
@@ -52,7 +52,7 @@
         service: "portal".into(),
         team: "anonymous".into(),
         key: None,
-        checked: 1,
+        checked_version: 1,
         idempotent: true,
         deadline: Instant::now() + Duration::from_secs(5),
     });
--- a/crates/dispatch/src/fair.rs
+++ b/crates/dispatch/src/fair.rs
@@ -26,13 +26,17 @@
 #[derive(Debug)]
 pub struct FairQueue<T> {
     teams: HashMap<TeamId, TeamQueue>,
+    /// Teams with waiting requests that are not blocked, by virtual time.
     ready: BTreeSet<(VirtualTimeBits, TeamId)>,
     entries: Slab<Entry<T>>,
+    /// Highest virtual time at which a request was started.
     virtual_time: f64,
     backlog_weight: f64,
+    /// Sequence number of the last request, which tells apart entries that reuse an index.
     sequence: u64,
 }
 
+/// Waiting request, linked with its neighbours in the list of its team.
 #[derive(Debug)]
 struct Entry<T> {
     team: TeamId,
@@ -42,6 +46,7 @@
     item: T,
 }
 
+/// Waiting requests of one team, as a linked list of entries.
 #[derive(Debug)]
 struct TeamQueue {
     weight: f64,
@@ -52,6 +57,7 @@
     blocked: bool,
 }
 
+/// Lower bound that keeps the division by a weight finite.
 const WEIGHT_MIN: f64 = 1e-6;
 
 impl<T> Default for FairQueue<T> {
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -59,8 +59,11 @@
     closed: Notify,
 }
 
+/// Connections to one backend server.
 struct ServerConnections<E: Dependencies> {
+    /// Number of open connections, idle or in use.
     open: u32,
+    /// Unused connections, the one that was returned last at the end.
     idle: Vec<Connection<E>>,
 }
 
@@ -125,6 +128,7 @@
         opened.map_err(|_| OpenError::Timeout)?.map_err(OpenError::Io)
     }
 
+    /// Takes the idle connection that was returned last, if `reuse` allows it.
     fn take_idle(&self, address: SocketAddr, reuse: Reuse) -> Option<Connection<E>> {
         let mut servers = self.shared.lock();
         let idle = &mut servers.get_mut(&address)?.idle;
@@ -134,8 +138,8 @@
             Reuse::RecentlyVerified => connection.verified_at.elapsed() <= VERIFIED_MAX_AGE,
             Reuse::Never => false,
         };
-        let latest = idle.last().is_some_and(usable);
-        if latest { idle.pop() } else { None }
+        let is_newest_usable = idle.last().is_some_and(usable);
+        if is_newest_usable { idle.pop() } else { None }
     }
 
     /// Reserves a new connection. At the bound, closes an idle one and waits until it is closed.
@@ -157,6 +161,7 @@
         }
     }
 
+    /// Reserves a new connection unless `open_max` are open.
     fn reserve(&self, address: SocketAddr, open_max: u32) -> Option<OpenCount<E>> {
         let mut servers = self.shared.lock();
         let server = servers.entry(address).or_default();
@@ -167,8 +172,7 @@
         Some(OpenCount { shared: Arc::downgrade(&self.shared), address })
     }
 
-    /// Closes the idle connection that was returned to the pool first. Returns false if there is
-    /// none.
+    /// Closes the idle connection that was returned first. Returns false if there is none.
     fn evict(&self, address: SocketAddr) -> bool {
         let mut servers = self.shared.lock();
         let idle = servers.get_mut(&address).map(|server| &mut server.idle);
--- a/crates/dispatch/src/response_body.rs
+++ b/crates/dispatch/src/response_body.rs
@@ -40,14 +40,14 @@
 /// When it fails or is dropped earlier, the connection is closed.
 pub struct ResponseBody<E: Dependencies> {
     source: Source,
-    carrier: Option<ResponseConnection<E>>,
+    connection: Option<ResponseConnection<E>>,
     deadline: Pin<Box<Sleep>>,
     guard: Option<InFlightGuard>,
 }
 
 enum Source {
     Stream(Incoming),
-    Held(Option<Bytes>),
+    Buffered(Option<Bytes>),
 }
 
 /// The connection of a response and the pool to which it returns.
@@ -80,15 +80,15 @@
 
 impl<E: Dependencies> ResponseBody<E> {
     /// Wraps the body `inner`, which is read from `connection` until `deadline`.
-    pub fn new(inner: Incoming, carrier: ResponseConnection<E>, deadline: Instant) -> Self {
+    pub fn new(inner: Incoming, connection: ResponseConnection<E>, deadline: Instant) -> Self {
         let deadline = Box::pin(tokio::time::sleep_until(deadline));
         let source = Source::Stream(inner);
-        let mut body = Self { source, carrier: Some(carrier), deadline, guard: None };
+        let mut body = Self { source, connection: Some(connection), deadline, guard: None };
         body.finish_at_end();
         body
     }
 
-    /// Keeps `guard` until the body has ended.
+    /// Keeps `guard` until the body is dropped.
     pub fn with_in_flight_guard(mut self, guard: InFlightGuard) -> Self {
         self.guard = Some(guard);
         self
@@ -106,7 +106,7 @@
                 data.extend_from_slice(&chunk);
             }
         }
-        self.source = Source::Held(Some(data.freeze()));
+        self.source = Source::Buffered(Some(data.freeze()));
         Ok(self)
     }
 
@@ -117,14 +117,14 @@
     }
 
     fn finish(&mut self) {
-        if let Some(carrier) = self.carrier.take() {
-            carrier.finish();
+        if let Some(connection) = self.connection.take() {
+            connection.finish();
         }
     }
 
     fn fail(&mut self, result: AttemptResult) {
-        if let Some(carrier) = self.carrier.take() {
-            carrier.fail(result);
+        if let Some(connection) = self.connection.take() {
+            connection.fail(result);
         }
     }
 }
@@ -139,7 +139,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         let inner = match &mut self.source {
             Source::Stream(inner) => inner,
-            Source::Held(data) => {
+            Source::Buffered(data) => {
                 return Poll::Ready(data.take().map(|data| Ok(Frame::data(data))));
             }
         };
@@ -157,7 +157,7 @@
                 Poll::Ready(None)
             }
             Poll::Pending if self.deadline.as_mut().poll(cx).is_ready() => {
-                self.carrier = None;
+                self.connection = None;
                 Poll::Ready(Some(Err(ResponseBodyError::Timeout)))
             }
             Poll::Pending => Poll::Pending,
@@ -167,14 +167,14 @@
     fn is_end_stream(&self) -> bool {
         match &self.source {
             Source::Stream(inner) => inner.is_end_stream(),
-            Source::Held(data) => data.is_none(),
+            Source::Buffered(data) => data.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
             Source::Stream(inner) => inner.size_hint(),
-            Source::Held(data) => {
+            Source::Buffered(data) => {
                 SizeHint::with_exact(data.as_ref().map_or(0, |data| data.len() as u64))
             }
         }
--- a/crates/dispatch/src/scheduler/tests.rs
+++ b/crates/dispatch/src/scheduler/tests.rs
@@ -96,7 +96,7 @@
         service: "portal".into(),
         team: TEAMS[team].into(),
         key: Some(TEAMS[team].into()),
-        checked: 0,
+        checked_version: 0,
         idempotent: true,
         deadline: now + Duration::from_secs(5),
     })
--- a/crates/dispatch/src/service_queue.rs
+++ b/crates/dispatch/src/service_queue.rs
@@ -66,7 +66,7 @@
 impl<R> ServiceQueue<R> {
     /// Removes teams that are idle and no longer configured.
     pub fn retain_teams(&mut self, config: &Config) {
-        self.teams.retain(|team, known| known.running > 0 || config.teams.contains_key(team));
+        self.teams.retain(|team, account| account.running > 0 || config.teams.contains_key(team));
         self.waiting.retain(|team| config.teams.contains_key(team));
     }
 
@@ -133,8 +133,9 @@
     }
 
     /// Expected wait of a request of `team` that arrives now: the number of requests served before
-    /// it, divided by the rate at which slots become free. `None` if no request waits or no service
-    /// time was observed.
+    /// it, divided by the rate at which slots become free. Those are estimated from the share of the
+    /// team and from the length of the whole queue; the lower estimate counts. `None` if no request
+    /// waits, none runs, or no service time was observed.
     pub fn expected_wait(&self, team: &TeamId, weight: f64) -> Option<Duration> {
         if self.waiting.is_empty() || self.running == 0 {
             return None;
@@ -176,12 +177,16 @@
             running,
             waiting,
         };
-        let known = self.teams.iter().map(|(team, account)| {
+        let with_account = self.teams.iter().map(|(team, account)| {
             usage(team, account.running, self.waiting.team_len(team) as u32)
         });
-        let unknown = self.waiting.backlog().filter(|(team, _)| !self.teams.contains_key(*team));
-        let unknown = unknown.map(|(team, waiting)| usage(team, 0, waiting as u32));
-        known.chain(unknown).filter(|usage| usage.running > 0 || usage.waiting > 0).collect()
+        let only_waiting =
+            self.waiting.backlog().filter(|(team, _)| !self.teams.contains_key(*team));
+        let only_waiting = only_waiting.map(|(team, waiting)| usage(team, 0, waiting as u32));
+        with_account
+            .chain(only_waiting)
+            .filter(|usage| usage.running > 0 || usage.waiting > 0)
+            .collect()
     }
 }
 
