--- a/crates/dispatch/benches/decision.rs
+++ b/crates/dispatch/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of one decision (which team starts next, and at which backend server) and of taking in a
-//! change, by number of instances and teams.
+//! Time of one scheduling decision (which team starts next, and on which backend server), of
+//! applying a change, and of a cancellation, by number of instances and teams.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 const INSTANCES: [usize; 3] = [10, 100, 870];
 const TEAMS: [usize; 3] = [6, 50, 200];
 const BACKLOG: usize = 10;
-const RUN: Duration = Duration::from_millis(50);
+const SERVICE_TIME: Duration = Duration::from_millis(50);
 
 fn config(teams: usize, services: usize) -> Arc<Config> {
     let team = |index: usize| {
@@ -56,17 +56,17 @@
     }
 }
 
-/// A core whose slots are all taken and whose teams all have requests waiting.
-struct Full {
+/// A scheduler whose slots are all taken and whose teams all have waiting requests.
+struct LoadedScheduler {
     scheduler: RequestScheduler<Sources, ()>,
     service: ServiceId,
     requests: Vec<Arc<AcceptedRequest>>,
     running: Vec<(Arc<AcceptedRequest>, usize, f64)>,
     now: Instant,
-    turn: usize,
+    step_count: usize,
 }
 
-impl Full {
+impl LoadedScheduler {
     fn new(instances: usize, teams: usize, services: usize) -> Self {
         let (now, service): (Instant, ServiceId) = (Instant::now(), "portal".into());
         let list: Vec<Instance> = (0..instances).map(instance).collect();
@@ -85,17 +85,18 @@
             })
         };
         let requests: Vec<_> = (0..teams).map(request).collect();
-        let mut full = Self { scheduler, service, requests, running: Vec::new(), now, turn: 0 };
+        let mut loaded =
+            Self { scheduler, service, requests, running: Vec::new(), now, step_count: 0 };
         for index in 0..instances * 8 + teams * BACKLOG {
-            let request = full.requests[index % teams].clone();
-            full.scheduler.enqueue(&request, (), now).expect("the queue has room");
+            let request = loaded.requests[index % teams].clone();
+            loaded.scheduler.enqueue(&request, (), now).expect("the queue has room");
         }
-        full.start_waiting();
-        full.open_queues(services);
-        full
+        loaded.start_waiting();
+        loaded.open_queues(services);
+        loaded
     }
 
-    /// Leaves an empty queue at each of the other services.
+    /// Creates an empty queue for each of the other services.
     fn open_queues(&mut self, services: usize) {
         for index in 1..services {
             let service: ServiceId = format!("service-{index}").into();
@@ -116,14 +117,14 @@
 
     /// One request ends, one arrives, and one starts.
     fn step(&mut self) {
-        self.turn = self.turn.wrapping_add(7_919);
-        let nth = self.turn % self.running.len();
+        self.step_count = self.step_count.wrapping_add(7_919);
+        let nth = self.step_count % self.running.len();
         let (request, index, cost_s) = self.running.swap_remove(nth);
         let finished = FinishedRequest {
             request: &request,
             index,
             cost_s,
-            held: RUN,
+            held: SERVICE_TIME,
             end_reason: EndReason::Completed,
         };
         black_box(self.scheduler.release(&finished));
@@ -136,9 +137,9 @@
     let mut group = criterion.benchmark_group("decision");
     for instances in INSTANCES {
         for teams in TEAMS {
-            let mut full = Full::new(instances, teams, 1);
+            let mut loaded = LoadedScheduler::new(instances, teams, 1);
             let id = BenchmarkId::new(format!("{instances} instances"), format!("{teams} teams"));
-            group.bench_function(id, |bench| bench.iter(|| full.step()));
+            group.bench_function(id, |bench| bench.iter(|| loaded.step()));
         }
     }
     group.finish();
@@ -147,9 +148,9 @@
 fn services(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("services");
     for services in [1, 5, 44] {
-        let mut full = Full::new(100, 200, services);
+        let mut loaded = LoadedScheduler::new(100, 200, services);
         group.bench_function(BenchmarkId::from_parameter(services), |bench| {
-            bench.iter(|| full.step());
+            bench.iter(|| loaded.step());
         });
     }
     group.finish();
@@ -158,11 +159,11 @@
 fn change(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("change");
     for instances in INSTANCES {
-        let mut full = Full::new(instances, 200, 1);
+        let mut loaded = LoadedScheduler::new(instances, 200, 1);
         let list: Vec<Instance> = (0..instances).map(instance).collect();
         let config = config(200, 1);
         group.bench_function(BenchmarkId::new("instances", instances), |bench| {
-            bench.iter(|| full.scheduler.update(config.clone(), &list));
+            bench.iter(|| loaded.scheduler.update(config.clone(), &list));
         });
     }
     group.finish();
@@ -171,15 +172,16 @@
 fn cancel(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("cancel");
     for waiting in [100, 10_000] {
-        let mut full = Full::new(10, 6, 1);
-        let request = full.requests[0].clone();
+        let mut loaded = LoadedScheduler::new(10, 6, 1);
+        let request = loaded.requests[0].clone();
         for _ in 0..waiting {
-            full.scheduler.enqueue(&request, (), full.now).expect("the queue has room");
+            loaded.scheduler.enqueue(&request, (), loaded.now).expect("the queue has room");
         }
         group.bench_function(BenchmarkId::new("waiting", waiting), |bench| {
             bench.iter(|| {
-                let waiter = full.scheduler.enqueue(&request, (), full.now).expect("there is room");
-                full.scheduler.cancel(&full.service, waiter);
+                let waiter =
+                    loaded.scheduler.enqueue(&request, (), loaded.now).expect("there is room");
+                loaded.scheduler.cancel(&loaded.service, waiter);
             });
         });
     }
--- a/crates/dispatch/benches/forward.rs
+++ b/crates/dispatch/benches/forward.rs
@@ -1,6 +1,6 @@
-//! Processor time of this process for each request: straight to a backend server, through the
-//! thinnest forwarder on axum and hyper, and through the request path. Caller and backend server
-//! run in the same process, so that the differences between the three count.
+//! Processor time per request: directly to a backend server, through a minimal forwarder on axum
+//! and hyper, and through the request path. Caller and backend server run in the same process, so
+//! only the differences between the three are meaningful.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -43,14 +43,14 @@
 }
 
 async fn start_backend() -> SocketAddr {
-    let answer = |request: Request| async move {
+    let response = |request: Request| async move {
         let mut response = Response::new(Body::from("done\n"));
         if let Some(id) = request.headers().get("x-request-id") {
             response.headers_mut().insert("x-request-id", id.clone());
         }
         response
     };
-    serve(Router::new().fallback(answer)).await
+    serve(Router::new().fallback(response)).await
 }
 
 async fn connect<B>(address: SocketAddr) -> SendRequest<B>
@@ -58,37 +58,38 @@
     B: http_body::Body<Data = bytes::Bytes> + Send + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let stream = TcpStream::connect(address).await.expect("the address listens");
-    stream.set_nodelay(true).expect("the socket takes the option");
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.expect("the handshake works");
+    let stream = TcpStream::connect(address).await.expect("the server accepts connections");
+    stream.set_nodelay(true).expect("the socket option is supported");
+    let (sender, connection) =
+        handshake(TokioIo::new(stream)).await.expect("the handshake succeeds");
     tokio::spawn(connection);
     sender
 }
 
-/// Open connections of the thin forwarder.
+/// Idle connections of the minimal forwarder.
 #[derive(Clone)]
-struct Thin {
+struct Forwarder {
     address: SocketAddr,
     idle: Arc<Mutex<Vec<SendRequest<Body>>>>,
 }
 
-async fn forward(State(thin): State<Thin>, request: Request) -> Response {
-    let idle = thin.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
+async fn forward(State(forwarder): State<Forwarder>, request: Request) -> Response {
+    let idle = forwarder.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
     let mut sender = match idle {
         Some(sender) => sender,
-        None => connect(thin.address).await,
+        None => connect(forwarder.address).await,
     };
     sender.ready().await.expect("the connection is open");
-    let answer = sender.send_request(request).await.expect("the backend server answers");
-    let (parts, body) = answer.into_parts();
-    let body = body.collect().await.expect("the answer is whole").to_bytes();
-    thin.idle.lock().unwrap_or_else(PoisonError::into_inner).push(sender);
+    let response = sender.send_request(request).await.expect("the backend server responds");
+    let (parts, body) = response.into_parts();
+    let body = body.collect().await.expect("the response is complete").to_bytes();
+    forwarder.idle.lock().unwrap_or_else(PoisonError::into_inner).push(sender);
     Response::from_parts(parts, Body::from(body))
 }
 
-async fn start_thin(address: SocketAddr) -> SocketAddr {
-    let thin = Thin { address, idle: Arc::default() };
-    serve(Router::new().fallback(forward).with_state(thin)).await
+async fn start_forwarder(address: SocketAddr) -> SocketAddr {
+    let forwarder = Forwarder { address, idle: Arc::default() };
+    serve(Router::new().fallback(forward).with_state(forwarder)).await
 }
 
 async fn start_request_path(address: SocketAddr) -> SocketAddr {
@@ -132,12 +133,12 @@
         .body(Empty::new())
         .expect("the request is well formed");
     sender.ready().await.expect("the connection is open");
-    let answer = sender.send_request(request).await.expect("an answer comes");
-    assert!(answer.status().is_success(), "{}", answer.status());
-    answer.into_body().collect().await.expect("the answer is whole");
+    let response = sender.send_request(request).await.expect("there is a response");
+    assert!(response.status().is_success(), "{}", response.status());
+    response.into_body().collect().await.expect("the response is complete");
 }
 
-/// Has `count` requests answered by callers that each keep a connection.
+/// Sends `count` requests from callers that each keep a connection.
 async fn call_all(address: SocketAddr, count: u64) {
     let each = count.div_ceil(CALLERS as u64);
     let callers = (0..CALLERS).map(|_| {
@@ -159,14 +160,14 @@
 
 fn processor_time_per_request(criterion: &mut Criterion) {
     let runtime = runtime();
-    let (straight, thin, request_path) = runtime.block_on(async {
+    let (direct, forwarder, request_path) = runtime.block_on(async {
         let backend = start_backend().await;
-        (backend, start_thin(backend).await, start_request_path(backend).await)
+        (backend, start_forwarder(backend).await, start_request_path(backend).await)
     });
     let mut group = criterion.benchmark_group("processor time");
     group.sample_size(20);
     for (name, address) in
-        [("straight", straight), ("thin forwarder", thin), ("request path", request_path)]
+        [("straight", direct), ("thin forwarder", forwarder), ("request path", request_path)]
     {
         group.bench_function(name, |bench| {
             bench.iter_custom(|count| {
--- a/crates/dispatch/examples/faults.rs
+++ b/crates/dispatch/examples/faults.rs
@@ -1,5 +1,5 @@
-//! Prints, for each fault of a backend server, how often a request ran and what its caller was
-//! told: as a Markdown table, or as JSON with `--json`.
+//! Prints the number of runs and the response to the caller for each fault of a backend server, as
+//! a Markdown table, or as JSON with `--json`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -32,7 +32,13 @@
     for Row { case, post, get } in rows {
         println!(
             "| {} | {} | {} | {} | {} | {} | {} |",
-            case.name, post.runs, post.told, post.is_true, get.runs, get.told, get.is_true
+            case.name,
+            post.runs,
+            post.response,
+            post.is_consistent,
+            get.runs,
+            get.response,
+            get.is_consistent
         );
     }
 }
@@ -40,7 +46,7 @@
 fn print_json(rows: &[Row]) {
     let outcome = |outcome: &Outcome| {
         serde_json::json!({
-            "runs": outcome.runs, "told": outcome.told, "true": outcome.is_true
+            "runs": outcome.runs, "told": outcome.response, "true": outcome.is_consistent
         })
     };
     let rows: Vec<_> = rows
--- a/crates/dispatch/examples/memory.rs
+++ b/crates/dispatch/examples/memory.rs
@@ -1,5 +1,5 @@
-//! Prints the resident memory of this process by number of requests that wait in the queue, each
-//! on a caller's connection of its own. The callers' ends are bare sockets in the same process.
+//! Prints the resident memory of this process by number of waiting requests, first with one
+//! connection each, then without connections. The callers are plain sockets in the same process.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -14,9 +14,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-const STEP: usize = 1_000;
+const CONNECTIONS_PER_STEP: usize = 1_000;
 const STEPS: usize = 5;
-const PLACES: usize = 10_000;
+const QUEUED_PER_STEP: usize = 10_000;
 const PAGE_BYTES: u64 = 4_096;
 
 fn resident_bytes() -> u64 {
@@ -43,7 +43,7 @@
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
     let document = config(1, |document| {
-        document["services"]["portal"]["queue_length_max"] = (PLACES * STEPS * 2).into();
+        document["services"]["portal"]["queue_length_max"] = (QUEUED_PER_STEP * STEPS * 2).into();
         document["services"]["portal"]["slots_per_instance"] = 1.into();
     });
     let options = BackendOptions::default();
@@ -55,40 +55,41 @@
     println!("|---|---|---|");
     let mut before = None;
     for step in 0..=STEPS {
-        while callers.len() <= step * STEP {
+        while callers.len() <= step * CONNECTIONS_PER_STEP {
             callers.push(queue_one(&fleet).await?);
         }
-        while waiting(&fleet) < step * STEP {
+        while waiting(&fleet) < step * CONNECTIONS_PER_STEP {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let now = resident_bytes();
-        let each = before.map_or(0, |before| now.saturating_sub(before) / STEP as u64);
+        let each =
+            before.map_or(0, |before| now.saturating_sub(before) / CONNECTIONS_PER_STEP as u64);
         println!("| {} | {} | {each} |", waiting(&fleet), now / 1_024);
         before = Some(now);
     }
-    print_places(&fleet).await;
+    print_queued(&fleet).await;
     Ok(())
 }
 
-/// Prints the memory of places in the queue without connections.
-async fn print_places(fleet: &Fleet) {
+/// Prints the memory of waiting requests without connections.
+async fn print_queued(fleet: &Fleet) {
     println!("Places in the queue only:");
     println!("| places | resident, KiB | bytes for each since the row before |");
     println!("|---|---|---|");
     let taken = waiting(fleet);
     let mut before = resident_bytes();
     for step in 1..=STEPS {
-        for _ in 0..PLACES {
+        for _ in 0..QUEUED_PER_STEP {
             let (dispatcher, request) =
                 (fleet.server.caller_api().dispatcher().clone(), request(step));
             tokio::spawn(async move { drop(dispatcher.acquire(&request).await) });
         }
-        while waiting(fleet) < taken + step * PLACES {
+        while waiting(fleet) < taken + step * QUEUED_PER_STEP {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let now = resident_bytes();
-        let each = now.saturating_sub(before) / PLACES as u64;
-        println!("| {} | {} | {each} |", step * PLACES, now / 1_024);
+        let each = now.saturating_sub(before) / QUEUED_PER_STEP as u64;
+        println!("| {} | {} | {each} |", step * QUEUED_PER_STEP, now / 1_024);
         before = now;
     }
 }
--- a/crates/dispatch/examples/slots.rs
+++ b/crates/dispatch/examples/slots.rs
@@ -1,8 +1,8 @@
-//! Compares ways to share the slots of backend servers between entry instances, by a plain loop
-//! over simulated milliseconds with a fixed seed.
+//! Compares policies for sharing the slots of backend servers between entry instances, in a
+//! simulation with steps of one millisecond and a fixed seed.
 //!
-//! Ten backend servers with eight slots each, seven entry instances, and twice as much work as
-//! there are slots. Team `large` has weight 3 and team `small` weight 1.
+//! Ten backend servers with eight slots each, seven entry instances, and twice as many requests as
+//! the slots can run. Team `large` has weight 3 and team `small` weight 1.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -13,51 +13,51 @@
 const TEAMS: usize = 2;
 const WEIGHTS: [f64; TEAMS] = [3.0, 1.0];
 const RUN_MEAN_MS: f64 = 50.0;
-const REPORT_MS: u64 = 200;
-const HOLD_MS: u64 = 20;
+const REPORT_INTERVAL_MS: u64 = 200;
+const BACKOFF_MS: u64 = 20;
 const WARM_UP_MS: u64 = 2_000;
-const LENGTH_MS: u64 = 20_000;
-/// Candidates that one request is offered before it waits on.
-const TRIES: usize = 3;
+const DURATION_MS: u64 = 20_000;
+/// Maximum number of consecutive refusals before an entry instance waits for the next step.
+const TRIES_MAX: usize = 3;
 
-/// How an entry instance decides whether a backend server has a slot for it.
+/// How an entry instance decides whether it may use a slot of a backend server.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
-    /// Each entry instance has its fixed part of each backend server's slots.
+enum SharingPolicy {
+    /// Each entry instance has a fixed part of each backend server's slots.
     Split,
-    /// Each backend server takes work from one entry instance only.
+    /// Each backend server receives requests from one entry instance only.
     Home,
-    /// Two random choices by reported load; full ones as reported are left out.
+    /// Two random choices by reported load; backend servers reported as full are excluded.
     Reported,
-    /// Two random choices by reported load; only refusals tell who is full.
+    /// Two random choices by reported load; only refusals show that a backend server is full.
     Refusal,
-    /// As `Refusal`, and a team runs at most its part of the slots at each entry instance.
+    /// As `Refusal`, and each team is capped to its share of the slots at each entry instance.
     RefusalCapped,
-    /// As `Reported`, and a team runs at most its part of the slots at each entry instance.
+    /// As `Reported`, and each team is capped to its share of the slots at each entry instance.
     ReportedCapped,
 }
 
-const WAYS: [(&str, Way); 6] = [
-    ("split by entry", Way::Split),
-    ("home entry", Way::Home),
-    ("two choices, reported full left out", Way::Reported),
-    ("two choices, refusal as guard", Way::Refusal),
-    ("two choices, reported, capped shares", Way::ReportedCapped),
-    ("two choices, refusal, capped shares", Way::RefusalCapped),
+const SHARING_POLICIES: [(&str, SharingPolicy); 6] = [
+    ("split by entry", SharingPolicy::Split),
+    ("home entry", SharingPolicy::Home),
+    ("two choices, reported full left out", SharingPolicy::Reported),
+    ("two choices, refusal as guard", SharingPolicy::Refusal),
+    ("two choices, reported, capped shares", SharingPolicy::ReportedCapped),
+    ("two choices, refusal, capped shares", SharingPolicy::RefusalCapped),
 ];
 
-/// Which entry instances the callers of each team reach.
+/// Entry instances that the callers of each team use.
 #[derive(Clone, Copy)]
-enum Spread {
+enum CallerSpread {
     Even,
     LargeAtOne,
     AllAtOne,
 }
 
-const SPREADS: [(&str, Spread); 3] = [
-    ("even", Spread::Even),
-    ("large team at one entry", Spread::LargeAtOne),
-    ("all callers at one entry", Spread::AllAtOne),
+const CALLER_SPREADS: [(&str, CallerSpread); 3] = [
+    ("even", CallerSpread::Even),
+    ("large team at one entry", CallerSpread::LargeAtOne),
+    ("all callers at one entry", CallerSpread::AllAtOne),
 ];
 
 #[derive(Clone, Default)]
@@ -67,7 +67,7 @@
     used_ms: [f64; TEAMS],
     at_backend: [u32; BACKENDS],
     others: [u32; BACKENDS],
-    held_until: [u64; BACKENDS],
+    backoff_until_ms: [u64; BACKENDS],
     caps: [u32; TEAMS],
 }
 
@@ -87,7 +87,7 @@
 }
 
 struct Simulation {
-    way: Way,
+    policy: SharingPolicy,
     rng: SmallRng,
     entries: Vec<Entry>,
     runs: Vec<Run>,
@@ -95,21 +95,21 @@
 }
 
 impl Simulation {
-    fn new(way: Way) -> Self {
+    fn new(policy: SharingPolicy) -> Self {
         let entry = Entry { caps: [u32::MAX; TEAMS], ..Entry::default() };
         let entries = vec![entry; ENTRIES];
         let (rng, totals) = (SmallRng::seed_from_u64(11), Totals::default());
-        Self { way, rng, entries, runs: Vec::new(), totals }
+        Self { policy, rng, entries, runs: Vec::new(), totals }
     }
 
-    fn arrive(&mut self, spread: Spread) {
+    fn arrive(&mut self, spread: CallerSpread) {
         let rate_per_ms = 2.0 * f64::from(SLOTS) * BACKENDS as f64 / RUN_MEAN_MS;
         let mut arrivals = rate_per_ms as usize;
         arrivals += usize::from(self.rng.random_bool(rate_per_ms.fract()));
         for _ in 0..arrivals {
             let team = self.rng.random_range(0..TEAMS);
             let entry = match (spread, team) {
-                (Spread::LargeAtOne, 0) | (Spread::AllAtOne, _) => 0,
+                (CallerSpread::LargeAtOne, 0) | (CallerSpread::AllAtOne, _) => 0,
                 _ => self.rng.random_range(0..ENTRIES),
             };
             self.entries[entry].waiting[team] += 1;
@@ -132,7 +132,7 @@
         self.entries.iter().map(|entry| entry.at_backend[backend]).sum()
     }
 
-    /// Each entry instance learns what the others ran, and its teams' parts of the slots.
+    /// Reports the load of the others to each entry instance, and updates the caps of its teams.
     fn report(&mut self) {
         for backend in 0..BACKENDS {
             let busy = self.busy(backend);
@@ -140,12 +140,12 @@
                 entry.others[backend] = busy - entry.at_backend[backend];
             }
         }
-        if matches!(self.way, Way::RefusalCapped | Way::ReportedCapped) {
-            self.cap();
+        if matches!(self.policy, SharingPolicy::RefusalCapped | SharingPolicy::ReportedCapped) {
+            self.update_caps();
         }
     }
 
-    fn cap(&mut self) {
+    fn update_caps(&mut self) {
         let wanted = |entry: &Entry, team: usize| entry.waiting[team] + entry.running[team];
         let demand: [u32; TEAMS] =
             std::array::from_fn(|team| self.entries.iter().map(|entry| wanted(entry, team)).sum());
@@ -161,20 +161,22 @@
     fn may_use(&self, index: usize, backend: usize, now_ms: u64) -> bool {
         let entry = &self.entries[index];
         let own = entry.at_backend[backend];
-        match self.way {
-            Way::Split => {
+        match self.policy {
+            SharingPolicy::Split => {
                 own < (SLOTS + (index + backend) as u32 % ENTRIES as u32) / ENTRIES as u32
             }
-            Way::Home => backend % ENTRIES == index && own < SLOTS,
-            Way::Reported | Way::ReportedCapped => {
-                own + entry.others[backend] < SLOTS && entry.held_until[backend] <= now_ms
+            SharingPolicy::Home => backend % ENTRIES == index && own < SLOTS,
+            SharingPolicy::Reported | SharingPolicy::ReportedCapped => {
+                own + entry.others[backend] < SLOTS && entry.backoff_until_ms[backend] <= now_ms
+            }
+            SharingPolicy::Refusal | SharingPolicy::RefusalCapped => {
+                own < SLOTS && entry.backoff_until_ms[backend] <= now_ms
             }
-            Way::Refusal | Way::RefusalCapped => own < SLOTS && entry.held_until[backend] <= now_ms,
         }
     }
 
-    /// The team whose turn it is: the one that has used least for its weight.
-    fn turn(&self, index: usize) -> Option<usize> {
+    /// Returns the team with the lowest slot time for its weight that may start a request.
+    fn next_team(&self, index: usize) -> Option<usize> {
         let entry = &self.entries[index];
         let ready =
             |team: &usize| entry.waiting[*team] > 0 && entry.running[*team] < entry.caps[*team];
@@ -197,15 +199,15 @@
 
     fn start(&mut self, index: usize, now_ms: u64) {
         let mut tries = 0;
-        while let Some(team) = self.turn(index) {
+        while let Some(team) = self.next_team(index) {
             let Some(backend) = self.choose(index, now_ms) else {
                 return;
             };
             if self.busy(backend) >= SLOTS {
                 self.totals.refusals += 1;
-                self.entries[index].held_until[backend] = now_ms + HOLD_MS;
+                self.entries[index].backoff_until_ms[backend] = now_ms + BACKOFF_MS;
                 tries += 1;
-                if tries >= TRIES {
+                if tries >= TRIES_MAX {
                     return;
                 }
                 continue;
@@ -223,11 +225,11 @@
         }
     }
 
-    fn run(&mut self, spread: Spread) {
-        for now_ms in 0..LENGTH_MS {
+    fn run(&mut self, spread: CallerSpread) {
+        for now_ms in 0..DURATION_MS {
             self.end_runs(now_ms);
             self.arrive(spread);
-            if now_ms % REPORT_MS == 0 {
+            if now_ms % REPORT_INTERVAL_MS == 0 {
                 self.report();
             }
             let first = self.rng.random_range(0..ENTRIES);
@@ -243,7 +245,7 @@
     }
 }
 
-/// Weighted max-min shares of `capacity` for teams that want `demand`.
+/// Weighted max-min fair shares of `capacity` for teams with the given `demand`.
 fn water_fill(demand: [u32; TEAMS], capacity: f64) -> [f64; TEAMS] {
     let mut shares = [0.0; TEAMS];
     let mut open: Vec<usize> = (0..TEAMS).collect();
@@ -271,15 +273,15 @@
         "| callers | way | slots in use | refusals per start | share of large (target 75 %) |"
     );
     println!("|---|---|---|---|---|");
-    for (spread_name, spread) in SPREADS {
-        for (way_name, way) in WAYS {
-            let mut simulation = Simulation::new(way);
+    for (spread_name, spread) in CALLER_SPREADS {
+        for (policy_name, policy) in SHARING_POLICIES {
+            let mut simulation = Simulation::new(policy);
             simulation.run(spread);
             let totals = &simulation.totals;
             let busy_ms: f64 = totals.busy_ms.iter().sum();
             let capacity_ms = f64::from(SLOTS) * BACKENDS as f64 * totals.measured_ms as f64;
             println!(
-                "| {spread_name} | {way_name} | {:.1} % | {:.3} | {:.1} % |",
+                "| {spread_name} | {policy_name} | {:.1} % | {:.3} | {:.1} % |",
                 100.0 * busy_ms / capacity_ms,
                 totals.refusals as f64 / totals.starts as f64,
                 100.0 * totals.busy_ms[0] / busy_ms,
--- a/crates/dispatch/src/backends/tests.rs
+++ b/crates/dispatch/src/backends/tests.rs
@@ -51,10 +51,10 @@
     Choose { idempotent: bool, avoid: Option<usize> },
     Finish { nth: usize },
     Record { index: usize, ok: bool },
-    Full { index: usize },
+    BackOff { index: usize },
     Wait { ms: u64 },
-    Edit { index: usize, zone: usize, pool: usize, leaving: bool, gone: bool },
-    Out { zone: usize, out: bool },
+    EditInstance { index: usize, zone: usize, pool: usize, leaving: bool, gone: bool },
+    SetZoneOut { zone: usize, out: bool },
 }
 
 const INSTANCES: usize = 12;
@@ -66,19 +66,19 @@
         5 => (0..30_usize).prop_map(|nth| Step::Finish { nth }),
         3 => (0..INSTANCES, prop::bool::weighted(0.3))
             .prop_map(|(index, ok)| Step::Record { index, ok }),
-        1 => (0..INSTANCES).prop_map(|index| Step::Full { index }),
+        1 => (0..INSTANCES).prop_map(|index| Step::BackOff { index }),
         1 => (1..3_000_u64).prop_map(|ms| Step::Wait { ms }),
         2 => (0..INSTANCES, 0..3_usize, 0..3_usize, any::<bool>(), prop::bool::weighted(0.2))
             .prop_map(|(index, zone, pool, leaving, gone)| {
-                Step::Edit { index, zone, pool, leaving, gone }
+                Step::EditInstance { index, zone, pool, leaving, gone }
             }),
-        1 => (0..3_usize, any::<bool>()).prop_map(|(zone, out)| Step::Out { zone, out }),
+        1 => (0..3_usize, any::<bool>()).prop_map(|(zone, out)| Step::SetZoneOut { zone, out }),
     ]
 }
 
-/// The rules written naively over the index's backend servers.
+/// Computes the free backend servers of a service directly from the rules, without the index.
 fn naive_free(backends: &Backends, config: &Config, service: &str, now: Instant) -> Vec<usize> {
-    let takes = |backend: &Backend| {
+    let is_free = |backend: &Backend| {
         let pool = config.service_of_pool(&backend.instance.pool);
         let slots = config.services[service].slots_per_instance;
         backend.listed
@@ -89,7 +89,12 @@
             && backend.full_until.is_none_or(|until| until <= now)
             && backend.health.routing_state() == RoutingState::Healthy
     };
-    backends.backends.iter().filter(|(_, backend)| takes(backend)).map(|(index, _)| index).collect()
+    backends
+        .backends
+        .iter()
+        .filter(|(_, backend)| is_free(backend))
+        .map(|(index, _)| index)
+        .collect()
 }
 
 fn run(steps: Vec<Step>) -> Result<(), TestCaseError> {
@@ -98,17 +103,17 @@
     let (mut out, mut now) = ([false; 3], Instant::now());
     let mut list: Vec<Instance> =
         (0..INSTANCES).map(|index| instance(index, index % 3, index % 2, false)).collect();
-    let mut known = config(&out);
+    let mut current_config = config(&out);
     let mut backends = Backends::new("a".into());
-    backends.rebuild(&known, &list, &NoPeers);
-    let mut held: Vec<BackendIndex> = Vec::new();
+    backends.rebuild(&current_config, &list, &NoPeers);
+    let mut held_slots: Vec<BackendIndex> = Vec::new();
     for step in steps {
         match step {
             Step::Choose { idempotent, avoid } => {
                 let avoid: Vec<Instance> =
                     avoid.and_then(|index| list.get(index).cloned()).into_iter().collect();
                 let criteria = SelectionCriteria { idempotent, avoid: &avoid };
-                let free = naive_free(&backends, &known, "portal", now);
+                let free = naive_free(&backends, &current_config, "portal", now);
                 let chosen = backends.choose(&portal, criteria, &RackDomains, &mut rng);
                 if let Some(index) = chosen {
                     let backend = backends.get(index);
@@ -117,20 +122,20 @@
                     prop_assert!(free.contains(&index) || (on_trial && backend.running == 0));
                     let home = free.iter().any(|it| &*backends.get(*it).instance.zone == "a");
                     let stays = &*backend.instance.zone == "a" || on_trial || !avoid.is_empty();
-                    prop_assert!(!home || stays, "left the home zone without need");
+                    prop_assert!(!home || stays, "left the home zone although it has a free slot");
                     let others = free.iter().filter(|it| {
                         avoid.iter().all(|avoided| avoided.id != backends.get(**it).instance.id)
                     });
                     let again = avoid.iter().any(|avoided| avoided.id == backend.instance.id);
                     prop_assert!(!again || others.count() == 0, "chose the avoided instance");
                     backends.acquire_slot(index);
-                    held.push(index);
+                    held_slots.push(index);
                 } else {
                     prop_assert!(free.is_empty());
                 }
             }
-            Step::Finish { nth } if nth < held.len() => {
-                backends.release_slot(held.swap_remove(nth))
+            Step::Finish { nth } if nth < held_slots.len() => {
+                backends.release_slot(held_slots.swap_remove(nth))
             }
             Step::Finish { .. } => {}
             Step::Record { index, ok } => {
@@ -139,7 +144,7 @@
                     backends.record(index, result, now);
                 }
             }
-            Step::Full { index } => {
+            Step::BackOff { index } => {
                 if let Some(&index) = backends.by_id.get(&*format!("i{index}")) {
                     backends.back_off(index, now + Duration::from_millis(20));
                 }
@@ -148,29 +153,29 @@
                 now += Duration::from_millis(ms);
                 backends.end_backoffs(now);
             }
-            Step::Edit { index, zone, pool, leaving, gone } => {
+            Step::EditInstance { index, zone, pool, leaving, gone } => {
                 let id: InstanceId = format!("i{index}").into();
                 list.retain(|instance| instance.id != id);
                 if !gone {
                     list.push(instance(index, zone, pool, leaving));
                 }
-                backends.rebuild(&known, &list, &NoPeers);
+                backends.rebuild(&current_config, &list, &NoPeers);
             }
-            Step::Out { zone, out: is_out } => {
+            Step::SetZoneOut { zone, out: is_out } => {
                 out[zone] = is_out;
-                known = config(&out);
-                backends.rebuild(&known, &list, &NoPeers);
+                current_config = config(&out);
+                backends.rebuild(&current_config, &list, &NoPeers);
             }
         }
-        check_counts(&backends, &held)?;
+        check_counts(&backends, &held_slots)?;
     }
     Ok(())
 }
 
-/// Slots held agree with the naive count, and no service has too many ejected.
-fn check_counts(backends: &Backends, held: &[BackendIndex]) -> Result<(), TestCaseError> {
+/// Checks the number of held slots of each backend server and the ejected count of each service.
+fn check_counts(backends: &Backends, held_slots: &[BackendIndex]) -> Result<(), TestCaseError> {
     for (index, backend) in &backends.backends {
-        let naive = held.iter().filter(|other| **other == index).count();
+        let naive = held_slots.iter().filter(|other| **other == index).count();
         prop_assert_eq!(backend.running as usize, naive);
     }
     for service in backends.services.values() {
@@ -192,7 +197,7 @@
     })]
 
     #[test]
-    fn choices_agree_with_the_rules(steps in prop::collection::vec(step(), 1..150)) {
+    fn selection_matches_the_naive_implementation(steps in prop::collection::vec(step(), 1..150)) {
         run(steps)?;
     }
 }
@@ -216,23 +221,23 @@
 }
 
 #[test]
-fn a_black_hole_does_not_draw_the_work() {
+fn a_failing_instance_does_not_attract_requests() {
     let mut backends = pool_of(10, 0);
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut drawn = 0;
+    let mut failing_requests = 0;
     for _ in 0..1_000 {
         let criteria = SelectionCriteria { idempotent: false, avoid: &[] };
         let index = backends.choose(&"portal".into(), criteria, &RackDomains, &mut rng).unwrap();
-        let hole = &*backends.get(index).instance.id == "i0";
-        let result = if hole { AttemptResult::ServerError } else { AttemptResult::Ok };
-        drawn += u32::from(hole);
+        let is_failing = &*backends.get(index).instance.id == "i0";
+        let result = if is_failing { AttemptResult::ServerError } else { AttemptResult::Ok };
+        failing_requests += u32::from(is_failing);
         backends.record(index, result, Instant::now());
     }
-    assert!(drawn <= 10, "{drawn}");
+    assert!(failing_requests <= 10, "{failing_requests}");
 }
 
 #[test]
-fn a_trial_takes_one_request_and_returns_with_its_success() {
+fn a_trial_allows_one_request_and_ends_with_its_success() {
     let mut backends = pool_of(3, 0);
     let mut rng = SmallRng::seed_from_u64(1);
     let now = Instant::now();
@@ -273,7 +278,7 @@
     }
 }
 
-/// Other entry instances that run so many requests at `i0`.
+/// Other entry instances that run the given number of requests on `i0`.
 #[derive(Debug, Clone)]
 struct Peers(u32);
 
@@ -292,7 +297,7 @@
 }
 
 #[test]
-fn slots_that_others_use_are_left_to_them_until_they_report_less() {
+fn slots_used_by_other_entry_instances_are_not_selected() {
     let mut backends = pool_of(1, 0);
     let mut rng = SmallRng::seed_from_u64(1);
     let criteria = SelectionCriteria { idempotent: false, avoid: &[] };
--- a/crates/dispatch/src/body/tests.rs
+++ b/crates/dispatch/src/body/tests.rs
@@ -9,14 +9,14 @@
 }
 
 async fn sent_bytes(body: &mut PreparedBody) -> Result<usize, DispatchCode> {
-    let request = body.take_for_attempt().expect("the body is there");
+    let request = body.take_for_attempt().expect("the body is available");
     let failure = request.failure();
     let collected = request.collect().await;
     collected.map(|body| body.to_bytes().len()).map_err(|_| failure.get().unwrap())
 }
 
 #[tokio::test]
-async fn a_short_body_is_held_and_sent_twice() {
+async fn a_short_body_is_buffered_and_can_be_sent_twice() {
     let mut body = PreparedBody::read(chunks(&[1_000, 2_000]), 10_000).await.unwrap();
     assert!(body.is_replayable());
     assert_eq!(sent_bytes(&mut body).await, Ok(3_000));
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn a_long_body_is_streamed_whole_and_once() {
+async fn a_long_body_is_streamed_completely_and_once() {
     let mut body = PreparedBody::read(chunks(&[9_000; 10]), 100_000).await.unwrap();
     assert!(!body.is_replayable());
     assert_eq!(sent_bytes(&mut body).await, Ok(90_000));
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn a_body_that_grows_above_the_bound_breaks_off() {
+async fn a_body_that_exceeds_the_bound_is_refused() {
     let read = PreparedBody::read(chunks(&[600, 600]), 1_000).await;
     assert_eq!(read.err(), Some(DispatchCode::BodyTooLarge));
     let mut body = PreparedBody::read(chunks(&[9_000; 10]), 50_000).await.unwrap();
--- a/crates/dispatch/src/budget/tests.rs
+++ b/crates/dispatch/src/budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn retries_end_with_the_savings_and_go_on_with_a_tenth_of_the_first_attempts() {
+fn retries_are_limited_to_the_balance_and_a_tenth_of_the_first_attempts() {
     let (budget, service) = (RetryBudget::default(), ServiceId::from("portal"));
     let spend = || (0..100).filter(|_| budget.withdraw(&service)).count();
     assert_eq!(spend(), 10);
--- a/crates/dispatch/src/connection/tests.rs
+++ b/crates/dispatch/src/connection/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn a_request_on_a_connection_closed_before_goes_back_to_its_sender() {
+async fn a_request_on_a_closed_connection_is_returned_as_not_written() {
     let setup = setup();
     let (mut connection, stream) = connect().await;
     drop(stream);
@@ -31,20 +31,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slot_without_an_outcome_comes_back_at_the_bound() {
+async fn a_slot_with_unknown_outcome_is_released_after_the_timeout() {
     let setup = setup();
     let (mut connection, mut stream) = connect().await;
     let running = setup.dispatcher.acquire(&setup.request).await.unwrap();
     let mut head = [0; 16];
     tokio::select! {
-        _ = connection.send(request(), running) => unreachable!("nobody answers"),
+        _ = connection.send(request(), running) => unreachable!("there is no response"),
         read = stream.read_exact(&mut head) => drop(read.unwrap()),
     }
     drop(connection);
-    let given_up = Instant::now();
+    let abandoned_at = Instant::now();
     while setup.dispatcher.usage() != Usage::default() {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let held = given_up.elapsed();
+    let held = abandoned_at.elapsed();
     assert!(held >= OUTCOME_TIMEOUT && held < OUTCOME_TIMEOUT + Duration::from_secs(1), "{held:?}");
 }
--- a/crates/dispatch/src/dispatcher/tests.rs
+++ b/crates/dispatch/src/dispatcher/tests.rs
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_was_granted_may_not_start_once_its_zone_is_out() {
+async fn a_granted_request_may_not_start_in_a_zone_taken_out() {
     let Setup { dispatcher, config: active, instances: _kept, request } = setup();
     let running = dispatcher.acquire(&request).await.unwrap();
     assert!(running.may_start());
@@ -69,28 +69,28 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_was_granted_may_not_start_on_an_instance_that_leaves() {
+async fn a_granted_request_may_not_start_on_a_leaving_instance() {
     let Setup { dispatcher, config: _active, instances, request } = setup();
     let running = dispatcher.acquire(&request).await.unwrap();
     instances.send_replace(Arc::new(vec![instance(InstanceState::Leaving)]));
     assert!(!running.may_start());
 }
 
-/// Limits whose permits stop counting.
+/// Limits whose permits can be revoked.
 #[derive(Debug, Clone)]
-struct Lapsing {
-    lapsed: Arc<AtomicBool>,
+struct RevocableLimits {
+    revoked: Arc<AtomicBool>,
     changes: watch::Sender<()>,
 }
 
-impl Lapsing {
-    fn lapse(&self) {
-        self.lapsed.store(true, Ordering::Relaxed);
+impl RevocableLimits {
+    fn revoke(&self) {
+        self.revoked.store(true, Ordering::Relaxed);
         self.changes.send_replace(());
     }
 }
 
-impl LimitSource for Lapsing {
+impl LimitSource for RevocableLimits {
     type Permit = ();
 
     fn try_acquire(&self, _team: &TeamId) -> Option<()> {
@@ -98,7 +98,7 @@
     }
 
     fn are_suspended(&self) -> bool {
-        self.lapsed.load(Ordering::Relaxed)
+        self.revoked.load(Ordering::Relaxed)
     }
 
     fn is_valid(&self, (): &()) -> bool {
@@ -110,44 +110,44 @@
     }
 }
 
-struct LapsingSetup {
-    dispatcher: Dispatcher<Sources<Lapsing>>,
-    limits: Lapsing,
+struct RevocableSetup {
+    dispatcher: Dispatcher<Sources<RevocableLimits>>,
+    limits: RevocableLimits,
     request: Arc<AcceptedRequest>,
     _kept: (ActiveConfig, watch::Sender<Arc<Vec<Instance>>>),
 }
 
-fn lapsing_setup() -> LapsingSetup {
+fn revocable_setup() -> RevocableSetup {
     let active = ActiveConfig::default();
     active.offer(config(1, false));
     let (sender, instances) = watch::channel(Arc::new(vec![instance(InstanceState::Live)]));
-    let limits = Lapsing { lapsed: Arc::default(), changes: watch::Sender::new(()) };
+    let limits = RevocableLimits { revoked: Arc::default(), changes: watch::Sender::new(()) };
     let dependencies = Sources::with_limits(limits.clone());
     let dispatcher =
         Dispatcher::start(dependencies, &active, instances, "a".into(), Metrics::default());
     let mut request = AcceptedRequest::clone(&setup().request);
     (request.team, request.key) = ("parishes".into(), Some("the-key".into()));
-    LapsingSetup { dispatcher, limits, request: Arc::new(request), _kept: (active, sender) }
+    RevocableSetup { dispatcher, limits, request: Arc::new(request), _kept: (active, sender) }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_was_granted_may_not_start_once_its_permit_has_lapsed() {
-    let LapsingSetup { dispatcher, limits, request, _kept } = lapsing_setup();
+async fn a_granted_request_may_not_start_with_an_invalid_permit() {
+    let RevocableSetup { dispatcher, limits, request, _kept } = revocable_setup();
     let running = dispatcher.acquire(&request).await.unwrap();
     assert!(running.may_start());
-    limits.lapse();
+    limits.revoke();
     assert!(!running.may_start());
 }
 
 #[tokio::test(start_paused = true)]
-async fn keyed_requests_are_refused_at_once_while_limits_are_suspended() {
-    let LapsingSetup { dispatcher, limits, request, _kept } = lapsing_setup();
+async fn requests_with_a_key_are_refused_while_limits_are_suspended() {
+    let RevocableSetup { dispatcher, limits, request, _kept } = revocable_setup();
     let running = dispatcher.acquire(&request).await.unwrap();
     let began = Instant::now();
     let waiting = dispatcher.acquire(&request);
     let suspend = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        limits.lapse();
+        limits.revoke();
     };
     let (waited, ()) = tokio::join!(waiting, suspend);
     let suspended = |result: Result<RunningRequest<_>, Problem>| {
@@ -164,7 +164,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_granted_request_whose_task_is_gone_gives_its_slot_back() {
+async fn a_grant_whose_task_is_gone_releases_its_slot() {
     let Setup { dispatcher, config: _active, instances: _kept, request } = setup();
     let running = dispatcher.acquire(&request).await.unwrap();
     let mut waiting = Box::pin(dispatcher.acquire(&request));
@@ -176,7 +176,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn metrics_show_teams_and_services_of_the_configuration_only() {
+async fn metrics_have_labels_of_configured_services_only() {
     let Setup { dispatcher, config: _active, instances: _kept, request } = setup();
     dispatcher.acquire(&request).await.unwrap().close(EndReason::Completed);
     let unknown = Arc::new(AcceptedRequest { service: "made-up".into(), ..(*request).clone() });
--- a/crates/dispatch/src/fair.rs
+++ b/crates/dispatch/src/fair.rs
@@ -263,7 +263,7 @@
             self.entries[next].previous = entry.previous;
         }
         let Some(queue) = self.teams.get_mut(&entry.team) else {
-            unreachable!("a team with waiting requests is known");
+            unreachable!("a team with waiting requests has an entry");
         };
         if entry.previous.is_none() {
             queue.first = entry.next;
--- a/crates/dispatch/src/fair/tests.rs
+++ b/crates/dispatch/src/fair/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-/// The same policy written naively: a list of requests, searched anew at each step.
+/// Naive implementation of the same policy: a list of requests that is searched at each step.
 #[derive(Default)]
 struct NaiveQueue {
     teams: BTreeMap<TeamId, NaiveTeam>,
@@ -22,14 +22,14 @@
 impl NaiveQueue {
     fn set_weight(&mut self, team: &TeamId, weight: f64) {
         let virtual_time = self.virtual_time;
-        let known = NaiveTeam { weight, virtual_time, blocked: false };
-        self.teams.entry(team.clone()).or_insert(known).weight = weight;
+        let team_state = NaiveTeam { weight, virtual_time, blocked: false };
+        self.teams.entry(team.clone()).or_insert(team_state).weight = weight;
     }
 
     fn push(&mut self, team: &TeamId, item: u32, front: bool) {
         if !self.waiting.iter().any(|(other, _)| other == team) {
-            let known = self.teams.get_mut(team).unwrap();
-            known.virtual_time = known.virtual_time.max(self.virtual_time);
+            let team_state = self.teams.get_mut(team).unwrap();
+            team_state.virtual_time = team_state.virtual_time.max(self.virtual_time);
         }
         let index = if front { 0 } else { self.waiting.len() };
         self.waiting.insert(index, (team.clone(), item));
@@ -51,8 +51,8 @@
     }
 
     fn charge(&mut self, team: &TeamId, cost_s: f64) {
-        let known = self.teams.get_mut(team).unwrap();
-        known.virtual_time = (known.virtual_time + cost_s / known.weight).max(0.0);
+        let team_state = self.teams.get_mut(team).unwrap();
+        team_state.virtual_time = (team_state.virtual_time + cost_s / team_state.weight).max(0.0);
     }
 
     fn remove(&mut self, item: u32) -> bool {
@@ -63,11 +63,11 @@
 
     fn set_blocked(&mut self, team: &TeamId, blocked: bool) {
         let virtual_time = self.virtual_time;
-        let known = self.teams.get_mut(team).unwrap();
-        if known.blocked && !blocked {
-            known.virtual_time = known.virtual_time.max(virtual_time);
+        let team_state = self.teams.get_mut(team).unwrap();
+        if team_state.blocked && !blocked {
+            team_state.virtual_time = team_state.virtual_time.max(virtual_time);
         }
-        known.blocked = blocked;
+        team_state.blocked = blocked;
     }
 }
 
@@ -79,7 +79,7 @@
     Charge { team: usize, cost_ms: i32 },
     Block { team: usize },
     Unblock { team: usize },
-    Weigh { team: usize, weight: u32 },
+    SetWeight { team: usize, weight: u32 },
 }
 
 const TEAMS: [&str; 5] = ["a", "b", "c", "d", "e"];
@@ -94,7 +94,7 @@
         1 => (team.clone(), -2_000..2_000).prop_map(|(team, cost_ms)| Step::Charge { team, cost_ms }),
         1 => team.clone().prop_map(|team| Step::Block { team }),
         1 => team.clone().prop_map(|team| Step::Unblock { team }),
-        1 => (team, 1..10_u32).prop_map(|(team, weight)| Step::Weigh { team, weight }),
+        1 => (team, 1..10_u32).prop_map(|(team, weight)| Step::SetWeight { team, weight }),
     ]
 }
 
@@ -107,7 +107,7 @@
     })]
 
     #[test]
-    fn agrees_with_the_naive_queue(steps in prop::collection::vec(step(), 1..200)) {
+    fn matches_the_naive_queue(steps in prop::collection::vec(step(), 1..200)) {
         let teams: Vec<TeamId> = TEAMS.iter().map(|name| TeamId::from(*name)).collect();
         let (mut queue, mut naive) = (FairQueue::default(), NaiveQueue::default());
         for team in &teams {
@@ -150,7 +150,7 @@
                     queue.unblock(&teams[team]);
                     naive.set_blocked(&teams[team], false);
                 }
-                Step::Weigh { team, weight } => {
+                Step::SetWeight { team, weight } => {
                     queue.set_weight(&teams[team], f64::from(weight));
                     naive.set_weight(&teams[team], f64::from(weight));
                 }
@@ -163,7 +163,7 @@
     }
 }
 
-/// Serves a backlog of three teams and counts the slot time of each.
+/// Serves a backlog of three teams and returns the slot time of each, in seconds.
 fn slot_time_s(weights: [f64; 3], costs_s: [f64; 3], starts: usize) -> [f64; 3] {
     let teams: Vec<TeamId> = TEAMS[..3].iter().map(|name| TeamId::from(*name)).collect();
     let mut queue = FairQueue::default();
@@ -204,11 +204,11 @@
 share_cases! {
     equal_weights_give_equal_slot_time: [1.0, 1.0, 1.0], [1.0, 1.0, 1.0];
     slot_time_follows_weights: [5.0, 3.0, 1.0], [1.0, 1.0, 1.0];
-    long_requests_do_not_win_slot_time: [1.0, 1.0, 2.0], [4.0, 1.0, 0.5];
+    long_requests_do_not_gain_slot_time: [1.0, 1.0, 2.0], [4.0, 1.0, 0.5];
 }
 
 #[test]
-fn a_team_back_from_idleness_has_no_credit() {
+fn an_idle_team_accumulates_no_credit() {
     let (one, other): (TeamId, TeamId) = ("a".into(), "b".into());
     let mut queue = FairQueue::default();
     for _ in 0..200 {
--- a/crates/dispatch/src/health/tests.rs
+++ b/crates/dispatch/src/health/tests.rs
@@ -20,7 +20,7 @@
     five_server_errors_in_a_row_eject: ServerError, 5;
     five_broken_connections_in_a_row_eject: Broken, 5;
     three_failed_connects_in_a_row_eject: ConnectFailed, 3;
-    three_silences_in_a_row_eject: Silent, 3;
+    three_missing_responses_in_a_row_eject: Silent, 3;
 }
 
 #[test]
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_rate_far_below_the_pool_ejects_without_a_run_of_failures() {
+fn a_success_rate_far_below_the_pool_ejects_without_consecutive_failures() {
     let mut health = Health::default();
     let results = [AttemptResult::ServerError, AttemptResult::ServerError, AttemptResult::Ok];
     let changes: Vec<HealthChange> =
@@ -45,13 +45,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn holds_double_up_to_a_bound_and_are_forgiven() {
+async fn backoffs_double_up_to_a_bound_and_are_reset() {
     let mut health = Health::default();
-    let mut holds_s = Vec::new();
+    let mut backoffs_s = Vec::new();
     for _ in 0..8 {
         let now = Instant::now();
         let until = health.eject(now);
-        holds_s.push((until - now).as_secs());
+        backoffs_s.push((until - now).as_secs());
         assert!(!health.end_backoff(until - Duration::from_millis(1)));
         assert!(health.end_backoff(until));
         assert!(matches!(
@@ -59,7 +59,7 @@
             RoutingState::Trial { prefer_idempotent_until: Some(_) }
         ));
     }
-    assert_eq!(holds_s, [1, 2, 4, 8, 16, 32, 60, 60]);
+    assert_eq!(backoffs_s, [1, 2, 4, 8, 16, 32, 60, 60]);
     assert_eq!(health.record(AttemptResult::Ok, 1.0), HealthChange::Recovered);
     for _ in 0..EJECTIONS_RESET_SUCCESSES {
         health.record(AttemptResult::Ok, 1.0);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn one_failure_ends_a_trial() {
+fn one_failure_during_a_trial_ejects() {
     let mut health = Health::default();
     let until = health.eject(Instant::now());
     health.end_backoff(until);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_bound_leaves_most_of_a_pool() {
+fn at_most_a_third_of_a_pool_may_be_ejected() {
     let bounds: Vec<usize> = [0, 1, 2, 3, 6, 10, 870].map(ejected_max).into();
     assert_eq!(bounds, [0, 0, 1, 1, 2, 3, 290]);
 }
--- a/crates/dispatch/src/proxy/tests.rs
+++ b/crates/dispatch/src/proxy/tests.rs
@@ -35,6 +35,6 @@
 }
 
 #[test]
-fn an_answer_beside_a_failure_counts() {
+fn a_response_wins_over_a_failure() {
     assert_eq!(failure(RunState::OutcomeUnknown).or_else_outcome(Ok(7)).ok(), Some(7));
 }
--- a/crates/dispatch/src/request/tests.rs
+++ b/crates/dispatch/src/request/tests.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn made_ids_differ_and_are_well_formed() {
+fn generated_ids_differ_and_are_well_formed() {
     let (one, other) = (generate_request_id(), generate_request_id());
     assert_ne!(one, other);
     assert!(request_id(&headers("x-request-id", &[&one])).is_ok());
--- a/crates/dispatch/src/scheduler/tests.rs
+++ b/crates/dispatch/src/scheduler/tests.rs
@@ -20,9 +20,9 @@
 const INSTANCES: usize = 6;
 const SLOTS: u32 = 2;
 
-/// What operators and the platform have decided, written down naively.
+/// State of the fleet as decided by operators and the platform.
 #[derive(Debug, Clone)]
-struct World {
+struct FleetState {
     version: u64,
     zones_out: [bool; 2],
     keys_withdrawn: [bool; 3],
@@ -30,7 +30,7 @@
     queue_length_max: u32,
 }
 
-impl World {
+impl FleetState {
     fn new() -> Self {
         Self {
             version: 1,
@@ -102,11 +102,11 @@
     })
 }
 
-fn new_scheduler(world: &World, limits: &Limits) -> TestScheduler {
+fn new_scheduler(fleet_state: &FleetState, limits: &Limits) -> TestScheduler {
     let dependencies = Sources::with_limits(limits.clone());
     let mut scheduler =
         RequestScheduler::new(dependencies, "z0".into(), SmallRng::seed_from_u64(9));
-    scheduler.update(world.config(), &world.instances());
+    scheduler.update(fleet_state.config(), &fleet_state.instances());
     scheduler
 }
 
@@ -121,13 +121,13 @@
     Arrive { team: usize },
     Cancel { nth: usize },
     Finish { nth: usize, end_reason: EndReason },
-    Again { nth: usize },
-    Second { nth: usize },
+    Retry { nth: usize },
+    Hedge { nth: usize },
     Wait { ms: u64 },
-    ZoneOut { zone: usize, out: bool },
-    Leave { index: usize, leaving: bool },
-    Key { team: usize, withdrawn: bool },
-    Limit { team: usize, limit: u32 },
+    SetZoneOut { zone: usize, out: bool },
+    SetLeaving { index: usize, leaving: bool },
+    SetKeyWithdrawn { team: usize, withdrawn: bool },
+    SetLimit { team: usize, limit: u32 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -140,44 +140,53 @@
         10 => (0..3_usize).prop_map(|team| Step::Arrive { team }),
         3 => (0..60_usize).prop_map(|nth| Step::Cancel { nth }),
         7 => (0..12_usize, ends).prop_map(|(nth, end_reason)| Step::Finish { nth, end_reason }),
-        1 => (0..12_usize).prop_map(|nth| Step::Again { nth }),
-        1 => (0..12_usize).prop_map(|nth| Step::Second { nth }),
+        1 => (0..12_usize).prop_map(|nth| Step::Retry { nth }),
+        1 => (0..12_usize).prop_map(|nth| Step::Hedge { nth }),
         2 => (1..2_000_u64).prop_map(|ms| Step::Wait { ms }),
-        1 => (0..2_usize, any::<bool>()).prop_map(|(zone, out)| Step::ZoneOut { zone, out }),
+        1 => (0..2_usize, any::<bool>()).prop_map(|(zone, out)| Step::SetZoneOut { zone, out }),
         1 => (0..INSTANCES, any::<bool>())
-            .prop_map(|(index, leaving)| Step::Leave { index, leaving }),
-        1 => (0..3_usize, any::<bool>()).prop_map(|(team, withdrawn)| Step::Key { team, withdrawn }),
-        1 => (0..3_usize, 0..8_u32).prop_map(|(team, limit)| Step::Limit { team, limit }),
+            .prop_map(|(index, leaving)| Step::SetLeaving { index, leaving }),
+        1 => (0..3_usize, any::<bool>()).prop_map(|(team, withdrawn)| Step::SetKeyWithdrawn { team, withdrawn }),
+        1 => (0..3_usize, 0..8_u32).prop_map(|(team, limit)| Step::SetLimit { team, limit }),
     ]
 }
 
-/// Carries out a schedule and checks after each step what must always hold.
+/// Runs a schedule of steps and checks the invariants after each one.
 struct Schedule {
     scheduler: TestScheduler,
-    world: World,
+    fleet_state: FleetState,
     limits: Limits,
     now: Instant,
     started: Vec<Started>,
     waiters: BTreeMap<u32, WaiterId>,
     arrivals: u32,
-    /// Longest completed run, which no estimate exceeds.
-    run_longest: Duration,
+    /// Longest service time of a completed request, which no estimate exceeds.
+    longest_service_time: Duration,
 }
 
 impl Schedule {
     fn new() -> Self {
-        let (world, limits) = (World::new(), Limits::default());
+        let (fleet_state, limits) = (FleetState::new(), Limits::default());
         TEAMS.iter().for_each(|team| limits.set(team, 5));
-        let scheduler = new_scheduler(&world, &limits);
+        let scheduler = new_scheduler(&fleet_state, &limits);
         let (started, waiters) = (Vec::new(), BTreeMap::new());
-        let (now, run_longest) = (Instant::now(), Duration::ZERO);
-        Self { scheduler, world, limits, now, started, waiters, arrivals: 0, run_longest }
+        let (now, longest_service_time) = (Instant::now(), Duration::ZERO);
+        Self {
+            scheduler,
+            fleet_state,
+            limits,
+            now,
+            started,
+            waiters,
+            arrivals: 0,
+            longest_service_time,
+        }
     }
 
-    fn arrive(&mut self, request: &Arc<AcceptedRequest>, again: bool) {
+    fn arrive(&mut self, request: &Arc<AcceptedRequest>, retry: bool) {
         self.arrivals += 1;
         let reply = self.arrivals;
-        if again {
+        if retry {
             let waiter = self.scheduler.enqueue_retry(request, Vec::new(), reply);
             self.waiters.insert(reply, waiter);
         } else if let Ok(waiter) = self.scheduler.enqueue(request, reply, self.now) {
@@ -193,7 +202,7 @@
         drop(grant.permit);
         let held = self.now - since;
         if end_reason == EndReason::Completed {
-            self.run_longest = self.run_longest.max(held);
+            self.longest_service_time = self.longest_service_time.max(held);
         }
         let finished = FinishedRequest {
             request: &request,
@@ -206,10 +215,10 @@
         Some(request)
     }
 
-    fn change_world(&mut self, change: impl FnOnce(&mut World)) {
-        change(&mut self.world);
-        self.world.version += 1;
-        self.scheduler.update(self.world.config(), &self.world.instances());
+    fn change_fleet_state(&mut self, change: impl FnOnce(&mut FleetState)) {
+        change(&mut self.fleet_state);
+        self.fleet_state.version += 1;
+        self.scheduler.update(self.fleet_state.config(), &self.fleet_state.instances());
     }
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
@@ -221,28 +230,30 @@
                 }
             }
             Step::Finish { nth, end_reason } => drop(self.finish(nth, end_reason)),
-            Step::Again { nth } => {
+            Step::Retry { nth } => {
                 if let Some(request) = self.finish(nth, EndReason::NotRun) {
                     self.arrive(&request, true);
                 }
             }
-            Step::Second { nth } if nth < self.started.len() => {
+            Step::Hedge { nth } if nth < self.started.len() => {
                 let request = self.started[nth].request.clone();
                 if let Some(grant) = self.scheduler.start_hedge(&request, &[]) {
                     self.check_start(&request, &grant)?;
                     self.started.push(Started { request, grant, since: self.now });
                 }
             }
-            Step::Second { .. } => {}
+            Step::Hedge { .. } => {}
             Step::Wait { ms } => self.now += Duration::from_millis(ms),
-            Step::ZoneOut { zone, out } => self.change_world(|world| world.zones_out[zone] = out),
-            Step::Leave { index, leaving } => {
-                self.change_world(|world| world.leaving[index] = leaving);
+            Step::SetZoneOut { zone, out } => {
+                self.change_fleet_state(|fleet_state| fleet_state.zones_out[zone] = out)
+            }
+            Step::SetLeaving { index, leaving } => {
+                self.change_fleet_state(|fleet_state| fleet_state.leaving[index] = leaving);
             }
-            Step::Key { team, withdrawn } => {
-                self.change_world(|world| world.keys_withdrawn[team] = withdrawn);
+            Step::SetKeyWithdrawn { team, withdrawn } => {
+                self.change_fleet_state(|fleet_state| fleet_state.keys_withdrawn[team] = withdrawn);
             }
-            Step::Limit { team, limit } => {
+            Step::SetLimit { team, limit } => {
                 self.limits.set(TEAMS[team], limit);
                 self.scheduler.unblock_all();
             }
@@ -253,7 +264,7 @@
 
     fn start_waiting(&mut self) -> Result<(), TestCaseError> {
         for (reply, request, outcome) in self.scheduler.start_waiting(&"portal".into(), self.now) {
-            prop_assert!(self.waiters.remove(&reply).is_some(), "answered twice");
+            prop_assert!(self.waiters.remove(&reply).is_some(), "more than one reply");
             match outcome {
                 Ok(grant) => {
                     self.check_start(&request, &grant)?;
@@ -262,9 +273,9 @@
                 Err(problem) => {
                     let timed_out = problem.code == DispatchCode::QueueTimeout;
                     let late = request.deadline <= self.now;
-                    let would_be_late = request.deadline <= self.now + self.run_longest;
-                    prop_assert!(!timed_out || would_be_late, "given up too early");
-                    prop_assert!(timed_out || !late, "not given up in time");
+                    let would_be_late = request.deadline <= self.now + self.longest_service_time;
+                    prop_assert!(!timed_out || would_be_late, "timed out too early");
+                    prop_assert!(timed_out || !late, "did not time out at the deadline");
                     prop_assert!(timed_out || self.is_withdrawn(&request));
                 }
             }
@@ -274,7 +285,7 @@
 
     fn is_withdrawn(&self, request: &AcceptedRequest) -> bool {
         let index = TEAMS.iter().position(|team| *team == &*request.team).unwrap();
-        self.world.keys_withdrawn[index]
+        self.fleet_state.keys_withdrawn[index]
     }
 
     fn check_start(
@@ -283,7 +294,10 @@
         grant: &SlotGrant<Permit>,
     ) -> Result<(), TestCaseError> {
         let index = grant.instance.id[1..].parse().unwrap();
-        prop_assert!(self.world.accepts_requests(index), "started where no work may start");
+        prop_assert!(
+            self.fleet_state.accepts_requests(index),
+            "started on an instance that accepts no requests"
+        );
         prop_assert!(!self.is_withdrawn(request), "started for a withdrawn key");
         prop_assert!(request.deadline > self.now, "started after the deadline");
         let permits = self.limits.state.lock().unwrap()[&request.team].0;
@@ -302,23 +316,28 @@
         prop_assert!(reported.collect::<BTreeMap<_, _>>() == running);
         for (team, (permits, _)) in self.limits.state.lock().unwrap().iter() {
             let of_team = self.started.iter().filter(|started| started.request.team == *team);
-            prop_assert_eq!(of_team.count() as u32, *permits, "permits and running differ");
+            prop_assert_eq!(
+                of_team.count() as u32,
+                *permits,
+                "permits and running requests differ"
+            );
         }
         self.check_no_idle_slot()
     }
 
-    /// Whoever waits has a reason: no free slot, or the team is at its limit.
+    /// Checks that requests wait only if no slot is free or their team is at its limit.
     fn check_no_idle_slot(&self) -> Result<(), TestCaseError> {
         let busy = |index: usize| {
             let id = format!("i{index}");
             let held = self.started.iter().filter(|it| *it.grant.instance.id == *id).count();
             held as u32 >= SLOTS
         };
-        let free = (0..INSTANCES).any(|index| self.world.accepts_requests(index) && !busy(index));
+        let free =
+            (0..INSTANCES).any(|index| self.fleet_state.accepts_requests(index) && !busy(index));
         for usage in self.scheduler.usage().teams.iter().filter(|usage| usage.waiting > 0) {
             let permits = self.limits.state.lock().unwrap()[&usage.team].0;
             let at_limit = permits >= self.limits.limit(&usage.team);
-            prop_assert!(!free || at_limit, "{} waits beside a free slot", usage.team);
+            prop_assert!(!free || at_limit, "{} waits although a slot is free", usage.team);
         }
         Ok(())
     }
@@ -333,7 +352,7 @@
     })]
 
     #[test]
-    fn slots_limits_zones_and_keys_hold_in_any_schedule(
+    fn slots_limits_zones_and_keys_are_respected_in_any_schedule(
         steps in prop::collection::vec(step(), 1..150),
     ) {
         let mut schedule = Schedule::new();
@@ -343,11 +362,12 @@
     }
 }
 
-/// A core whose slots are all taken by requests of team 0 that take a second each.
+/// A scheduler whose slots are all taken by requests of team 0 with a service time of one second.
 fn full_scheduler(now: Instant) -> TestScheduler {
-    let (world, limits) = (World { queue_length_max: 1_000, ..World::new() }, Limits::default());
+    let (fleet_state, limits) =
+        (FleetState { queue_length_max: 1_000, ..FleetState::new() }, Limits::default());
     TEAMS.iter().for_each(|team| limits.set(team, 1_000));
-    let mut scheduler = new_scheduler(&world, &limits);
+    let mut scheduler = new_scheduler(&fleet_state, &limits);
     let request = request(0, now);
     scheduler.enqueue(&request, 0, now).unwrap();
     let (_, _, grant) = scheduler.start_waiting(&"portal".into(), now).remove(0);
@@ -371,12 +391,12 @@
 }
 
 #[test]
-fn a_request_that_cannot_start_in_time_is_refused_at_once() {
+fn a_request_that_cannot_start_in_time_is_refused_when_enqueued() {
     let now = Instant::now();
     let mut scheduler = full_scheduler(now);
     let request = request(1, now);
-    // Twelve slots turn over each second; the last start must come a run before the deadline,
-    // so in four seconds.
+    // Twelve requests complete each second. The last one must start one service time before the
+    // deadline, that is within four seconds.
     let accepted = (0..200).take_while(|_| scheduler.enqueue(&request, 0, now).is_ok()).count();
     assert!((43..=53).contains(&accepted), "{accepted}");
     let problem = scheduler.enqueue(&request, 0, now).unwrap_err();
@@ -385,10 +405,10 @@
 }
 
 #[test]
-fn a_full_queue_of_one_team_leaves_the_other_teams_room() {
-    let (world, limits) = (World::new(), Limits::default());
+fn a_full_queue_of_one_team_does_not_block_other_teams() {
+    let (fleet_state, limits) = (FleetState::new(), Limits::default());
     TEAMS.iter().for_each(|team| limits.set(team, 0));
-    let (mut scheduler, now) = (new_scheduler(&world, &limits), Instant::now());
+    let (mut scheduler, now) = (new_scheduler(&fleet_state, &limits), Instant::now());
     let results: Vec<_> = (0..21).map(|_| scheduler.enqueue(&request(0, now), 0, now)).collect();
     assert!(results[..20].iter().all(Result::is_ok));
     assert_eq!(results[20].as_ref().unwrap_err().code, DispatchCode::QueueFull);
@@ -396,27 +416,29 @@
 }
 
 #[test]
-fn without_any_instance_the_refusal_comes_at_once() {
-    let mut world = World::new();
-    world.zones_out = [true, true];
-    let (mut scheduler, now) = (new_scheduler(&world, &Limits::default()), Instant::now());
+fn a_request_without_any_instance_is_refused_when_enqueued() {
+    let mut fleet_state = FleetState::new();
+    fleet_state.zones_out = [true, true];
+    let (mut scheduler, now) = (new_scheduler(&fleet_state, &Limits::default()), Instant::now());
     let problem = scheduler.enqueue(&request(0, now), 0, now).unwrap_err();
     assert_eq!(problem.code, DispatchCode::NoInstance);
 }
 
-/// Five times as many requests as twelve slots can run, for twenty seconds, in steps of 10 ms.
+/// Offers five times as many requests as twelve slots can run, for 20 s in steps of 10 ms.
 #[test]
-fn at_five_times_capacity_no_slot_idles_and_every_refusal_is_early_or_on_time() {
-    const RUN: Duration = Duration::from_millis(100);
-    let (world, limits) = (World { queue_length_max: 1_000, ..World::new() }, Limits::default());
+fn at_five_times_capacity_no_slot_is_idle_and_few_requests_time_out() {
+    const SERVICE_TIME: Duration = Duration::from_millis(100);
+    let (fleet_state, limits) =
+        (FleetState { queue_length_max: 1_000, ..FleetState::new() }, Limits::default());
     TEAMS.iter().for_each(|team| limits.set(team, 1_000));
     let (mut scheduler, portal, begin) =
-        (new_scheduler(&world, &limits), "portal".into(), Instant::now());
+        (new_scheduler(&fleet_state, &limits), "portal".into(), Instant::now());
     let mut started: Vec<Started> = Vec::new();
     let (mut completed, mut refused, mut timed_out, mut arrived) = (0, 0, 0, 0);
     for tick in 0..2_000_u32 {
         let now = begin + tick * Duration::from_millis(10);
-        let (finished, running) = started.into_iter().partition(|it| now - it.since >= RUN);
+        let (finished, running) =
+            started.into_iter().partition(|it| now - it.since >= SERVICE_TIME);
         started = running;
         for Started { request, grant, since } in finished {
             completed += 1;
@@ -443,18 +465,18 @@
                 }
             }
         }
-        assert!(tick < 2 || started.len() == 12, "a slot idles at tick {tick}");
+        assert!(tick < 2 || started.len() == 12, "a slot is idle at tick {tick}");
     }
     let waiting = scheduler.waiting(&portal) as u32;
     assert_eq!(arrived, completed + refused + timed_out + waiting + started.len() as u32);
-    assert!(timed_out * 20 <= arrived, "{timed_out} of {arrived} waited in vain");
+    assert!(timed_out * 20 <= arrived, "{timed_out} of {arrived} timed out while waiting");
 }
 
-/// Shares that let each team run so many requests at this entry instance.
+/// Share source with the same maximum number of running requests for each team.
 #[derive(Debug, Clone)]
-struct Capped(u32);
+struct FixedRunningMax(u32);
 
-impl ShareSource for Capped {
+impl ShareSource for FixedRunningMax {
     fn weight(&self, _service: &ServiceId, _team: &TeamId) -> Option<f64> {
         None
     }
@@ -473,17 +495,17 @@
         $(
             #[test]
             fn $name() {
-                let (world, limits, now) = (World::new(), Limits::default(), Instant::now());
+                let (fleet_state, limits, now) = (FleetState::new(), Limits::default(), Instant::now());
                 limits.set(TEAMS[0], 10);
                 let sources = Sources::with_limits(limits);
                 let dependencies = Sources {
                     limits: sources.limits,
-                    shares: Capped($bound),
+                    shares: FixedRunningMax($bound),
                     peers: sources.peers,
                     domains: sources.domains,
                 };
                 let mut scheduler = RequestScheduler::new(dependencies, "z0".into(), SmallRng::seed_from_u64(9));
-                scheduler.update(world.config(), &world.instances());
+                scheduler.update(fleet_state.config(), &fleet_state.instances());
                 for _ in 0..10 {
                     scheduler.enqueue(&request(0, now), 0, now).unwrap();
                 }
@@ -495,6 +517,6 @@
 }
 
 share_bound_cases! {
-    a_team_runs_up_to_its_part_of_the_slots: 4 => 4;
-    a_team_without_a_part_still_runs_one: 0 => 1;
+    a_team_runs_up_to_its_share_of_the_slots: 4 => 4;
+    a_team_without_a_share_still_runs_one: 0 => 1;
 }
--- a/crates/dispatch/src/scheduler/tests/limits.rs
+++ b/crates/dispatch/src/scheduler/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Upper limits for tests.
+//! Limit source for tests.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -8,13 +8,13 @@
 
 use crate::limit::{LimitSource, never};
 
-/// Upper limits that count their permits.
+/// Upper limits by team, with the number of permits in use.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Limits {
     pub(super) state: Arc<Mutex<BTreeMap<TeamId, (u32, u32)>>>,
 }
 
-/// Permission for one request of a team, given back when dropped.
+/// Permit for one request of a team, released on drop.
 #[derive(Debug)]
 pub(super) struct Permit {
     team: TeamId,
--- a/crates/dispatch/tests/changes.rs
+++ b/crates/dispatch/tests/changes.rs
@@ -1,5 +1,5 @@
-//! Changes while requests wait and run: zones out, leaving instances, keys, limits,
-//! cancellations, overload and the graceful stop.
+//! Changes while requests wait and run: zones taken out, leaving instances, keys, limits,
+//! cancellations, ejection and the graceful stop.
 
 mod support;
 
@@ -11,23 +11,23 @@
 use cassiafold_dispatch::{AttemptResult, LimitSource, Sources};
 use cassiafold_standin::{BackendOptions, Fault};
 use http::Method;
-use support::{Fleet, OTHER_KEY, Told, config};
+use support::{CallerResponse, Fleet, OTHER_KEY, config};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-const SLOW: Duration = Duration::from_millis(2_000);
-const SOON: Duration = Duration::from_millis(500);
+const SLOW_RUN_TIME: Duration = Duration::from_millis(2_000);
+const SHORT_DELAY: Duration = Duration::from_millis(500);
 
-/// `size` backend servers with one slot each, which run each request for [`SLOW`].
+/// `size` backend servers with one slot each, which run each request for [`SLOW_RUN_TIME`].
 async fn slow_fleet(size: usize) -> Fleet {
-    let options = BackendOptions { run_time: SLOW, ..BackendOptions::default() };
+    let options = BackendOptions { run_time: SLOW_RUN_TIME, ..BackendOptions::default() };
     let one_slot = config(1, |document| {
         document["services"]["portal"]["slots_per_instance"] = 1.into();
     });
     Fleet::start_with(&vec![options; size], <Sources>::default(), one_slot).await
 }
 
-fn spawn(fleet: &Fleet, id: &str) -> JoinHandle<Told> {
+fn spawn(fleet: &Fleet, id: &str) -> JoinHandle<CallerResponse> {
     tokio::spawn(fleet.call(Method::POST, "/a", id).send())
 }
 
@@ -48,8 +48,8 @@
 }
 
 #[tokio::test]
-async fn queued_work_starts_neither_in_a_zone_out_nor_on_a_leaving_instance() {
-    // Instances 0 and 1 stand in zone a, 2 in c, 3 in a.
+async fn queued_requests_start_neither_in_a_zone_taken_out_nor_on_a_leaving_instance() {
+    // Instances 0, 1 and 3 are in zone a, instance 2 in zone c.
     let fleet = slow_fleet(4).await;
     let calls: Vec<_> = (0..12).map(|index| spawn(&fleet, &format!("r{index}"))).collect();
     let all_run = || fleet.backends.iter().all(|backend| backend.running() == 1);
@@ -61,8 +61,8 @@
     fleet.edit(|list| list[0].state = InstanceState::Leaving);
     let mut by_instance = BTreeMap::<String, u32>::new();
     for call in calls {
-        let told = call.await.unwrap();
-        let body = told.body.expect("the answer is whole");
+        let response = call.await.unwrap();
+        let body = response.body.expect("the response is complete");
         let name = String::from_utf8_lossy(&body).trim().to_owned();
         *by_instance.entry(name).or_default() += 1;
     }
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn a_withdrawn_key_stops_queued_work_and_not_what_runs() {
+async fn a_withdrawn_key_stops_queued_but_not_running_requests() {
     let fleet = slow_fleet(1).await;
     let running = spawn(&fleet, "running");
     until("start", || usage(&fleet) == (1, 0)).await;
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_wave_of_cancellations_leaves_the_queue_and_runs_nothing() {
+async fn cancelled_requests_leave_the_queue_and_never_run() {
     let fleet = slow_fleet(1).await;
     fleet.faults.queue(Fault::Slow(Duration::from_secs(5)));
     let running = spawn(&fleet, "running");
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn a_slot_comes_back_only_when_the_abandoned_run_has_ended() {
+async fn a_slot_is_released_only_when_the_abandoned_request_has_ended() {
     let fleet = slow_fleet(1).await;
     let abandoned = spawn(&fleet, "abandoned");
     until("run", || fleet.backends[0].running() == 1).await;
@@ -117,18 +117,18 @@
 }
 
 #[tokio::test]
-async fn a_request_that_waits_in_vain_is_refused_at_its_deadline_as_not_run() {
+async fn a_waiting_request_is_refused_at_its_deadline_as_not_run() {
     let fleet = slow_fleet(1).await;
     let running = spawn(&fleet, "running");
     until("start", || usage(&fleet) == (1, 0)).await;
-    let told = fleet.call(Method::POST, "/a", "late").deadline_ms(100).send().await;
-    assert_eq!(told.summary(), "504, code 312, not run");
-    assert!(told.headers.contains_key("retry-after"));
+    let response = fleet.call(Method::POST, "/a", "late").deadline_ms(100).send().await;
+    assert_eq!(response.summary(), "504, code 312, not run");
+    assert!(response.headers.contains_key("retry-after"));
     assert_eq!(running.await.unwrap().summary(), "200, whole");
     assert_eq!(fleet.counts.runs("late"), 0);
 }
 
-/// A source that gives `limit` permits a team and counts them.
+/// Limit source that grants `limit` permits to each team and counts them.
 #[derive(Debug, Clone)]
 struct Limits {
     limit: Arc<Mutex<u32>>,
@@ -171,19 +171,19 @@
         running: Arc::default(),
         changes: watch::Sender::new(()),
     };
-    let options = BackendOptions { run_time: SLOW, ..BackendOptions::default() };
+    let options = BackendOptions { run_time: SLOW_RUN_TIME, ..BackendOptions::default() };
     let dependencies = Sources::with_limits(limits.clone());
     (Fleet::start_with(&vec![options; 2], dependencies, config(1, |_| {})).await, limits)
 }
 
 #[tokio::test]
-async fn the_upper_limit_holds_and_a_raise_lets_waiting_work_start() {
+async fn raising_the_upper_limit_starts_waiting_requests() {
     let (fleet, limits) = limited_fleet(2).await;
     let call = |id: String| tokio::spawn(fleet.call(Method::POST, "/a", &id).send());
     let calls: Vec<_> = (0..6).map(|index| call(format!("r{index}"))).collect();
     let running = || fleet.backends.iter().map(|backend| backend.running()).sum::<u32>();
     until("runs", || running() == 2).await;
-    tokio::time::sleep(SOON).await;
+    tokio::time::sleep(SHORT_DELAY).await;
     assert_eq!(running(), 2);
     *limits.limit.lock().unwrap() = 6;
     limits.changes.send_replace(());
@@ -194,7 +194,7 @@
 }
 
 #[tokio::test]
-async fn a_team_at_its_limit_is_told_so_and_holds_up_no_other() {
+async fn a_team_at_its_limit_is_refused_and_does_not_block_others() {
     let (fleet, _limits) = limited_fleet(1).await;
     let first = tokio::spawn(fleet.call(Method::POST, "/a", "first").send());
     until("run", || fleet.backends.iter().any(|backend| backend.running() == 1)).await;
@@ -206,14 +206,14 @@
 }
 
 #[tokio::test]
-async fn a_graceful_stop_finishes_what_was_accepted_and_refuses_the_rest() {
+async fn a_graceful_stop_finishes_accepted_requests() {
     let Fleet { server, backends, counts, config, instances, faults } = slow_fleet(1).await;
     let fleet = Fleet { server, backends, counts, config, instances, faults };
     let calls: Vec<_> = (0..3).map(|index| spawn(&fleet, &format!("r{index}"))).collect();
     until("queueing", || usage(&fleet) == (1, 2)).await;
     let caller_api = fleet.server.caller_api().clone();
     let refused = fleet.call(Method::POST, "/a", "refused");
-    let stop = tokio::spawn(fleet.server.close(SOON, std::future::pending()));
+    let stop = tokio::spawn(fleet.server.close(SHORT_DELAY, std::future::pending()));
     until("readiness off", || !caller_api.is_ready()).await;
     let during_wait = refused.clone().header("x-note", "still served").deadline_ms(60_000);
     assert_eq!(during_wait.send().await.summary(), "200, whole");
@@ -225,83 +225,83 @@
 }
 
 #[tokio::test]
-async fn a_draining_entry_instance_refuses_new_work_as_not_run() {
+async fn a_draining_entry_instance_refuses_new_requests_as_not_run() {
     let fleet = slow_fleet(1).await;
     fleet.server.caller_api().set_phase(cassiafold_dispatch::Phase::Draining);
-    let told = spawn(&fleet, "refused").await.unwrap();
-    assert_eq!(told.summary(), "503, code 317, not run");
-    assert_eq!(told.headers["retry-after"], "1");
+    let response = spawn(&fleet, "refused").await.unwrap();
+    assert_eq!(response.summary(), "503, code 317, not run");
+    assert_eq!(response.headers["retry-after"], "1");
     assert_eq!(fleet.counts.total(), 0);
 }
 
 #[tokio::test]
-async fn a_forced_stop_says_what_it_cut_off() {
+async fn a_forced_stop_reports_aborted_requests() {
     let fleet = slow_fleet(1).await;
     let call = spawn(&fleet, "cut");
     until("run", || usage(&fleet) == (1, 0)).await;
-    let report = fleet.server.close(Duration::ZERO, tokio::time::sleep(SOON)).await;
-    let cut_off: Vec<&str> = report.aborted.iter().map(|request| &*request.id).collect();
-    assert_eq!(cut_off, ["cut"]);
+    let report = fleet.server.close(Duration::ZERO, tokio::time::sleep(SHORT_DELAY)).await;
+    let aborted: Vec<&str> = report.aborted.iter().map(|request| &*request.id).collect();
+    assert_eq!(aborted, ["cut"]);
     call.abort();
 }
 
 #[tokio::test]
-async fn an_instance_that_fails_fast_is_ejected_and_returns_after_a_trial() {
+async fn an_instance_that_fails_fast_is_ejected_and_recovers_after_a_trial() {
     let options = [BackendOptions::default(), BackendOptions::default()];
     let fleet = Fleet::start_with(&options, <Sources>::default(), config(1, |_| {})).await;
-    let mut observed = fleet.server.caller_api().dispatcher().observe();
+    let mut observations = fleet.server.caller_api().dispatcher().observe();
     fleet.faults.set(Some(Fault::ServerError));
     let mut failures = 0;
     for index in 0..60 {
-        let told = fleet.call(Method::POST, "/a", &format!("r{index}")).send().await;
-        failures += u32::from(told.status == 500);
+        let response = fleet.call(Method::POST, "/a", &format!("r{index}")).send().await;
+        failures += u32::from(response.status == 500);
     }
     assert_eq!(failures, 5);
     fleet.faults.set(None);
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    while observed.try_recv().is_ok() {}
+    while observations.try_recv().is_ok() {}
     for index in 0..40 {
-        let told = fleet.call(Method::GET, "/a", &format!("s{index}")).send().await;
-        assert_eq!(told.summary(), "200, whole");
+        let response = fleet.call(Method::GET, "/a", &format!("s{index}")).send().await;
+        assert_eq!(response.summary(), "200, whole");
     }
     let mut by_instance = BTreeMap::<_, u32>::new();
-    while let Ok(observation) = observed.try_recv() {
+    while let Ok(observation) = observations.try_recv() {
         *by_instance.entry(observation.instance).or_default() += 1;
     }
     assert!(by_instance.get("portal-0").is_some_and(|count| *count > 1), "{by_instance:?}");
 }
 
-/// Results that are held against the first backend server after `strike`: up to the three
-/// silences that eject it, or of 200 requests.
-async fn silences(strike: impl FnOnce(&Fleet)) -> u32 {
+/// Counts the missing responses recorded for the first backend server after `inject`, in up to 200
+/// requests or until three of them eject it.
+async fn count_silent_results(inject: impl FnOnce(&Fleet)) -> u32 {
     let options = [BackendOptions::default(), BackendOptions::default()];
     let fleet = Fleet::start_with(&options, <Sources>::default(), config(1, |_| {})).await;
     let get = |id: String| fleet.call(Method::GET, "/a", &id).deadline_ms(5_000).send();
     for index in 0..20 {
         assert_eq!(get(format!("warm-{index}")).await.summary(), "200, whole");
     }
-    let mut observed = fleet.server.caller_api().dispatcher().observe();
-    strike(&fleet);
-    let mut silences = 0;
+    let mut observations = fleet.server.caller_api().dispatcher().observe();
+    inject(&fleet);
+    let mut silent_results = 0;
     for index in 0..200 {
         assert_eq!(get(format!("r{index}")).await.summary(), "200, whole");
-        while let Ok(observation) = observed.try_recv() {
+        while let Ok(observation) = observations.try_recv() {
             let silent = observation.result == AttemptResult::Silent;
-            silences += u32::from(silent && &*observation.instance == "portal-0");
+            silent_results += u32::from(silent && &*observation.instance == "portal-0");
         }
-        if silences == 3 {
+        if silent_results == 3 {
             break;
         }
     }
-    silences
+    silent_results
 }
 
 #[tokio::test]
-async fn silence_on_new_connections_condemns_the_instance() {
-    assert_eq!(silences(|fleet| fleet.faults.set(Some(Fault::Silence))).await, 3);
+async fn missing_responses_on_new_connections_count_against_the_instance() {
+    assert_eq!(count_silent_results(|fleet| fleet.faults.set(Some(Fault::Silence))).await, 3);
 }
 
 #[tokio::test]
-async fn silence_on_used_connections_does_not_condemn_the_instance() {
-    assert_eq!(silences(|fleet| fleet.backends[0].silence_connections()).await, 0);
+async fn missing_responses_on_reused_connections_do_not_count_against_the_instance() {
+    assert_eq!(count_silent_results(|fleet| fleet.backends[0].silence_connections()).await, 0);
 }
--- a/crates/dispatch/tests/faults.rs
+++ b/crates/dispatch/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Each fault of a backend server, for a request that is idempotent and for one that is not.
+//! Each fault of a backend server, for an idempotent request and for one that is not.
 
 mod support;
 
@@ -7,10 +7,10 @@
 
 async fn check(name: &str) {
     let case = CASES.iter().find(|case| case.name == name).expect("the case exists");
-    for (method, (runs, told)) in [(Method::POST, case.post), (Method::GET, case.get)] {
+    for (method, (runs, response)) in [(Method::POST, case.post), (Method::GET, case.get)] {
         let outcome = run(case, method.clone()).await;
-        assert_eq!((outcome.runs, outcome.told.as_str()), (runs, told), "{method} {name}");
-        assert!(outcome.is_true, "{method} {name}");
+        assert_eq!((outcome.runs, outcome.response.as_str()), (runs, response), "{method} {name}");
+        assert!(outcome.is_consistent, "{method} {name}");
     }
 }
 
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A request path over stand-in backend servers, and a client for it.
+//! Request path with stand-in backend servers, and a client for it.
 
 #![allow(dead_code, reason = "each test program uses a part")]
 
@@ -26,7 +26,8 @@
 pub const OTHER_KEY: &str = "key-of-families";
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One service, two teams, three zones; `change` edits the document before it is checked.
+/// Configuration with two services, two teams and three zones. `change` edits the document before
+/// it is validated.
 pub fn config(version: u64, change: impl FnOnce(&mut Value)) -> Arc<Config> {
     let mut document = json!({
         "version": version,
@@ -50,19 +51,19 @@
     Arc::new(Config::try_from(raw).expect("the document is valid"))
 }
 
-/// A request path over stand-in backend servers.
+/// A request path with stand-in backend servers.
 pub struct Fleet<E: Dependencies = Sources> {
     pub server: Server<E>,
     pub config: ActiveConfig,
     pub instances: watch::Sender<Arc<Vec<Instance>>>,
     pub backends: Vec<Backend>,
     pub counts: BackendCounts,
-    /// Faults of the first backend server, and of all that share its plan.
+    /// Fault plan of the first backend server and of all that share it.
     pub faults: FaultPlan,
 }
 
 impl Fleet {
-    /// Two backend servers of `portal` in one zone, each in a rack of its own.
+    /// Starts two backend servers of `portal` in one zone, each in its own rack.
     pub async fn start() -> Self {
         Self::start_with(
             &vec![BackendOptions::default(); 2],
@@ -74,8 +75,8 @@
 }
 
 impl<E: Dependencies> Fleet<E> {
-    /// One backend server of `portal` for each of `options`, each in a rack of its own, in zones
-    /// a, b, c in turn from the third on.
+    /// Starts one backend server of `portal` for each of `options`, each in its own rack. The first
+    /// two are in zone a; from the third on, zones follow in turn by index.
     pub async fn start_with(
         options: &[BackendOptions],
         dependencies: E,
@@ -88,8 +89,9 @@
             let started = Backend::start_with(id, counts.clone(), options.clone()).await;
             backends.push(started.expect("a backend server starts"));
         }
-        let listed = backends.iter().enumerate().map(|(index, backend)| listed(index, backend));
-        let (instances, receiver) = watch::channel(Arc::new(listed.collect()));
+        let list_instance =
+            backends.iter().enumerate().map(|(index, backend)| list_instance(index, backend));
+        let (instances, receiver) = watch::channel(Arc::new(list_instance.collect()));
         let config = ActiveConfig::default();
         config.offer(document);
         let caller_api = CallerApi::start(
@@ -109,7 +111,7 @@
         self.instances.send_modify(|list| change(Arc::make_mut(list)));
     }
 
-    /// A call to `/queues/portal{path}` with the key of `parishes`.
+    /// Prepares a call to `/queues/portal{path}` with the key of `parishes`.
     pub fn call(&self, method: Method, path: &str, id: &str) -> Call {
         Call::new(self.server.address(), method, &format!("/queues/portal{path}"))
             .header("authorization", &format!("Bearer {KEY}"))
@@ -117,7 +119,7 @@
     }
 }
 
-fn listed(index: usize, backend: &Backend) -> Instance {
+fn list_instance(index: usize, backend: &Backend) -> Instance {
     let zone = if index < 2 { "a" } else { ["a", "b", "c"][index % 3] };
     Instance {
         id: format!("portal-{index}").into(),
@@ -139,36 +141,36 @@
     body: Bytes,
 }
 
-/// What a caller was told.
+/// Response received by a caller.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct CallerResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// The whole body; none when the transfer broke.
+    /// The complete body; `None` if it ended early.
     pub body: Option<Bytes>,
     pub trailers: Option<HeaderMap>,
 }
 
-impl Told {
-    /// Member of the problem document.
+impl CallerResponse {
+    /// Returns a member of the problem document.
     pub fn problem(&self, member: &str) -> Option<Value> {
         let is_problem = self.headers.get("content-type")? == "application/problem+json";
         let document: Value = serde_json::from_slice(self.body.as_ref()?).ok()?;
         document.get(member).filter(|_| is_problem).cloned()
     }
 
-    /// Number of the problem's code; zero when this is no problem.
+    /// Returns the result code of a problem document, or zero for another response.
     pub fn code(&self) -> u64 {
         self.problem("code").and_then(|code| code.as_u64()).unwrap_or(0)
     }
 
-    /// The run state of the problem; empty when this is no problem.
+    /// Returns the run state of a problem document, or an empty string for another response.
     pub fn run_state(&self) -> String {
         let state = self.problem("run_state");
         state.and_then(|state| state.as_str().map(str::to_owned)).unwrap_or_default()
     }
 
-    /// Status, code and run state in one line.
+    /// Returns status, code and run state in one line.
     pub fn summary(&self) -> String {
         let status = self.status.as_u16();
         match (&self.body, self.code()) {
@@ -204,16 +206,16 @@
         self.header("x-deadline-ms", &deadline_ms.to_string())
     }
 
-    /// Sends the request over a connection of its own.
-    pub async fn send(self) -> Told {
-        let told = tokio::time::timeout(CALL_TIMEOUT, self.exchange()).await;
-        told.expect("the call is answered")
+    /// Sends the request over a new connection.
+    pub async fn send(self) -> CallerResponse {
+        let response = tokio::time::timeout(CALL_TIMEOUT, self.exchange()).await;
+        response.expect("the call gets a response")
     }
 
-    async fn exchange(self) -> Told {
+    async fn exchange(self) -> CallerResponse {
         let stream = TcpStream::connect(self.address).await.expect("the entry instance listens");
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-        let (mut sender, connection) = handshake.expect("the handshake works");
+        let (mut sender, connection) = handshake.expect("the handshake succeeds");
         let task = tokio::spawn(connection);
         let mut request =
             Request::builder().method(self.method).uri(&self.path).header("host", "entry");
@@ -221,11 +223,11 @@
             request = request.header(name, value);
         }
         let request = request.body(Full::new(self.body)).expect("the request is well formed");
-        let answer = sender.send_request(request).await.expect("the entry instance answers");
-        let (status, headers) = (answer.status(), answer.headers().clone());
-        let collected = answer.into_body().collect().await.ok();
+        let response = sender.send_request(request).await.expect("the entry instance responds");
+        let (status, headers) = (response.status(), response.headers().clone());
+        let collected = response.into_body().collect().await.ok();
         let trailers = collected.as_ref().and_then(|body| body.trailers().cloned());
         task.abort();
-        Told { status, headers, body: collected.map(|body| body.to_bytes()), trailers }
+        CallerResponse { status, headers, body: collected.map(|body| body.to_bytes()), trailers }
     }
 }
