--- a/crates/dispatch/src/body.rs
+++ b/crates/dispatch/src/body.rs
@@ -32,8 +32,10 @@
 /// A body that is streamed from a caller to a backend server.
 #[derive(Debug)]
 pub struct BodyStream {
+    /// Data that was read while the body was checked for buffering.
     prefix: Option<Bytes>,
     rest: Body,
+    /// Number of bytes of `rest` up to the limit.
     remaining_bytes: u64,
     failure: StreamFailure,
 }
--- a/crates/dispatch/src/caller_api.rs
+++ b/crates/dispatch/src/caller_api.rs
@@ -151,7 +151,8 @@
     handle(&caller_api, service, request).await
 }
 
-/// Handles one request. Every response carries the request id, refusals included.
+/// Handles one request. Responses and refusals carry the request id, unless the caller's id is
+/// invalid.
 async fn handle<E: Dependencies>(
     caller_api: &CallerApi<E>,
     service_id: ServiceId,
@@ -181,6 +182,7 @@
     response
 }
 
+/// Checks a request, waits for its body and has the proxy run it.
 async fn serve<E: Dependencies>(
     caller_api: &CallerApi<E>,
     service_id: ServiceId,
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -179,7 +179,7 @@
         self.shared.lock().scheduler.tail_latency(service)
     }
 
-    /// Whether any backend server is known.
+    /// Whether the list of instances is not empty.
     pub fn has_instances(&self) -> bool {
         !self.shared.lock().instances.borrow().is_empty()
     }
--- a/crates/dispatch/src/fair.rs
+++ b/crates/dispatch/src/fair.rs
@@ -32,7 +32,7 @@
     /// Highest virtual time at which a request was started.
     virtual_time: f64,
     backlog_weight: f64,
-    /// Sequence number of the last request, which tells apart entries that reuse an index.
+    /// Sequence number of the last request, which distinguishes entries that reuse an index.
     sequence: u64,
 }
 
--- a/crates/dispatch/src/metrics.rs
+++ b/crates/dispatch/src/metrics.rs
@@ -20,7 +20,7 @@
 /// First bucket of duration histograms, in seconds.
 const BUCKET_FIRST_S: f64 = 0.001;
 const BUCKET_FACTOR: f64 = 2.0;
-const BUCKETS: u16 = 18;
+const BUCKET_COUNT: u16 = 18;
 /// Upper bounds of the buckets of the attempts histogram.
 const ATTEMPT_BUCKETS: [f64; 6] = [1.0, 2.0, 3.0, 4.0, 6.0, 8.0];
 
@@ -64,7 +64,7 @@
 }
 
 fn duration_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(BUCKET_FIRST_S, BUCKET_FACTOR, BUCKETS))
+    Histogram::new(exponential_buckets(BUCKET_FIRST_S, BUCKET_FACTOR, BUCKET_COUNT))
 }
 
 fn attempts_histogram() -> Histogram {
--- a/crates/dispatch/src/scheduler/tests.rs
+++ b/crates/dispatch/src/scheduler/tests.rs
@@ -146,7 +146,8 @@
         1 => (0..2_usize, any::<bool>()).prop_map(|(zone, out)| Step::SetZoneOut { zone, out }),
         1 => (0..INSTANCES, any::<bool>())
             .prop_map(|(index, leaving)| Step::SetLeaving { index, leaving }),
-        1 => (0..3_usize, any::<bool>()).prop_map(|(team, withdrawn)| Step::SetKeyWithdrawn { team, withdrawn }),
+        1 => (0..3_usize, any::<bool>())
+            .prop_map(|(team, withdrawn)| Step::SetKeyWithdrawn { team, withdrawn }),
         1 => (0..3_usize, 0..8_u32).prop_map(|(team, limit)| Step::SetLimit { team, limit }),
     ]
 }
