--- a/crates/dispatch/src/fair/tests.rs
+++ b/crates/dispatch/src/fair/tests.rs
@@ -91,7 +91,8 @@
             .prop_map(|(team, front)| Step::Push { team, front }),
         5 => (1..2_000_u32).prop_map(|cost_ms| Step::Start { cost_ms }),
         2 => (0..40_usize).prop_map(|nth| Step::Cancel { nth }),
-        1 => (team.clone(), -2_000..2_000).prop_map(|(team, cost_ms)| Step::Charge { team, cost_ms }),
+        1 => (team.clone(), -2_000..2_000)
+            .prop_map(|(team, cost_ms)| Step::Charge { team, cost_ms }),
         1 => team.clone().prop_map(|team| Step::Block { team }),
         1 => team.clone().prop_map(|team| Step::Unblock { team }),
         1 => (team, 1..10_u32).prop_map(|(team, weight)| Step::SetWeight { team, weight }),
@@ -130,7 +131,10 @@
                     let next_team = queue.next_team().cloned();
                     prop_assert_eq!(&next_team, &naive.next_team());
                     if let Some(team) = next_team {
-                        prop_assert_eq!(queue.pop_charged(&team, cost_s), naive.pop_charged(&team, cost_s));
+                        prop_assert_eq!(
+                            queue.pop_charged(&team, cost_s),
+                            naive.pop_charged(&team, cost_s)
+                        );
                     }
                 }
                 Step::Cancel { nth } => {
--- a/crates/dispatch/src/proxy.rs
+++ b/crates/dispatch/src/proxy.rs
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Makes one attempt. If an idempotent request with a buffered body gets no response within the hedge delay, makes a
-    /// second attempt in parallel, on a new connection to another instance.
+    /// Makes one attempt. If an idempotent request with a buffered body gets no response within the
+    /// hedge delay, makes a second attempt in parallel, on a new connection to another instance.
     async fn attempt(
         &self,
         request: &Arc<AcceptedRequest>,
--- a/crates/dispatch/src/scheduler/tests.rs
+++ b/crates/dispatch/src/scheduler/tests.rs
@@ -496,7 +496,8 @@
         $(
             #[test]
             fn $name() {
-                let (fleet_state, limits, now) = (FleetState::new(), Limits::default(), Instant::now());
+                let (fleet_state, limits, now) =
+                    (FleetState::new(), Limits::default(), Instant::now());
                 limits.set(TEAMS[0], 10);
                 let sources = Sources::with_limits(limits);
                 let dependencies = Sources {
@@ -505,7 +506,11 @@
                     peers: sources.peers,
                     domains: sources.domains,
                 };
-                let mut scheduler = RequestScheduler::new(dependencies, "z0".into(), SmallRng::seed_from_u64(9));
+                let mut scheduler = RequestScheduler::new(
+                    dependencies,
+                    "z0".into(),
+                    SmallRng::seed_from_u64(9),
+                );
                 scheduler.update(fleet_state.config(), &fleet_state.instances());
                 for _ in 0..10 {
                     scheduler.enqueue(&request(0, now), 0, now).unwrap();
--- a/crates/dispatch/src/service_queue.rs
+++ b/crates/dispatch/src/service_queue.rs
@@ -133,9 +133,9 @@
     }
 
     /// Expected wait of a request of `team` that arrives now: the number of requests served before
-    /// it, divided by the rate at which slots become free. Those are estimated from the share of the
-    /// team and from the length of the whole queue; the lower estimate counts. `None` if no request
-    /// waits, none runs, or no service time was observed.
+    /// it, divided by the rate at which slots become free. Those are estimated from the share of
+    /// the team and from the length of the whole queue; the lower estimate counts. `None` if no
+    /// request waits, none runs, or no service time was observed.
     pub fn expected_wait(&self, team: &TeamId, weight: f64) -> Option<Duration> {
         if self.waiting.is_empty() || self.running == 0 {
             return None;
--- a/crates/dispatch/tests/callers.rs
+++ b/crates/dispatch/tests/callers.rs
@@ -51,7 +51,8 @@
     } => 401, 302;
     negative_deadline: |fleet| call_portal(fleet).header("x-deadline-ms", "-1") => 400, 307;
     zero_deadline: |fleet| call_portal(fleet).header("x-deadline-ms", "0") => 400, 307;
-    absurd_deadline: |fleet| call_portal(fleet).header("x-deadline-ms", "99999999999999") => 400, 307;
+    absurd_deadline: |fleet| call_portal(fleet)
+        .header("x-deadline-ms", "99999999999999") => 400, 307;
     malformed_request_id: |fleet| {
         call_without_key(fleet, "/queues/portal/a").key(KEY).header("x-request-id", "a b")
     } => 400, 308;
