--- a/crates/dispatch/examples/slots.rs
+++ b/crates/dispatch/examples/slots.rs
@@ -102,13 +102,13 @@
         Self { policy, rng, entries, runs: Vec::new(), totals }
     }
 
-    fn arrive(&mut self, spread: CallerSpread) {
+    fn arrive(&mut self, caller_spread: CallerSpread) {
         let rate_per_ms = 2.0 * f64::from(SLOTS) * BACKENDS as f64 / RUN_MEAN_MS;
         let mut arrivals = rate_per_ms as usize;
         arrivals += usize::from(self.rng.random_bool(rate_per_ms.fract()));
         for _ in 0..arrivals {
             let team = self.rng.random_range(0..TEAMS);
-            let entry = match (spread, team) {
+            let entry = match (caller_spread, team) {
                 (CallerSpread::LargeAtOne, 0) | (CallerSpread::AllAtOne, _) => 0,
                 _ => self.rng.random_range(0..ENTRIES),
             };
@@ -225,10 +225,10 @@
         }
     }
 
-    fn run(&mut self, spread: CallerSpread) {
+    fn run(&mut self, caller_spread: CallerSpread) {
         for now_ms in 0..DURATION_MS {
             self.end_runs(now_ms);
-            self.arrive(spread);
+            self.arrive(caller_spread);
             if now_ms % REPORT_INTERVAL_MS == 0 {
                 self.report();
             }
@@ -273,10 +273,10 @@
         "| callers | way | slots in use | refusals per start | share of large (target 75 %) |"
     );
     println!("|---|---|---|---|---|");
-    for (spread_name, spread) in CALLER_SPREADS {
+    for (spread_name, caller_spread) in CALLER_SPREADS {
         for (policy_name, policy) in SHARING_POLICIES {
             let mut simulation = Simulation::new(policy);
-            simulation.run(spread);
+            simulation.run(caller_spread);
             let totals = &simulation.totals;
             let busy_ms: f64 = totals.busy_ms.iter().sum();
             let capacity_ms = f64::from(SLOTS) * BACKENDS as f64 * totals.measured_ms as f64;
--- a/crates/dispatch/src/backends/tests.rs
+++ b/crates/dispatch/src/backends/tests.rs
@@ -120,14 +120,23 @@
                     let on_trial =
                         matches!(backend.health.routing_state(), RoutingState::Trial { .. });
                     prop_assert!(free.contains(&index) || (on_trial && backend.running == 0));
-                    let home = free.iter().any(|it| &*backends.get(*it).instance.zone == "a");
-                    let stays = &*backend.instance.zone == "a" || on_trial || !avoid.is_empty();
-                    prop_assert!(!home || stays, "left the home zone although it has a free slot");
-                    let others = free.iter().filter(|it| {
+                    let home_has_free_slot =
+                        free.iter().any(|it| &*backends.get(*it).instance.zone == "a");
+                    let home_chosen_or_exempt =
+                        &*backend.instance.zone == "a" || on_trial || !avoid.is_empty();
+                    prop_assert!(
+                        !home_has_free_slot || home_chosen_or_exempt,
+                        "left the home zone although it has a free slot"
+                    );
+                    let free_others = free.iter().filter(|it| {
                         avoid.iter().all(|avoided| avoided.id != backends.get(**it).instance.id)
                     });
-                    let again = avoid.iter().any(|avoided| avoided.id == backend.instance.id);
-                    prop_assert!(!again || others.count() == 0, "chose the avoided instance");
+                    let chose_avoided =
+                        avoid.iter().any(|avoided| avoided.id == backend.instance.id);
+                    prop_assert!(
+                        !chose_avoided || free_others.count() == 0,
+                        "chose the avoided instance"
+                    );
                     backends.acquire_slot(index);
                     held_slots.push(index);
                 } else {
--- a/crates/dispatch/tests/changes.rs
+++ b/crates/dispatch/tests/changes.rs
@@ -212,10 +212,10 @@
     let calls: Vec<_> = (0..3).map(|index| spawn(&fleet, &format!("r{index}"))).collect();
     until("queueing", || usage(&fleet) == (1, 2)).await;
     let caller_api = fleet.server.caller_api().clone();
-    let refused = fleet.call(Method::POST, "/a", "refused");
+    let late_call = fleet.call(Method::POST, "/a", "refused");
     let stop = tokio::spawn(fleet.server.close(SHORT_DELAY, std::future::pending()));
     until("readiness off", || !caller_api.is_ready()).await;
-    let during_wait = refused.clone().header("x-note", "still served").deadline_ms(60_000);
+    let during_wait = late_call.clone().header("x-note", "still served").deadline_ms(60_000);
     assert_eq!(during_wait.send().await.summary(), "200, whole");
     let report = stop.await.unwrap();
     assert!(report.aborted.is_empty());
--- a/crates/dispatch/tests/support/faults.rs
+++ b/crates/dispatch/tests/support/faults.rs
@@ -152,7 +152,7 @@
     let config = super::config(1, |_| {});
     let mut fleet =
         Fleet::start_with(&[options.clone(), options], <Sources>::default(), config).await;
-    scenario(case.scenario, &mut fleet).await;
+    inject(case.scenario, &mut fleet).await;
     let path =
         if matches!(case.scenario, FaultScenario::Long(_)) { "/bytes/100000" } else { "/work" };
     let response =
@@ -163,7 +163,7 @@
     Outcome { runs, response: response.summary(), is_consistent }
 }
 
-async fn scenario(scenario: FaultScenario, fleet: &mut Fleet) {
+async fn inject(scenario: FaultScenario, fleet: &mut Fleet) {
     match scenario {
         FaultScenario::First(fault) | FaultScenario::Long(fault) => fleet.faults.queue(fault),
         FaultScenario::ThenRefused(fault) => {
@@ -210,9 +210,9 @@
         "outcome unknown" => true,
         _ => runs >= 1,
     };
-    let body_whole = match (&response.body, response.code()) {
+    let body_complete = match (&response.body, response.code()) {
         (Some(body), 0) => body.starts_with(b"served by portal-") && body.ends_with(b"\n"),
         _ => true,
     };
-    run_state_correct && body_whole && (method.is_idempotent() || runs <= 1)
+    run_state_correct && body_complete && (method.is_idempotent() || runs <= 1)
 }
