--- a/crates/dispatch/src/metrics.rs
+++ b/crates/dispatch/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics of the request path. Labels are services and teams of the configuration, results and
-//! code numbers; what a caller names freely never becomes a label.
+//! Metrics of the request path. Label values are configured services and teams, attempt results and
+//! result codes. Values chosen by callers are never used as labels.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,8 +20,8 @@
 /// First bucket of duration histograms, in seconds.
 const BUCKET_FIRST_S: f64 = 0.001;
 const BUCKET_FACTOR: f64 = 2.0;
-const BUCKETS: u16 = 18;
-/// Largest number of attempts with a bucket of its own.
+const BUCKET_COUNT: u16 = 18;
+/// Upper bounds of the buckets of the attempts histogram.
 const ATTEMPT_BUCKETS: [f64; 6] = [1.0, 2.0, 3.0, 4.0, 6.0, 8.0];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -48,7 +48,7 @@
 
 type DurationFamily = Family<TeamLabels, Histogram, fn() -> Histogram>;
 
-/// Metrics of the request path. Clones share one state.
+/// Metrics of the request path. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     queueing: DurationFamily,
@@ -64,7 +64,7 @@
 }
 
 fn duration_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(BUCKET_FIRST_S, BUCKET_FACTOR, BUCKETS))
+    Histogram::new(exponential_buckets(BUCKET_FIRST_S, BUCKET_FACTOR, BUCKET_COUNT))
 }
 
 fn attempts_histogram() -> Histogram {
--- a/crates/dispatch/src/response_body.rs
+++ b/crates/dispatch/src/response_body.rs
@@ -1,7 +1,7 @@
-//! Body of an answer on its way to the caller.
+//! Response body, forwarded from a backend server to the caller.
 //!
-//! A short answer of declared length is held until it is whole, so that a cut one can still be
-//! told as a refusal, or be asked for again. All else is streamed.
+//! A short body of declared length is buffered until it is complete, so that the request can still
+//! be refused or retried if the body ends early. All other bodies are streamed.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -20,10 +20,10 @@
 use crate::pool::ConnectionPool;
 use crate::slot_grant::EndReason;
 
-/// Longest answer that is held until it is whole.
+/// Longest response body that is buffered.
 pub const BUFFERED_MAX_BYTES: u64 = 16 << 10;
 
-/// Why an answer's body broke off. The caller sees a broken transfer.
+/// Why a response body ended early. The caller gets an incomplete response.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseBodyError {
     /// The connection to the backend server broke.
@@ -34,23 +34,23 @@
     Timeout,
 }
 
-/// Body of an answer, with the connection on which it comes.
+/// Response body, with the connection from which it is read.
 ///
-/// When the body has ended, slot and permit are given back and the connection returns to the
-/// pool. When it breaks off or is dropped before, the connection is closed.
+/// When the body is complete, slot and permit are released and the connection returns to the pool.
+/// When it fails or is dropped earlier, the connection is closed.
 pub struct ResponseBody<E: Dependencies> {
     source: Source,
-    carrier: Option<ResponseConnection<E>>,
+    connection: Option<ResponseConnection<E>>,
     deadline: Pin<Box<Sleep>>,
     guard: Option<InFlightGuard>,
 }
 
 enum Source {
     Stream(Incoming),
-    Held(Option<Bytes>),
+    Buffered(Option<Bytes>),
 }
 
-/// The connection of an answer and where it goes afterwards.
+/// The connection of a response and the pool to which it returns.
 pub struct ResponseConnection<E: Dependencies> {
     /// The connection.
     pub connection: Connection<E>,
@@ -58,7 +58,7 @@
     pub pool: ConnectionPool<E>,
     /// Address of the backend server.
     pub address: SocketAddr,
-    /// What a whole answer shows about the instance.
+    /// Result to record when the response is complete.
     pub result: AttemptResult,
 }
 
@@ -79,22 +79,22 @@
 }
 
 impl<E: Dependencies> ResponseBody<E> {
-    /// The body `inner`, which comes over `carrier` until `deadline`.
-    pub fn new(inner: Incoming, carrier: ResponseConnection<E>, deadline: Instant) -> Self {
+    /// Wraps the body `inner`, which is read from `connection` until `deadline`.
+    pub fn new(inner: Incoming, connection: ResponseConnection<E>, deadline: Instant) -> Self {
         let deadline = Box::pin(tokio::time::sleep_until(deadline));
         let source = Source::Stream(inner);
-        let mut body = Self { source, carrier: Some(carrier), deadline, guard: None };
+        let mut body = Self { source, connection: Some(connection), deadline, guard: None };
         body.finish_at_end();
         body
     }
 
-    /// Keeps `guard` until the body has ended.
+    /// Keeps `guard` until the body is dropped.
     pub fn with_in_flight_guard(mut self, guard: InFlightGuard) -> Self {
         self.guard = Some(guard);
         self
     }
 
-    /// Reads the body until it is whole, if its declared length is short.
+    /// Reads the complete body if its declared length is at most [`BUFFERED_MAX_BYTES`].
     pub async fn buffer(mut self) -> Result<Self, ResponseBodyError> {
         let length = self.size_hint().exact();
         if self.is_end_stream() || length.is_none_or(|length| length > BUFFERED_MAX_BYTES) {
@@ -106,7 +106,7 @@
                 data.extend_from_slice(&chunk);
             }
         }
-        self.source = Source::Held(Some(data.freeze()));
+        self.source = Source::Buffered(Some(data.freeze()));
         Ok(self)
     }
 
@@ -117,14 +117,14 @@
     }
 
     fn finish(&mut self) {
-        if let Some(carrier) = self.carrier.take() {
-            carrier.finish();
+        if let Some(connection) = self.connection.take() {
+            connection.finish();
         }
     }
 
     fn fail(&mut self, result: AttemptResult) {
-        if let Some(carrier) = self.carrier.take() {
-            carrier.fail(result);
+        if let Some(connection) = self.connection.take() {
+            connection.fail(result);
         }
     }
 }
@@ -139,7 +139,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         let inner = match &mut self.source {
             Source::Stream(inner) => inner,
-            Source::Held(data) => {
+            Source::Buffered(data) => {
                 return Poll::Ready(data.take().map(|data| Ok(Frame::data(data))));
             }
         };
@@ -157,7 +157,7 @@
                 Poll::Ready(None)
             }
             Poll::Pending if self.deadline.as_mut().poll(cx).is_ready() => {
-                self.carrier = None;
+                self.connection = None;
                 Poll::Ready(Some(Err(ResponseBodyError::Timeout)))
             }
             Poll::Pending => Poll::Pending,
@@ -167,14 +167,14 @@
     fn is_end_stream(&self) -> bool {
         match &self.source {
             Source::Stream(inner) => inner.is_end_stream(),
-            Source::Held(data) => data.is_none(),
+            Source::Buffered(data) => data.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
             Source::Stream(inner) => inner.size_hint(),
-            Source::Held(data) => {
+            Source::Buffered(data) => {
                 SizeHint::with_exact(data.as_ref().map_or(0, |data| data.len() as u64))
             }
         }
