--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -1,8 +1,8 @@
-//! The owner's state: jobs, workers, and what follows from each answer.
+//! State of the owner: jobs, workers, and the transitions that responses cause.
 //!
-//! Everything here is computed from typed input and the time given with it. Orders to workers,
-//! writes to the store and questions to the placement policy come out as values; carrying them
-//! out is up to [`crate::owner`].
+//! All decisions are computed from typed input and an explicit time. Commands to workers, writes to
+//! the store and queries to the placement policy are returned as values; [`crate::owner`] executes
+//! them.
 
 mod backlog;
 mod balance;
@@ -55,53 +55,53 @@
 use crate::spec::{JobId, Resources, RunNumber, StepId, TaskId};
 use crate::worker::Worker;
 
-/// Times that the platform's settings give.
+/// Durations and rates that are derived from the platform's settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SchedulerSettings {
-    /// How long a run may go on without a look: the longest lease that workers grant.
+    /// How long a run may continue without a poll: the longest lease that workers grant.
     pub lease_max: Duration,
-    /// How long a run may take to end after an order to stop.
+    /// How long a run may take to end after a stop command.
     pub stop_grace_period: Duration,
-    /// How long the orders of two owners to one machine must be apart.
+    /// Minimum time between commands of two owner instances to the same machine.
     pub machine_lease: Duration,
-    /// Orders that the machines' control takes in a second.
+    /// Commands per second that the machine control API accepts.
     pub machine_commands_per_s: f64,
-    /// How long a machine takes from one service to another.
+    /// How long a machine takes to move to another service.
     pub machine_move_duration: Duration,
-    /// How long the state of an ended job is kept.
+    /// How long the state of an ended job is retained.
     pub status_retention: Duration,
 }
 
-/// What the owner knows when its tenure begins.
+/// What the owner knows at the start of its term.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct OwnerTerm {
-    /// Its token.
+    /// Fencing token of the owner.
     pub token: FencingToken,
-    /// Number below which earlier owners may have used run numbers.
+    /// Previous owners may have used run numbers below this one.
     pub run_number_base: RunNumber,
-    /// Workers that earlier owners gave tasks to.
+    /// Workers to which previous owners assigned tasks.
     pub known_workers: Vec<WorkerRecord>,
-    /// How far earlier owners came with the waves of maintenance.
+    /// Progress that previous owners stored for the maintenance waves.
     pub waves: WavesRecord,
-    /// Machines that earlier owners may have ordered lately.
+    /// Machines to which previous owners may have sent commands recently.
     pub commanded_machines: CommandedMachinesRecord,
-    /// Name of the owner's instance.
+    /// Name of the instance that is the owner.
     pub instance: Arc<str>,
-    /// Time of day at its begin.
+    /// Unix time at the start of the term.
     pub started_unix: Duration,
 }
 
-/// An order that is to be carried out now.
+/// A command to execute now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Look at a worker.
+    /// Polls a worker.
     Poll {
         /// The worker.
         worker: WorkerSlot,
-        /// Whether it is asked beside another look that waits for an end.
+        /// Whether it is sent in addition to a long poll that is still pending.
         is_out_of_band: bool,
     },
-    /// Start a task.
+    /// Starts a task.
     Start {
         /// The worker.
         worker: WorkerSlot,
@@ -109,10 +109,10 @@
         task: TaskId,
         /// The run.
         run: RunNumber,
-        /// Permission of the placement policy.
+        /// Ticket of the placement policy.
         ticket: Option<Arc<str>>,
     },
-    /// Stop a run.
+    /// Stops a run.
     Stop {
         /// The worker.
         worker: WorkerSlot,
@@ -121,7 +121,7 @@
         /// The run.
         run: RunNumber,
     },
-    /// Let a run work at a share of its speed.
+    /// Limits a run to a share of its speed.
     Throttle {
         /// The worker.
         worker: WorkerSlot,
@@ -129,12 +129,12 @@
         task: TaskId,
         /// The run.
         run: RunNumber,
-        /// The share.
+        /// Share of the full speed, in percent.
         percent: u8,
     },
-    /// Ask the placement policy.
+    /// Queries the placement policy.
     QueryPolicy(PolicyQuery),
-    /// Move or maintain a machine.
+    /// Moves or maintains a machine.
     Machine(MachineCommand),
 }
 
@@ -143,56 +143,57 @@
 pub struct Scheduler {
     settings: SchedulerSettings,
     term: OwnerTerm,
-    /// When the tenure began.
+    /// Start of the owner's term.
     began: Moment,
     config: Arc<ClusterConfig>,
     evacuated: HashSet<ZoneId>,
     workers: Vec<Worker>,
-    /// Lives that are over and still listed: when they were found over, and their begin.
+    /// Incarnations that have ended and are still listed.
     ended_incarnations: HashMap<WorkerId, EndedIncarnation>,
-    /// The present life of each worker.
+    /// Current incarnation of each worker.
     current_slots: HashMap<WorkerId, WorkerSlot>,
-    /// Lives that are not over, by service.
+    /// Active incarnations by service.
     slots_by_service: HashMap<ServiceId, Vec<WorkerSlot>>,
-    /// When looks fall due. An entry counts only if it is the worker's present one.
+    /// Polls by due time. An entry is stale unless it matches the worker's poll phase.
     poll_queue: BinaryHeap<Reverse<(Moment, WorkerSlot)>>,
-    /// Lives that were found over and whose connections are still kept.
+    /// Addresses of ended incarnations whose connections are still open.
     retired_addresses: Vec<WorkerAddress>,
-    /// Workers at which a look beside the one that waits is due.
+    /// Workers for which an extra poll is due while a long poll is pending.
     out_of_band_polls_due: Vec<WorkerSlot>,
     jobs: HashMap<JobId, Job>,
-    /// Steps whose turn has come and that are not done.
+    /// Ready steps that are not done.
     ready: StepsByService,
-    /// Those of them that may have tasks that wait.
+    /// Ready steps that may have waiting tasks.
     waiting_steps: StepsByService,
-    /// Parts of the workers whose record in the store is behind.
+    /// Worker shards whose record in the store is outdated.
     stale_shards: BTreeSet<WorkerShard>,
-    /// Ended jobs whose state is kept, in the order in which they were found ended, and since when.
+    /// Ended jobs whose state is retained, with the time at which they ended, oldest first.
     ended: VecDeque<(JobId, Moment)>,
-    /// Cancels of jobs that have not been seen.
+    /// Cancelled jobs that have not been read from the store yet.
     early_cancels: HashSet<JobId>,
-    /// Jobs that repeat.
+    /// Jobs with a schedule.
     scheduled: Vec<JobId>,
-    /// What each team has running.
+    /// Resources that the running tasks of each team take.
     team_usage: HashMap<TeamId, Resources>,
-    /// Until when runs of an earlier owner may go on at workers that have not answered.
+    /// Until when runs of a previous owner may continue on workers that have not responded.
     inherited_runs_expire: Moment,
-    /// Services in which something has changed since the last plan.
+    /// Services in which something has changed since the last placement pass.
     changed: HashSet<ServiceId>,
-    /// When services in which steps found no room are planned again at the earliest.
+    /// Earliest next placement pass of services in which some step found no free capacity.
     next_placement: HashMap<ServiceId, Moment>,
-    /// Jobs whose state in the store is behind, with the number of ends taken in when it first
-    /// fell behind.
+    /// Jobs whose state in the store is outdated, with the value of `ends_taken` at the first
+    /// change that is not stored.
     unwritten_states: HashMap<JobId, u64>,
-    /// Writes to the store that have begun.
+    /// Writes to the store that are in flight.
     in_flight_writes: InFlightWrites,
-    /// Workers with ends that are not stored; those that are gone count until a write ends.
+    /// Number of workers with run ends that are not stored. Ended incarnations count until the next
+    /// write completes.
     workers_with_unstored_ends: usize,
-    /// Number of ends taken in, from all workers.
+    /// Number of run ends received from all workers.
     run_ends_received: u64,
-    /// How soon what has changed since the last write should be written.
+    /// How soon the changes since the last write should be written.
     write_urgency: WriteUrgency,
-    /// Runs that shall end.
+    /// Runs that are being stopped.
     stopping: Vec<(WorkerSlot, TaskId)>,
     tickets: HashMap<StepId, StepTickets>,
     open_queries: usize,
@@ -200,32 +201,34 @@
     machines_listed: Option<Moment>,
     is_list_wanted: bool,
     waves_written: WavesRecord,
-    /// Machines that were ordered to move, or are about to be: where to, and since when.
+    /// Machines that are moving or about to move, with the target service and the time of the
+    /// decision.
     moving: HashMap<InstanceId, (ServiceId, Moment)>,
-    /// Moves whose machines are not named in the store yet.
+    /// Moves that wait until the store names their machines.
     moves_due: Vec<MachineCommand>,
     machine_leases: MachineLeases,
     balanced: Moment,
-    /// What each service needed lately.
+    /// Machines that each service has needed recently.
     needs: HashMap<ServiceId, PeakNeed>,
-    /// Machines of each service that no service wants.
+    /// Number of machines of each service that no service needs.
     surplus: HashMap<ServiceId, usize>,
-    /// Work that arrived lately.
+    /// Work that has arrived recently.
     arrivals: Arrivals,
     durations: RunTimeRatio,
     waves: BTreeMap<WaveNumber, WaveProgress>,
-    /// The last order to each machine.
+    /// Last command to each machine.
     machines_ordered: HashMap<InstanceId, SentCommand>,
-    /// Arrivals of each team beyond its weight, as a level that its weight drains.
+    /// Leaky bucket of each team: its level rises by one with each job and drains at the team's
+    /// weight per second.
     team_levels: HashMap<TeamId, (f64, Moment)>,
     waiting_written: Option<(Moment, WaitingRecord)>,
     planned_all: Moment,
-    /// Time of day at the last plan.
+    /// Unix time of the last planning pass.
     unix: Duration,
 }
 
 impl Scheduler {
-    /// A scheduler at the begin of a tenure.
+    /// Creates a scheduler at the start of an owner's term.
     pub fn new(settings: SchedulerSettings, term: OwnerTerm, now: Moment) -> Self {
         let instance = Arc::clone(&term.instance);
         let machine_leases = MachineLeases::new(
@@ -290,25 +293,25 @@
         scheduler
     }
 
-    /// Longest time for which a run goes on after an order that has just been carried out, on a
-    /// worker whose clock is slow.
+    /// Longest time for which a run continues after a command that extended its lease, on a worker
+    /// whose clock is slow.
     fn lease_max(&self) -> Duration {
         self.settings.lease_max * 103 / 100
     }
 
-    /// Takes over a new configuration.
+    /// Replaces the configuration.
     pub fn set_config(&mut self, config: Arc<ClusterConfig>) {
         self.config = config;
         self.mark_all_changed();
     }
 
-    /// Takes over the zones to which nothing may be sent.
+    /// Replaces the set of availability zones that must get no work.
     pub fn set_evacuated_zones(&mut self, zones: HashSet<ZoneId>) {
         self.evacuated = zones;
         self.mark_all_changed();
     }
 
-    /// Takes over the waves of maintenance that the operator asks for.
+    /// Adds the maintenance waves that the operator requests.
     pub fn set_waves(&mut self, waves: &[Wave], now: Moment) {
         let unix = self.term.started_unix + now.saturating_sub(self.began);
         for wave in waves {
@@ -319,17 +322,17 @@
         }
     }
 
-    /// The owner's token.
+    /// Returns the owner's fencing token.
     pub fn token(&self) -> FencingToken {
         self.term.token
     }
 
-    /// A worker's life.
+    /// Returns the incarnation of a worker in `slot`.
     pub fn worker(&self, slot: WorkerSlot) -> &Worker {
         &self.workers[slot]
     }
 
-    /// A job.
+    /// Returns a job.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
--- a/crates/jobs/src/scheduler/backlog.rs
+++ b/crates/jobs/src/scheduler/backlog.rs
@@ -1,32 +1,32 @@
-//! How much work waits, for the log.
+//! Summary of the waiting work, for the log.
 
 use cassiafold_platform::Moment;
 
 use super::Scheduler;
 
-/// What waits, and what there is to serve it.
+/// Waiting work, and the capacity that is free for it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Backlog {
     /// Jobs that have not ended.
     pub jobs_live: usize,
-    /// Jobs whose first start waits until the store says that it may come.
+    /// Jobs whose first task waits until the start of the job is stored.
     pub jobs_awaiting_start_write: usize,
-    /// Jobs of which no task has begun.
+    /// Jobs of which no task has started.
     pub jobs_unstarted: usize,
-    /// Tasks that may start and have not been ordered.
+    /// Tasks that may start and for which no start command was issued.
     pub tasks_waiting: usize,
-    /// Jobs whose state in the store is behind.
+    /// Jobs whose state in the store is outdated.
     pub states_unwritten: usize,
-    /// Those of them whose jobs an earlier owner may have begun.
+    /// Those of `states_unwritten` whose jobs a previous owner may have started.
     pub states_inherited: usize,
-    /// Workers that may be given work.
+    /// Workers that accept new tasks.
     pub workers_usable: usize,
-    /// Cores of these that nothing takes.
+    /// Free cores of the usable workers.
     pub cores_free: u32,
 }
 
 impl Scheduler {
-    /// What waits now.
+    /// Returns the current backlog.
     pub fn backlog(&self, now: Moment) -> Backlog {
         let mut backlog =
             Backlog { states_unwritten: self.unwritten_states.len(), ..Backlog::default() };
--- a/crates/jobs/src/scheduler/balance.rs
+++ b/crates/jobs/src/scheduler/balance.rs
@@ -1,4 +1,4 @@
-//! Moves of machines between services.
+//! Moves machines between services.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -16,23 +16,23 @@
 use crate::spec::StepId;
 use crate::worker::Worker;
 
-/// Time between two decisions.
+/// Time between two balancing passes.
 const BALANCE_INTERVAL: Duration = Duration::from_millis(200);
-/// Part of the orders to machines that moves may use; the rest is left for maintenance.
+/// Share of the machine command rate that moves may use; the rest is reserved for maintenance.
 const MOVES_PART: f64 = 0.9;
-/// Time from an order to move until the worker takes work, beyond the move itself.
+/// Time from a move command until the worker accepts tasks, in addition to the move itself.
 const ARRIVAL: Duration = Duration::from_millis(500);
-/// Longest time that orders are taken to need for one service, in seconds.
+/// Upper bound on the estimated time to issue all move commands for one service, in seconds.
 const ORDERING_MAX_S: f64 = 1.5;
-/// A list of machines that is older than this is not used.
+/// Maximum age of a list of machines that is used.
 const LIST_AGE_MAX: Duration = Duration::from_millis(2_000);
-/// An order to move that has not shown in the list after this time is given up.
+/// A move that the list of machines does not show after this time is abandoned.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(6_000);
-/// A machine whose worker had work this lately is not idle.
+/// A machine counts as idle once its worker has had no work for this time.
 const IDLE_AFTER: Duration = Duration::from_millis(300);
 
 impl Scheduler {
-    /// Chooses the moves that are due.
+    /// Chooses the machine moves that are due.
     pub(super) fn plan_machine_moves(&mut self, now: Moment) {
         if now.saturating_sub(self.balanced) < BALANCE_INTERVAL {
             return;
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Moves that may be ordered between two decisions.
+    /// Returns the number of moves that one balancing pass may choose.
     fn moves_max(&self) -> usize {
         let commands = self.settings.machine_commands_per_s * BALANCE_INTERVAL.as_secs_f64();
         (commands * MOVES_PART).ceil().max(1.0) as usize
     }
 
-    /// Orders the moves whose machines are named in the store.
+    /// Issues the moves whose machines are named in the store.
     pub(super) fn issue_machine_moves(&mut self, now: Moment, commands: &mut Vec<Command>) {
         for command in std::mem::take(&mut self.moves_due) {
             if self.machine_leases.acquire(command.machine(), now) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Forgets moves that the list shows as done, and those that came to nothing.
+    /// Removes the moves that the list of machines shows as done and those that have timed out.
     fn forget_done_moves(&mut self, now: Moment) {
         let machines = &self.machines;
         let listed = self.machines_listed;
@@ -121,7 +121,7 @@
         pools
     }
 
-    /// Whether a machine takes no new work, since it is about to be maintained.
+    /// Returns whether a machine is cordoned for maintenance.
     fn is_draining(&self, machine: &Machine) -> bool {
         let slot = machine.worker.as_ref().and_then(|id| self.current_slots.get(id));
         slot.is_some_and(|slot| {
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Whether a machine can move now without ending anything.
+    /// Returns whether a machine can move now without stopping any run.
     fn is_idle(&self, machine: &Machine, now: Moment) -> bool {
         if machine.state != MachineState::Up
             || self.machine_leases.is_leased_to_other(&machine.id, now)
@@ -145,7 +145,7 @@
         worker.is_confirmed && !worker.is_leaving && worker.runs.is_empty() && rested
     }
 
-    /// Cores of the usual machine.
+    /// Returns the mean number of cores of a machine.
     fn cores_each(&self) -> f64 {
         let rooms = self.machines.iter().map(|machine| machine.capacity.processors_milli);
         let (sum, count) = rooms.fold((0.0, 0.0), |(sum, count), milli| {
@@ -162,7 +162,7 @@
             add_running(&self.workers[*slot], &mut load);
         }
         let are_inherited_runs_known = self.are_inherited_runs_known(service, now);
-        // Other work can't be placed before it is known what still runs of it.
+        // Other steps can't be placed before the runs that remain from previous owners are known.
         let placeable = |id: &StepId| are_inherited_runs_known || self.has_no_prior_runs(*id);
         for id in self.waiting_steps.of(service).filter(placeable) {
             let Some(spec) = self.spec(id) else { continue };
@@ -177,8 +177,9 @@
         load
     }
 
-    /// Rate that will have been reached when machines that are ordered now have come, in estimated
-    /// cores. Orders for many machines take a while by themselves.
+    /// Returns the arrival rate that is expected at the time when machines that move now accept
+    /// tasks, in estimated cores. The lead includes the time to issue the move commands, which is
+    /// significant for many machines.
     fn expected_rate(&self, service: &ServiceId, now: Moment) -> f64 {
         let arrival = self.settings.machine_move_duration + ARRIVAL;
         let rate = self.arrivals.predicted_rate(service, arrival, now);
@@ -189,7 +190,7 @@
         self.arrivals.predicted_rate(service, lead, now)
     }
 
-    /// Workers that the steps of a service need, since only so many of their tasks may share one.
+    /// Returns the number of workers that the per-worker task limits of a service's steps require.
     fn apart(&self, service: &ServiceId) -> usize {
         let each = self.ready.of(service).filter_map(|id| {
             let spec = self.spec(id)?;
@@ -201,7 +202,7 @@
     }
 }
 
-/// Adds what runs on a worker to the load of its service.
+/// Adds the runs of a worker to the load of its service.
 fn add_running(worker: &Worker, load: &mut Load) {
     let long_running_milli = worker.counts.long_running_milli;
     let running_milli = worker.reserved.processors_milli - long_running_milli;
@@ -209,7 +210,7 @@
     load.running += f64::from(running_milli) / 1_000.0;
 }
 
-/// Machines of each service that no service wants; none while one of them wants more.
+/// Returns the number of surplus machines of each service: 0 while any service needs more machines.
 fn surplus(pools: &BTreeMap<ServiceId, Pool>) -> HashMap<ServiceId, usize> {
     let is_wanting = pools.values().any(|pool| !pool.is_spare && pool.machines < pool.needed);
     let each = pools.iter().map(|(service, pool)| {
@@ -219,7 +220,7 @@
     each.collect()
 }
 
-/// One line with what each service has and needs.
+/// Logs the machines that each service has and needs.
 fn report(pools: &BTreeMap<ServiceId, Pool>, moves: usize) {
     let each = pools.iter().map(|(service, pool)| {
         let Pool { machines, needed, idle, load, .. } = pool;
--- a/crates/jobs/src/scheduler/budget.rs
+++ b/crates/jobs/src/scheduler/budget.rs
@@ -1,4 +1,4 @@
-//! Availability budgets of steps: what may be ended by the fleet's own action.
+//! Availability budgets of steps: how many long-running tasks maintenance may interrupt.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -12,14 +12,15 @@
 use crate::spec::{StepSpec, TaskId};
 use crate::worker::RunPhase;
 
-/// Added to the longest time that a run takes to end, for orders on their way.
+/// Added to the longest time that a run takes to end, for stop commands in transit.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
 
 impl Scheduler {
-    /// Whether a worker's machine may go down now without breaking a budget.
+    /// Returns whether a worker's machine may go down now without exceeding a budget. With
+    /// `patient`, short tasks must end first.
     ///
-    /// What runs on a worker that has not answered this owner is not known until its lease is
-    /// over.
+    /// The runs on a worker that has not responded to this owner are unknown until its lease
+    /// expires.
     pub(super) fn can_take_down(&self, slot: WorkerSlot, patient: bool, now: Moment) -> bool {
         let worker = &self.workers[slot];
         let is_known = worker.was_confirmed || now >= worker.lease_expires;
@@ -47,7 +48,7 @@
     ) {
         let mut places: HashMap<ServiceId, Vec<Candidate>> = HashMap::new();
         for slot in hosts.iter().copied() {
-            // The last one may go down with its machine.
+            // The last task may be interrupted by the maintenance itself.
             if self.long_running_left(slot).nth(1).is_none() {
                 continue;
             }
@@ -60,14 +61,14 @@
         }
     }
 
-    /// Long-running tasks on a worker that have not been ordered to end.
+    /// Returns the long-running tasks on a worker that are not being stopped.
     fn long_running_left(&self, slot: WorkerSlot) -> impl Iterator<Item = TaskId> {
         let runs = self.workers[slot].runs.iter();
         runs.filter(|(_, run)| run.kind.long_running && !run.is_stopping()).map(|(task, _)| *task)
     }
 
-    /// A long-running task of a worker that may be stopped now and has a place elsewhere, whose
-    /// room is taken from `places`.
+    /// Returns a long-running task of a worker that may be stopped now and fits on one of
+    /// `targets`, and deducts its resources there.
     fn movable(
         &self,
         slot: WorkerSlot,
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Whether a worker has room for a task.
+    /// Returns whether a task may be placed on a worker.
     fn is_place(&self, place: &Candidate, task: TaskId, spec: &StepSpec) -> bool {
         let runs = self.workers[place.slot].runs.keys();
         let same_step = runs.filter(|other| other.step == task.step).count();
@@ -100,18 +101,19 @@
             && spec.label.as_ref().is_none_or(|label| place.labels.contains(label))
     }
 
-    /// Whether one long-running task may be stopped by the fleet's own action.
+    /// Returns whether one long-running task may be stopped for maintenance.
     fn may_stop(&self, task: TaskId, now: Moment) -> bool {
         self.within_budget(task, None, now)
     }
 
-    /// Whether a long-running task may be ended together with all else on its worker.
+    /// Returns whether a long-running task may be stopped together with all other runs on its
+    /// worker.
     fn may_interrupt(&self, task: TaskId, slot: WorkerSlot, now: Moment) -> bool {
         self.within_budget(task, Some(slot), now)
     }
 
-    /// Whether enough other tasks of a step are at work for one to be ended, beside those on
-    /// `lost`.
+    /// Returns whether enough other tasks of a step are available to stop this one. Tasks on
+    /// `excluded` count as unavailable.
     fn within_budget(&self, task: TaskId, lost: Option<WorkerSlot>, now: Moment) -> bool {
         let Some(budget) = self.spec(task.step).and_then(|spec| spec.unavailable_max) else {
             return true;
@@ -128,8 +130,8 @@
         u32::try_from(away.count()).unwrap_or(u32::MAX) < budget
     }
 
-    /// Whether a long-running task is available. One that an earlier owner ordered to end is still
-    /// listed as running for a while.
+    /// Returns whether a long-running task is available. A run that a previous owner stopped may
+    /// still be reported as running for a while.
     fn is_at_work(&self, slot: WorkerSlot, task: TaskId, now: Moment) -> bool {
         let worker = &self.workers[slot];
         let Some(run) = worker.runs.get(&task) else { return false };
--- a/crates/jobs/src/scheduler/delays.rs
+++ b/crates/jobs/src/scheduler/delays.rs
@@ -1,4 +1,4 @@
-//! Notes for each job what its ready tasks wait for.
+//! Records for each job what its ready tasks wait for.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 use crate::spec::{JobId, StepId};
 
 impl Scheduler {
-    /// Takes in that what waits now has waited for `time`. A job counts with one of its steps.
+    /// Adds `time` to the delays of all jobs with waiting tasks. Each job is counted by the first
+    /// of its steps that waits.
     pub(super) fn note_delays(&mut self, time: Duration, now: Moment) {
         let mut noted: Vec<(JobId, DelayCause)> = Vec::new();
         for service in self.waiting_steps.services() {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// What a step waits for; `None` if none of its tasks waits.
+    /// Returns what a step waits for; `None` if none of its tasks is waiting.
     fn delay_cause(
         &self,
         id: StepId,
@@ -56,7 +57,8 @@
         })
     }
 
-    /// How long after its objective a job ends; 0 if it meets it. `None` for a job without one.
+    /// Returns how long after its objective a job ends; 0 if it meets it, `None` for a job without
+    /// one.
     pub(super) fn lateness(&self, job: &Job, now: Moment) -> Option<Duration> {
         let occurrence = job.occurrences.values().next()?;
         let spec = &job.record.spec;
--- a/crates/jobs/src/scheduler/gang.rs
+++ b/crates/jobs/src/scheduler/gang.rs
@@ -1,4 +1,4 @@
-//! Placement of tasks that work only together.
+//! Placement of gangs: tasks that run only together.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::spec::{StepId, StepSpec, TaskId};
 
 impl Scheduler {
-    /// Starts all members of a gang or none; returns what it asks for if it did not fit.
+    /// Starts all members of a gang or none; returns their demand if the gang did not fit.
     #[expect(clippy::too_many_arguments, reason = "one call from one place")]
     pub(super) fn place_gang(
         &mut self,
--- a/crates/jobs/src/scheduler/job_lifecycle.rs
+++ b/crates/jobs/src/scheduler/job_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Jobs that are accepted, cancelled and due.
+//! Lifecycle of jobs: accepted, cancelled, started on schedule and finished.
 
 use std::time::Duration;
 
@@ -12,13 +12,14 @@
 use crate::record::{JobRecord, JobState, StateRecord};
 use crate::spec::{JobId, OccurrenceNumber, StepId, StepSpec};
 
-/// Seconds of its weight that a team may send at once before its jobs count as beyond it.
+/// Burst that a team may submit before its jobs count as beyond its weight, in seconds of its
+/// weight.
 const WEIGHT_BURST_S: f64 = 2.0;
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::inbox";
 
 impl Scheduler {
-    /// Adds an accepted job, with its stored state where it has one.
+    /// Adds an accepted job, with its stored state if there is one.
     pub fn add_job(
         &mut self,
         id: JobId,
@@ -38,7 +39,7 @@
             return;
         }
         let repeats = job.record.spec.schedule.is_some();
-        // A job that no earlier owner has touched starts with the first number.
+        // A job that no previous owner has started uses run numbers from the first one.
         let run_number_base = if job.has_no_prior_runs { 0 } else { self.term.run_number_base };
         if !repeats {
             job.start_occurrence(0, stored, run_number_base, now);
@@ -54,13 +55,13 @@
             true => self.scheduled.push(id),
             false => self.advance_occurrence(id, 0, now),
         }
-        // After an outage of the store its cancel may have come first.
+        // After an outage of the store the cancel may have arrived before the job.
         if self.early_cancels.remove(&id) {
             self.cancel(id, now);
         }
     }
 
-    /// Raises the level of the job's team by one job and tells whether it exceeds its weight.
+    /// Adds one job to the team's bucket and returns whether the team exceeds its weight.
     fn exceeds_share(&mut self, job: &Job, now: Moment) -> bool {
         let Some(team) = job.record.team.clone() else { return false };
         let Some(weight) = self.config.teams.get(&team).map(|team| team.weight) else {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Begins the repetitions that are due at a time of day.
+    /// Starts the repetitions that are due at the Unix time `unix`.
     pub fn start_due_occurrences(&mut self, unix: Duration, now: Moment) {
         let mut begun: Vec<(JobId, OccurrenceNumber)> = Vec::new();
         for id in &self.scheduled {
@@ -111,7 +112,7 @@
         self.scheduled.retain(|id| jobs.get(id).is_some_and(Job::is_live));
     }
 
-    /// Begins a repetition of which a worker knows a run: an earlier owner had begun it.
+    /// Starts a repetition of which a worker reports a run: a previous owner started it.
     pub(super) fn ensure_occurrence_started(&mut self, step: StepId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&step.job).filter(|job| job.is_live()) else { return };
         let repeats = job.record.spec.schedule.is_some();
@@ -123,7 +124,7 @@
         self.advance_occurrence(step.job, step.occurrence, now);
     }
 
-    /// Restores repetitions of a scheduled job that had begun under an earlier owner.
+    /// Restores the repetitions of a scheduled job that a previous owner started.
     pub fn restore_occurrences(&mut self, id: JobId, stored: &StateRecord, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_live()) else { return };
         if job.record.spec.schedule.is_none() {
@@ -139,7 +140,8 @@
         }
     }
 
-    /// Lets the steps start whose predecessors are done, and ends what is done.
+    /// Marks the steps whose predecessors are done as ready, and finishes a repetition or job that
+    /// is done.
     pub(super) fn advance_occurrence(&mut self, id: JobId, number: OccurrenceNumber, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_live()) else { return };
         let service = job.record.service.clone();
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Ends a job and stops what still runs of it.
+    /// Finishes a job and stops its remaining runs.
     pub(super) fn finish_job(&mut self, id: JobId, state: JobState, now: Moment) {
         let Some(job) = self.jobs.get(&id) else { return };
         let late = self.lateness(job, now).unwrap_or_default();
--- a/crates/jobs/src/scheduler/machine_leases.rs
+++ b/crates/jobs/src/scheduler/machine_leases.rs
@@ -1,8 +1,8 @@
-//! Machines that owners have ordered lately.
+//! Leases of owner instances on the machines to which they send commands.
 //!
-//! Orders of two instances to one machine must lie a lease apart. An owner therefore stores the
-//! name of a machine before it orders it, and the next owner waits only for the machines that
-//! are named, not for all.
+//! Commands of two instances to the same machine must be at least one lease apart. An owner
+//! therefore stores the name of a machine before its first command, so that the next owner waits
+//! only for the named machines and not for all.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 
 use crate::record::CommandedMachinesRecord;
 
-/// Who ordered a machine last.
+/// Lease of the instance that last sent a command to a machine.
 #[derive(Debug)]
 struct MachineLease {
-    /// The owner's instance.
+    /// Instance that holds the lease.
     instance: Arc<str>,
-    /// Until when others must not order it.
+    /// Until when other instances must not send commands.
     until: Moment,
-    /// Whether the store says so.
+    /// Whether the lease is stored.
     is_stored: bool,
 }
 
-/// Who ordered which machine lately.
+/// Leases by machine.
 #[derive(Debug)]
 pub(super) struct MachineLeases {
     instance: Arc<str>,
     lease: Duration,
     leases: HashMap<InstanceId, MachineLease>,
-    /// What lies in the store, or is on its way there.
+    /// Record that is stored or in flight.
     written: CommandedMachinesRecord,
 }
 
 impl MachineLeases {
-    /// The machines that earlier owners may have ordered until `now`.
+    /// Creates the leases that previous owners may have held at `now`.
     pub(super) fn new(
         instance: Arc<str>,
         lease: Duration,
@@ -54,14 +54,14 @@
         Self { instance, lease, leases, written: stored }
     }
 
-    /// Whether another instance may have ordered a machine less than a lease ago.
+    /// Returns whether another instance may have sent a command to a machine within the last lease.
     pub(super) fn is_leased_to_other(&self, machine: &str, now: Moment) -> bool {
         let lease = self.leases.get(machine);
         lease.is_some_and(|lease| lease.instance != self.instance && now <= lease.until)
     }
 
-    /// Whether a machine may be ordered now. If not, its name is stored with the next write,
-    /// unless another instance holds it.
+    /// Acquires or renews the lease on a machine, unless another instance holds it. Returns whether
+    /// the lease is stored, so that commands may be sent; if not, the next write stores it.
     pub(super) fn acquire(&mut self, machine: &InstanceId, now: Moment) -> bool {
         if self.is_leased_to_other(machine, now) {
             return false;
@@ -77,19 +77,19 @@
         lease.is_stored
     }
 
-    /// Notes that an order may still be carried out until `until`.
+    /// Extends the lease for a command that may be executed as late as `until`.
     pub(super) fn extend(&mut self, machine: &str, until: Moment) {
         if let Some(lease) = self.leases.get_mut(machine) {
             lease.until = lease.until.max(until + self.lease);
         }
     }
 
-    /// Whether a name waits for the next write.
+    /// Returns whether a lease is not stored yet.
     pub(super) fn is_write_wanted(&self) -> bool {
         self.leases.values().any(|lease| !lease.is_stored)
     }
 
-    /// The record that is to be stored; `None` if the stored one is right.
+    /// Returns the record to store; `None` if the stored one is up to date.
     pub(super) fn take_record(&mut self, now: Moment) -> Option<CommandedMachinesRecord> {
         self.leases.retain(|_, lease| now <= lease.until);
         let entries = self.leases.iter();
@@ -103,7 +103,7 @@
         Some(record)
     }
 
-    /// Takes in that a record has been stored.
+    /// Marks the leases of a stored record as stored.
     pub(super) fn note_stored(&mut self, record: &CommandedMachinesRecord) {
         for (machine, instance) in record {
             if let Some(lease) = self.leases.get_mut(machine) {
--- a/crates/jobs/src/scheduler/machine_list.rs
+++ b/crates/jobs/src/scheduler/machine_list.rs
@@ -1,4 +1,4 @@
-//! The machines of the fleet as last listed.
+//! The machines of the fleet as of the last list.
 
 use std::collections::HashMap;
 
@@ -6,12 +6,12 @@
 
 use crate::cluster::{Machine, MachineState, WorkerId};
 
-/// Machines with indexes by id and by worker.
+/// Machines, indexed by id and by worker.
 #[derive(Debug, Default)]
 pub(super) struct MachineList {
     machines: Vec<Machine>,
     by_id: HashMap<InstanceId, usize>,
-    /// Machines that are up, by the worker that runs on them.
+    /// Positions of the machines that are up, by their worker.
     up_by_worker: HashMap<WorkerId, usize>,
 }
 
@@ -37,7 +37,7 @@
         self.machines.get(*self.by_id.get(id)?)
     }
 
-    /// Whether a worker runs on a machine that is up.
+    /// Returns whether a worker runs on a machine that is up.
     pub(super) fn has_running_worker(&self, worker: &str) -> bool {
         self.up_by_worker.contains_key(worker)
     }
--- a/crates/jobs/src/scheduler/maintenance.rs
+++ b/crates/jobs/src/scheduler/maintenance.rs
@@ -1,4 +1,4 @@
-//! Waves of maintenance: which machine is taken down next.
+//! Maintenance waves: decides which machine is maintained next.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -15,35 +15,35 @@
 use crate::job::WorkerSlot;
 use crate::record::{WaveRecord, WavesRecord};
 
-/// Time that one machine of a wave takes, from the order until its new worker takes work, with
-/// the order's turn-around.
+/// Time that the maintenance of one machine takes, from the command until its new worker accepts
+/// tasks, including the round trip of the command.
 const MAINTENANCE_TIME: Duration = Duration::from_millis(3_000);
-/// Machines that are emptied beyond those that are down at once.
+/// Machines that are drained ahead of those that are down.
 const DRAINING_AHEAD: usize = 1;
-/// Part of a wave's term that is left unplanned.
+/// Share of a wave's time limit that is kept in reserve.
 const SPARE_PART: f64 = 0.25;
-/// Part of a wave's term after which machines are taken down though short tasks run there.
+/// Share of a wave's time limit after which machines are taken down even if short tasks run there.
 const PATIENT_PART: f64 = 0.75;
-/// Time between two orders to the same machine.
+/// Minimum time between two commands to the same machine.
 const ORDER_RETRY: Duration = Duration::from_millis(700);
-/// An order without an answer may be carried out until this time has passed.
+/// Longest time after which a command without a response may still be executed.
 const LATE_ORDER_MAX: Duration = Duration::from_secs(13);
-/// Longest time for which one machine is emptied before it is taken down.
+/// Longest time for which a machine is drained before it is taken down.
 const DRAINING_MAX: Duration = Duration::from_millis(4_500);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::upkeep";
 
-/// An order to a machine.
+/// A command to a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MachineCommand {
-    /// Maintain it.
+    /// Maintains it.
     Maintain {
         /// The machine.
         machine: InstanceId,
         /// The wave.
         wave: WaveNumber,
     },
-    /// Move it to another service.
+    /// Moves it to another service.
     Move {
         /// The machine.
         machine: InstanceId,
@@ -53,7 +53,7 @@
 }
 
 impl MachineCommand {
-    /// The machine that the order is for.
+    /// Returns the machine to which the command applies.
     pub fn machine(&self) -> &InstanceId {
         match self {
             Self::Maintain { machine, .. } | Self::Move { machine, .. } => machine,
@@ -61,32 +61,32 @@
     }
 }
 
-/// The last order to a machine.
+/// The last command to a machine.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SentCommand {
     at: Moment,
-    /// Whether it may still be carried out.
+    /// Whether it may still be executed.
     is_open: bool,
 }
 
-/// How far a wave is.
+/// Progress of a wave.
 #[derive(Debug)]
 pub(super) struct WaveProgress {
     wave: Wave,
     /// When an owner first saw the wave.
     since: Moment,
     since_unix_ms: u64,
-    /// Machines whose maintenance has begun, and when.
+    /// Machines whose maintenance has started, and when.
     begun: HashMap<InstanceId, Moment>,
-    /// Machines that get no new work until they are taken down, and since when.
+    /// Machines that are being drained for maintenance, and since when.
     draining: HashMap<InstanceId, Moment>,
-    /// Last status that lies in the store: whether the wave is complete.
+    /// Last stored status: whether the wave is complete.
     stored: Option<bool>,
 }
 
 impl WaveProgress {
-    /// A wave with what an earlier owner stored of it, if there is any; `unix` is the time of day
-    /// at `now`.
+    /// Creates the progress of a wave from what a previous owner stored, if anything; `unix` is the
+    /// Unix time at `now`.
     pub(super) fn new(
         wave: Wave,
         stored: Option<&WaveRecord>,
@@ -109,18 +109,20 @@
 }
 
 impl Scheduler {
-    /// Whether machines have to be listed, since a wave is open.
+    /// Returns whether the machines have to be listed: a wave is not complete, or there is a spare
+    /// pool.
     pub fn needs_machine_list(&self) -> bool {
         self.waves.values().any(|wave| wave.stored != Some(true))
             || self.config.services.values().any(|service| service.is_spare)
     }
 
-    /// Whether machines should be listed without delay, since one was ordered.
+    /// Returns whether the machines should be listed without delay because a command was accepted,
+    /// and clears the request.
     pub fn take_machine_list_request(&mut self) -> bool {
         std::mem::take(&mut self.is_list_wanted)
     }
 
-    /// Takes over the list of machines, asked for at `sent`.
+    /// Replaces the list of machines by one that was requested at `sent`.
     pub fn set_machines(&mut self, machines: Vec<Machine>, sent: Moment, now: Moment) {
         let machines = MachineList::new(machines);
         let leaving: Vec<WorkerSlot> = (0..self.workers.len())
@@ -135,7 +137,7 @@
                 self.retire_worker(slot, now);
                 continue;
             }
-            // The order had been carried out before; the worker is the one that came after it.
+            // The command had been executed before: this is the worker that started after it.
             let worker = &mut self.workers[slot];
             worker.leaving_since = None;
             worker.is_leaving = false;
@@ -147,8 +149,8 @@
         self.lose_downed(sent, now);
     }
 
-    /// Gives up silent workers whose machines are down or run another worker, by a list that was
-    /// asked for after they had fallen silent.
+    /// Retires silent workers whose machines are down or run another worker, according to a list
+    /// that was requested after they stopped responding.
     fn lose_downed(&mut self, sent: Moment, now: Moment) {
         for slot in 0..self.workers.len() {
             let worker = &self.workers[slot];
@@ -162,7 +164,7 @@
         }
     }
 
-    /// How far the waves are, as it shall lie in the store.
+    /// Returns the progress of all waves as the record to store.
     pub(super) fn waves_record(&self) -> WavesRecord {
         let records = self.waves.values().map(|progress| {
             let mut begun: Vec<InstanceId> = progress.begun.keys().cloned().collect();
@@ -173,7 +175,7 @@
         records.collect()
     }
 
-    /// Takes in the outcome of an order to a machine.
+    /// Handles the outcome of a command to a machine.
     pub fn handle_machine_outcome(
         &mut self,
         command: &MachineCommand,
@@ -202,7 +204,8 @@
             let worker = &mut self.workers[slot];
             worker.is_leaving = is_open || accepted;
             worker.is_cordoned &= worker.is_leaving;
-            // Whether it has gone down, or had been maintained before, the next list shows.
+            // The next list of machines shows whether the machine went down or had been maintained
+            // before.
             worker.leaving_since = match outcome {
                 MachineOutcome::Accepted => Some(now),
                 MachineOutcome::Unknown => Some(now + LATE_ORDER_MAX),
@@ -227,7 +230,7 @@
         self.current_slots.get(listed.worker.as_ref()?).copied()
     }
 
-    /// Orders the maintenance that is due.
+    /// Issues the maintenance commands that are due.
     pub(super) fn plan_maintenance(&mut self, now: Moment, commands: &mut Vec<Command>) {
         if self.machines.is_empty() {
             return;
@@ -242,7 +245,7 @@
     }
 
     fn plan_wave(&mut self, number: WaveNumber, now: Moment, commands: &mut Vec<Command>) {
-        // Taken out while workers are marked, and put back below.
+        // Removed from the map to borrow `self` mutably; inserted again below.
         let Some(mut progress) = self.waves.remove(&number) else { return };
         if progress.stored != Some(true) {
             self.take_down(&mut progress, now, commands);
@@ -250,8 +253,8 @@
         self.waves.insert(number, progress);
     }
 
-    /// Takes down the machines of a wave that may go now, the emptiest first, and keeps new work
-    /// off those that follow.
+    /// Takes down the machines of a wave that may go down now, those with the fewest runs first,
+    /// and drains the next ones.
     fn take_down(&mut self, progress: &mut WaveProgress, now: Moment, commands: &mut Vec<Command>) {
         let down = self.down_count(progress);
         let mut open = self.open_machines(progress, now);
@@ -261,7 +264,7 @@
         let at_once = at_once(progress, open.len(), now);
         let free = progress.wave.concurrent_max.saturating_sub(down);
         let paced = at_once.saturating_sub(down);
-        // Machines with long-running tasks take longest to empty, so these begin first.
+        // Machines with long-running tasks take longest to drain, so they come first.
         open.sort_by_cached_key(|(machine, slot)| {
             let runs = slot.map_or(0, |slot| 1 + self.workers[slot].runs.len());
             let is_settled = slot.is_some_and(|slot| self.hosts_long_running(slot));
@@ -271,7 +274,7 @@
         let patience = progress.wave.time_limit.mul_f64(PATIENT_PART);
         let is_late = now.saturating_sub(progress.since) > patience;
         let mut taken: Vec<InstanceId> = Vec::new();
-        // Machines that go as soon as they are named in the store.
+        // Machines that are taken down as soon as their lease is stored.
         let mut named = 0;
         let mut draining: BTreeSet<InstanceId> = BTreeSet::new();
         for (machine, slot) in open {
@@ -304,7 +307,7 @@
         }
     }
 
-    /// Whether a worker's machine is one that no service wants now.
+    /// Returns whether a worker's machine is idle and its service has surplus machines.
     fn is_spared(&self, slot: WorkerSlot) -> bool {
         let worker = &self.workers[slot];
         worker.runs.is_empty() && self.surplus.get(&worker.entry.service).is_some_and(|it| *it > 0)
@@ -314,7 +317,7 @@
         self.workers[slot].counts.long_running > 0
     }
 
-    /// Machines of a wave that are down for it, or may be.
+    /// Returns how many machines of a wave are or may be down for maintenance.
     fn down_count(&self, progress: &WaveProgress) -> usize {
         let is_back = |machine: &InstanceId, begun: Moment| {
             let listed = self.machines.get(machine);
@@ -333,13 +336,13 @@
         begun + unknown.count()
     }
 
-    /// Whether an order to a machine was sent and may still be carried out.
+    /// Returns whether a command to a machine may still be executed.
     fn is_order_open(&self, machine: &str) -> bool {
         self.machines_ordered.get(machine).is_some_and(|ordered| ordered.is_open)
     }
 
-    /// Machines of a wave whose maintenance has not begun, with their workers, but those that
-    /// another instance ordered lately.
+    /// Returns the machines of a wave that are up and whose maintenance has not started, with their
+    /// workers. Machines that are leased to another instance are left out.
     fn open_machines(
         &self,
         progress: &WaveProgress,
@@ -360,7 +363,7 @@
             .collect()
     }
 
-    /// Keeps new work off the machines that are taken down next, and off no others.
+    /// Cordons the machines that are taken down next and uncordons those that no longer are.
     fn drain_machines(
         &mut self,
         progress: &mut WaveProgress,
@@ -403,7 +406,7 @@
         commands.push(Command::Machine(MachineCommand::Maintain { machine, wave: number }));
     }
 
-    /// Waves whose status in the store is behind.
+    /// Returns the waves whose status in the store is outdated.
     pub(super) fn wave_statuses(&self) -> Vec<(WaveNumber, bool)> {
         let behind = self.waves.values().filter_map(|progress| {
             let is_complete = self.is_complete(progress);
@@ -412,7 +415,8 @@
         behind.collect()
     }
 
-    /// Whether the maintenance of each machine has begun, but of those that have left for good.
+    /// Returns whether the maintenance of every machine has started. Machines that are no longer
+    /// listed do not count.
     fn is_complete(&self, progress: &WaveProgress) -> bool {
         let listed_lately = self.machines_listed.is_some_and(|at| at > progress.since);
         listed_lately
@@ -431,10 +435,11 @@
     }
 }
 
-/// How many machines of a wave are down at once: as few as keep its term.
+/// Returns how many machines of a wave may be down at the same time: as few as its time limit
+/// allows.
 ///
-/// Answers the load pattern of a wave that begins while a service has its turn: the machines that
-/// are wanted go down evenly over the term and not all at its begin.
+/// A wave may start while a service is under load. Machines that are needed then go down evenly
+/// over the time limit instead of all at its start.
 fn at_once(progress: &WaveProgress, open: usize, now: Moment) -> usize {
     let planned = progress.wave.time_limit.mul_f64(1.0 - SPARE_PART);
     let left = (progress.since + planned).saturating_sub(now);
--- a/crates/jobs/src/scheduler/plan.rs
+++ b/crates/jobs/src/scheduler/plan.rs
@@ -1,4 +1,4 @@
-//! Which orders follow from the present state.
+//! Planning pass: derives the commands that are due from the current state.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -17,19 +17,20 @@
 use crate::step_order::{WaitingStep, sort};
 use crate::worker::{PollPhase, Run, RunKind, RunPhase};
 
-/// Time after which services are planned again without news, for delays that have passed.
+/// Time after which all services are planned again without a change, because delays have expired.
 const REPLAN_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two plans of a service in which steps found no room: what becomes free gathers.
+/// Time between two placement passes of a service without enough free capacity, so that freed
+/// capacity accumulates.
 const FULL_INTERVAL: Duration = Duration::from_millis(5);
-/// A step that has found no room for this long has a worker kept for it.
+/// A step that has waited this long for capacity has a worker reserved for it.
 const RESERVE_AFTER: Duration = Duration::from_millis(400);
-/// Most workers of a service that are kept for steps that found no room.
+/// Maximum number of workers of a service that are reserved for waiting steps.
 const RESERVED_MAX: usize = 2;
-/// Ends of different jobs that must have failed on a worker before it is suspected.
+/// Number of different jobs that must have failed on a worker before it is suspected.
 const SUSPECT_JOBS: usize = 3;
 
 impl Scheduler {
-    /// The orders that are due now, at a time of day `unix`.
+    /// Returns the commands that are due at `now`, which is the Unix time `unix`.
     pub fn plan(&mut self, unix: Duration, now: Moment) -> Vec<Command> {
         let mut commands = Vec::new();
         self.unix = unix;
@@ -58,7 +59,7 @@
         commands
     }
 
-    /// When the next order falls due without news.
+    /// Returns when the next command is due if nothing changes.
     pub fn next_due(&self, now: Moment) -> Moment {
         let poll = self.poll_queue.peek().map_or(Moment::MAX, |Reverse((at, _))| *at);
         let full = self.changed.iter().filter_map(|service| self.next_placement.get(service));
@@ -79,7 +80,7 @@
                 due.push(Reverse((at, worker)));
             }
         }
-        // A look stays due until it is on its way.
+        // A poll stays due until it is sent.
         self.poll_queue.extend(due);
         let is_polled = |commands: &[Command], slot: WorkerSlot| {
             commands
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Steps of a service with tasks that may start now.
+    /// Returns the steps of a service with tasks that may start now.
     fn eligible_steps(&mut self, service: &str, now: Moment) -> Vec<WaitingStep> {
         let are_inherited_runs_known = self.are_inherited_runs_known(service, now);
         let mut eligible_steps = Vec::new();
@@ -153,20 +154,22 @@
         eligible_steps
     }
 
-    /// What a task of a step takes, if it may run on any worker with room.
+    /// Returns what a task of a step takes if it is neither in a gang nor subject to a placement
+    /// policy.
     fn plain_requirements(&self, step: StepId) -> Option<Resources> {
         let spec = self.spec(step)?;
         let is_plain = !spec.gang && self.placement_policy(step).is_none();
         is_plain.then(|| spec.reserved())
     }
 
-    /// Whether no earlier owner can have started anything of a step's job.
+    /// Returns whether no previous owner can have started any task of a step's job.
     pub(super) fn has_no_prior_runs(&self, step: StepId) -> bool {
         let job = self.jobs.get(&step.job);
         job.is_some_and(|job| job.has_no_prior_runs)
     }
 
-    /// Whether tasks of a job may start: the store says so, or is about to be told.
+    /// Returns whether tasks of a step's job may start: only once the start of the job is stored.
+    /// Requests the write if needed.
     pub(super) fn ensure_start_stored(&mut self, step: StepId) -> bool {
         let Some(job) = self.jobs.get_mut(&step.job) else { return false };
         let is_start_stored = job.is_start_stored;
@@ -195,7 +198,7 @@
         })
     }
 
-    /// When a repetition of a job stops being worth its full value.
+    /// Returns the latest completion time at which a repetition of a job has its full value.
     pub(super) fn objective(&self, job: &Job, occurrence: &Occurrence) -> Moment {
         let queue = self.config.queues.get(&job.record.queue);
         let critical_path_factor = queue.map_or(1.0, |queue| queue.critical_path_factor.max(1.0));
@@ -229,7 +232,7 @@
         self.jobs.get(&step.job).and_then(|job| job.spec(step.step))
     }
 
-    /// Starts what fits of a step; returns what it asks for if tasks are left over.
+    /// Starts as many tasks of a step as fit; returns the demand of a task if some did not fit.
     fn place_step(
         &mut self,
         id: StepId,
@@ -297,7 +300,7 @@
         waiting.filter_map(|(index, _)| u32::try_from(index).ok()).collect()
     }
 
-    /// The worker for a task, among those that it may use.
+    /// Chooses the worker for a task among the candidates that it may use.
     pub(super) fn choose_worker_for(
         &self,
         task: TaskId,
@@ -383,7 +386,7 @@
     }
 }
 
-/// Takes the room of a placed task from a candidate.
+/// Deducts a placed task from the free resources of a candidate.
 pub(super) fn deduct_task(
     candidates: &mut [Candidate],
     slot: WorkerSlot,
@@ -399,7 +402,7 @@
     chosen.opportunistic += u32::from(requirements.opportunistic);
 }
 
-/// Whether runs of several jobs have failed on a worker lately, and most of them.
+/// Returns whether at least half of the recent runs on a worker failed, from several jobs.
 fn is_suspect(recent_ends: &[(u64, bool)]) -> bool {
     let mut failed: Vec<u64> =
         recent_ends.iter().filter(|(_, failed)| *failed).map(|(job, _)| *job).collect();
--- a/crates/jobs/src/scheduler/policy_queries.rs
+++ b/crates/jobs/src/scheduler/policy_queries.rs
@@ -1,4 +1,4 @@
-//! Tickets of the placement policy.
+//! Queries to the placement policy and the tickets that it grants.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -13,25 +13,25 @@
 use crate::placement::Candidate;
 use crate::spec::StepId;
 
-/// Workers in one question.
+/// Maximum number of workers in one query.
 const WORKERS_MAX: usize = 12;
-/// Questions that are open at once; the policy answers one at a time.
+/// Maximum number of open queries; the policy processes one at a time.
 const OPEN_QUERIES_MAX: usize = 2;
-/// A ticket is not used this shortly before it expires.
+/// A ticket is not used within this time before it expires.
 const TICKET_MARGIN: Duration = Duration::from_millis(250);
-/// Time after an unanswered question until the next one about the same step.
+/// Delay before the next query about a step after one without a response.
 const QUERY_RETRY: Duration = Duration::from_millis(200);
 
-/// A question to the placement policy.
+/// A query to the placement policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PolicyQuery {
     /// The step.
     pub step: StepId,
-    /// Workers that it is about.
+    /// Workers to check.
     pub workers: Vec<WorkerId>,
 }
 
-/// What is known about the workers that may run a step.
+/// Tickets and refusals that the placement policy has returned for a step.
 #[derive(Debug, Default)]
 pub(super) struct StepTickets {
     tickets: HashMap<WorkerSlot, (Arc<str>, Moment)>,
@@ -46,14 +46,15 @@
         self.config.queues.get(&job.record.queue)?.placement_policy
     }
 
-    /// Tickets of a step that can be used now.
+    /// Returns the tickets of a step that are valid now.
     pub(super) fn valid_tickets(&self, step: StepId, now: Moment) -> HashMap<WorkerSlot, Arc<str>> {
         let known = self.tickets.get(&step).map(|known| &known.tickets);
         let valid = known.into_iter().flatten().filter(|(_, (_, until))| now < *until);
         valid.map(|(slot, (proof, _))| (*slot, proof.clone())).collect()
     }
 
-    /// Asks about a step, if more tickets could help it.
+    /// Queries the placement policy about the candidates that have neither a valid ticket nor a
+    /// refusal.
     pub(super) fn query_policy(
         &mut self,
         step: StepId,
@@ -86,7 +87,7 @@
         commands.push(Command::QueryPolicy(PolicyQuery { step, workers }));
     }
 
-    /// Takes in the answer to a question that was sent at `sent`.
+    /// Handles the response to a query that was sent at `sent`.
     pub fn handle_policy_response(
         &mut self,
         query: &PolicyQuery,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Forgets a ticket that a worker did not take.
+    /// Removes a ticket that a worker refused.
     pub(super) fn discard_ticket(&mut self, step: StepId, slot: WorkerSlot) {
         if let Some(known) = self.tickets.get_mut(&step) {
             known.tickets.remove(&slot);
--- a/crates/jobs/src/scheduler/polls.rs
+++ b/crates/jobs/src/scheduler/polls.rs
@@ -1,4 +1,4 @@
-//! What a look at a worker changes.
+//! Polls of workers and the changes that their responses cause.
 
 use std::cmp::Reverse;
 use std::collections::HashSet;
@@ -14,26 +14,27 @@
 use crate::spec::TaskId;
 use crate::worker::{PollPhase, Run, RunKind, RunPhase};
 
-/// How long a worker with work waits for an end before it answers a look.
+/// How long a worker with runs may hold a poll open for a run to end.
 const WAIT_BUSY: Duration = Duration::from_millis(1_000);
-/// How long a worker without work waits before it answers a look.
+/// How long a worker without runs may hold a poll open.
 const WAIT_IDLE: Duration = Duration::from_millis(2_000);
-/// Time between an answer without ends and the next look.
+/// Delay between a response without run ends and the next poll.
 const POLL_GAP: Duration = Duration::from_millis(15);
-/// Shortest time between an answer with ends and the next look. Until they are stored and
-/// acknowledged, the worker would answer at once and show them again; meanwhile others gather.
+/// Minimum delay between a response with run ends and the next poll. Until the ends are stored and
+/// acknowledged, the worker would respond immediately and report them again; the delay also lets
+/// further ends accumulate.
 const ENDS_GAP: Duration = Duration::from_millis(40);
-/// Looks a second, at all workers, that may show ends again that are not stored.
+/// Polls per second of all workers that may report unstored run ends again.
 const REPEATED_POLLS_PER_S: f64 = 1_500.0;
-/// Time between a failed look and the next one.
+/// Delay between a failed poll and the next one.
 const RETRY_GAP: Duration = Duration::from_millis(200);
-/// Failed looks after which a worker that is not listed counts as lost once its lease is over.
+/// Failed polls after which an unlisted worker counts as lost once its lease has expired.
 const FAILED_POLLS_MAX: u32 = 2;
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::looks";
 
 impl Scheduler {
-    /// The look that is due at a worker. It extends the lease of what runs there.
+    /// Returns the poll that is due for a worker. It extends the lease of all runs there.
     pub fn poll_request(
         &mut self,
         slot: WorkerSlot,
@@ -54,16 +55,16 @@
             (true, true) => WAIT_IDLE,
             (true, false) => WAIT_BUSY,
         };
-        // Before its life is known again, nothing may be acknowledged to the worker: it may be a
-        // new life, whose ends have the same numbers.
+        // Nothing may be acknowledged while the worker's incarnation is unconfirmed: a new one
+        // would use the same numbers for its run ends.
         let acknowledged = if worker.is_confirmed { worker.last_end_stored } else { 0 };
         PollRequest { token, acknowledged, lease_until, wait }
     }
 
-    /// Takes in what a look showed, that was sent at `sent` and answered at `now`.
+    /// Handles the response to a poll that was sent at `sent` and received at `now`.
     ///
-    /// A look that was sent before one that has been taken in shows ends alone: what it says of
-    /// runs may be older.
+    /// If a later poll has been handled already, only the run ends are used: the list of running
+    /// tasks may be outdated.
     pub fn handle_poll_response(
         &mut self,
         slot: WorkerSlot,
@@ -89,7 +90,8 @@
         worker.unresponsive_since = None;
         worker.was_confirmed = true;
         worker.failed_polls = 0;
-        // A worker that was lost from sight may hold runs whose lease is about to end.
+        // A worker that did not respond may have runs whose lease is about to expire, so it is
+        // polled again immediately.
         let next = match (first, poll.ended.is_empty()) {
             (true, _) => now,
             (false, true) => now + POLL_GAP,
@@ -119,8 +121,8 @@
         self.stop_unbegun(slot, &shown, sent, now);
     }
 
-    /// Has a worker looked at, all of whose ends have come into the store: until then it showed
-    /// them again.
+    /// Brings forward the poll of a worker whose run ends are all stored, to acknowledge them.
+    /// Until then the worker reports them again.
     pub(super) fn schedule_ack_poll(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &mut self.workers[slot];
         let due = now.max(worker.last_answered.unwrap_or(now) + ENDS_GAP);
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Whether a look shows ends, but none that has not been taken in.
+    /// Returns whether a poll response contains run ends, but only ones that were received before.
     pub fn has_only_known_ends(&self, slot: WorkerSlot, poll: &PollResponse) -> bool {
         let seen = self.workers[slot].last_end_seen;
         !poll.ended.is_empty() && poll.ended.iter().all(|row| row.number <= seen)
@@ -172,13 +174,14 @@
             return;
         }
         if worker.runs.contains_key(&row.task) {
-            // An older run of a task that was ordered here again: the worker refuses one of them.
+            // An older run of a task that was started here again: the worker refuses one of them.
             return;
         }
         self.adopt(slot, row, token, now);
     }
 
-    /// Takes over a run that was not ordered by this owner, or lets it end where it must not be.
+    /// Adopts a run that this owner did not start; stops it if the task must not run on this
+    /// worker.
     fn adopt(&mut self, slot: WorkerSlot, row: RunningRun, token: u64, now: Moment) {
         let id = row.task;
         self.ensure_occurrence_started(id.step, now);
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Ends the runs that a look, sent after their last news, does not show.
+    /// Removes the runs that are missing from a poll sent after they were last confirmed.
     fn drop_vanished(
         &mut self,
         slot: WorkerSlot,
@@ -274,8 +277,8 @@
         }
     }
 
-    /// Orders runs to end whose start was not answered and that a later look does not show: they
-    /// might begin late.
+    /// Stops the runs whose start command got no response and that a later poll does not report:
+    /// they might still start.
     fn stop_unbegun(
         &mut self,
         slot: WorkerSlot,
@@ -295,7 +298,7 @@
         }
     }
 
-    /// Takes in that a look brought nothing.
+    /// Handles a failed poll.
     pub fn handle_poll_failure(
         &mut self,
         slot: WorkerSlot,
@@ -305,7 +308,7 @@
     ) {
         let worker = &mut self.workers[slot];
         if is_out_of_band {
-            // The look that waits tells whether the worker is lost.
+            // The pending long poll decides whether the worker is lost.
             return;
         }
         worker.poll = PollPhase::DueAt(now + RETRY_GAP);
@@ -331,7 +334,7 @@
         self.expire_lease(slot, now);
     }
 
-    /// Gives up the runs of a worker that does not answer, once their lease is over.
+    /// Removes the runs of a worker that does not respond once their lease has expired.
     pub(super) fn expire_lease(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &self.workers[slot];
         if worker.is_confirmed || now < worker.lease_expires {
@@ -353,10 +356,11 @@
     }
 }
 
-/// Time between an answer with ends and the next look, while ends of some workers are not stored.
+/// Returns the delay between a response with run ends and the next poll, given the number of
+/// workers whose run ends are not stored.
 ///
-/// Answers the load pattern of ends that come faster than they are stored: looks in vain at many
-/// workers must not take the time in which the ends would be stored.
+/// It grows when ends arrive faster than they are stored: polls that only report known ends must
+/// not take the processor time that storing them needs.
 fn ends_gap(workers_with_unstored_ends: usize) -> Duration {
     let spread = Duration::from_secs_f64(workers_with_unstored_ends as f64 / REPEATED_POLLS_PER_S);
     ENDS_GAP.max(spread)
--- a/crates/jobs/src/scheduler/run_commands.rs
+++ b/crates/jobs/src/scheduler/run_commands.rs
@@ -1,4 +1,4 @@
-//! Orders to workers and what their outcomes change.
+//! Start and stop commands to workers, and the changes that their outcomes cause.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 use crate::spec::{RunNumber, TaskId};
 use crate::worker::RunPhase;
 
-/// How long a worker that had no room or was unwell gets no more work.
+/// How long a worker that was full or unhealthy gets no new tasks.
 const BLOCKED: Duration = Duration::from_millis(300);
-/// Time between two orders to stop the same run.
+/// Delay before a stop command that was not confirmed is sent again.
 const STOP_RETRY: Duration = Duration::from_millis(120);
-/// Added to a run number that a worker has called outdated.
+/// Added to a run number that a worker refused as outdated.
 const RUN_STEP: RunNumber = 8;
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::orders";
 
 impl Scheduler {
-    /// The order that starts a run; `None` when there is nothing to start any more.
+    /// Returns the request that starts a run; `None` if the run is no longer to be started.
     pub fn start_request(
         &mut self,
         slot: WorkerSlot,
@@ -49,7 +49,7 @@
         Some(StartRequest { token, task, run, payload, checkpoint, lease_until, ticket })
     }
 
-    /// Takes in the outcome of an order to start a run.
+    /// Handles the outcome of a start command.
     pub fn handle_start_outcome(
         &mut self,
         slot: WorkerSlot,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Notes that a task of a job has begun, which counts as waiting no more.
+    /// Marks a job as started, so that it no longer counts as waiting.
     pub(super) fn mark_job_started(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         if std::mem::replace(&mut job.has_started, true) {
@@ -101,8 +101,8 @@
         );
     }
 
-    /// A run of which it is unknown whether it began. It may be at work already, where this process
-    /// was late to read the answer; so a look decides whether it is stopped.
+    /// Handles a start command without a response. The run may be active if this process was late
+    /// to read the response, so a poll decides whether it is stopped.
     fn start_unanswered(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let worker = &mut self.workers[slot];
         if let Some(run) = worker.runs.get_mut(&task).filter(|run| run.phase == RunPhase::Starting)
@@ -137,7 +137,7 @@
         self.workers[slot].blocked_until = self.workers[slot].blocked_until.max(now + BLOCKED);
     }
 
-    /// Takes in the outcome of an order to stop a run.
+    /// Handles the outcome of a stop command.
     pub fn handle_stop_outcome(
         &mut self,
         slot: WorkerSlot,
@@ -155,12 +155,12 @@
         let RunPhase::Stopping { confirmed, .. } = &mut ordered.phase else { return };
         if outcome == CommandOutcome::Accepted && confirmed.is_none() {
             *confirmed = Some(now);
-            // A run that had never begun shows no end: the next look tells that it is not there.
+            // A run that never started reports no end: the next poll shows that it is absent.
             self.out_of_band_polls_due.push(slot);
         }
     }
 
-    /// Orders to stop that are due.
+    /// Returns the stop commands that are due.
     pub(super) fn due_stops(&mut self, now: Moment) -> Vec<super::Command> {
         let mut commands = Vec::new();
         let workers = &mut self.workers;
@@ -170,7 +170,7 @@
             if *next_try > now {
                 return true;
             }
-            // A confirmed stop is repeated only if its run goes on past all bounds.
+            // A confirmed stop is sent again only if its run continues far too long.
             *next_try = match confirmed {
                 Some(_) => now + STOP_RETRY * 20,
                 None => now + STOP_RETRY,
--- a/crates/jobs/src/scheduler/run_ends.rs
+++ b/crates/jobs/src/scheduler/run_ends.rs
@@ -1,4 +1,4 @@
-//! What the end of a run changes.
+//! Handles run ends: task results, failures, and released resources.
 
 use std::time::Duration;
 
@@ -13,15 +13,15 @@
 use crate::spec::{JobId, Resources, StepId, TaskId};
 use crate::worker::{Run, RunPhase};
 
-/// Ends that are remembered of each worker to tell a bad worker from a bad job.
+/// Number of recent run ends kept per worker, to distinguish a faulty worker from a faulty job.
 const RECENT_ENDS: usize = 8;
-/// Delay before a task that failed starts again.
+/// Delay before a failed task is retried.
 const FAILED_DELAY: Duration = Duration::from_millis(50);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::ends";
 
 impl Scheduler {
-    /// Takes in a run that has ended.
+    /// Handles the end of a run.
     pub(super) fn handle_run_end(&mut self, slot: WorkerSlot, row: &EndedRun, now: Moment) {
         let known = self.workers[slot].runs.get(&row.task).is_some_and(|run| run.number == row.run);
         if known {
@@ -107,7 +107,7 @@
         let Some(job) = self.jobs.get_mut(&id.step.job).filter(|job| job.is_live()) else { return };
         let Some(spec) = job.spec(id.step.step) else { return };
         let (long_running, gang) = (spec.long_running, spec.gang);
-        // The failures of a gang are counted at its first member.
+        // The failures of a gang are counted on its first member.
         let counted = if gang { TaskId { index: 0, ..id } } else { id };
         let Some(task) = job.task_mut(counted).filter(|task| !task.is_done) else { return };
         if !task.failed_runs.contains(&row.run) {
@@ -137,14 +137,15 @@
         self.mark_job_service_changed(id.step.job);
     }
 
-    /// How often a task of a job may fail; a queue that is no longer configured keeps one try.
+    /// Returns how many attempts a task of a job has. Without a limit if the queue is no longer
+    /// configured.
     fn attempts_max(&self, job: JobId) -> u32 {
         let queue = self.jobs.get(&job).map(|job| &job.record.queue);
         let queue = queue.and_then(|queue| self.config.queues.get(queue));
         queue.map_or(u32::MAX, |queue| queue.attempts_max.max(1))
     }
 
-    /// Orders a run to end.
+    /// Marks a run to be stopped.
     pub(super) fn stop_run(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let Some(run) = self.workers[slot].runs.get_mut(&task) else { return };
         if run.is_stopping() {
@@ -154,7 +155,7 @@
         self.stopping.push((slot, task));
     }
 
-    /// Forgets a run that has ended or never began.
+    /// Removes a run that has ended or never started.
     pub(super) fn release_run(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let Some(run) = self.workers[slot].remove(task) else { return };
         self.workers[slot].last_run_ended = Some(now);
@@ -172,12 +173,12 @@
         self.mark_job_service_changed(task.step.job);
     }
 
-    /// Forgets everything that ran on a worker.
+    /// Removes all runs of a worker.
     pub(super) fn release_all_runs(&mut self, slot: WorkerSlot, now: Moment) {
         self.release_runs_if(slot, now, |_| true);
     }
 
-    /// Forgets what ran on a worker and meets a condition.
+    /// Removes the runs of a worker for which `is_lost` holds.
     pub(super) fn release_runs_if(
         &mut self,
         slot: WorkerSlot,
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Counts what a team has running.
+    /// Adds a run's resources to the usage of its team, or subtracts them.
     pub(super) fn adjust_team_usage(&mut self, job: JobId, amount: &Resources, is_more: bool) {
         let Some(team) = self.jobs.get(&job).and_then(|job| job.record.team.clone()) else {
             return;
@@ -207,7 +208,7 @@
         *used = if is_more { used.plus(amount) } else { used.minus(amount) };
     }
 
-    /// Whether no member of a step is ordered, runs or is being stopped.
+    /// Returns whether no task of a step has a run in any phase.
     pub(super) fn is_step_idle(&self, step: StepId) -> bool {
         let step = self.jobs.get(&step.job).and_then(|job| job.step(step));
         step.is_some_and(|step| step.tasks.iter().all(|task| task.active_runs.is_empty()))
--- a/crates/jobs/src/scheduler/steps.rs
+++ b/crates/jobs/src/scheduler/steps.rs
@@ -1,4 +1,4 @@
-//! Steps by service, kept as they change, so that a pass touches only those that matter to it.
+//! Sets of steps by service, updated incrementally so that a pass visits only the relevant steps.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -40,19 +40,19 @@
         }
     }
 
-    /// The steps of a service.
+    /// Returns the steps of a service.
     pub(super) fn of(&self, service: &str) -> impl Iterator<Item = StepId> {
         self.sets.get(service).into_iter().flatten().copied()
     }
 
-    /// The services that have steps.
+    /// Returns the services that have steps.
     pub(super) fn services(&self) -> impl Iterator<Item = &ServiceId> {
         self.sets.iter().filter(|(_, steps)| !steps.is_empty()).map(|(service, _)| service)
     }
 }
 
 impl Scheduler {
-    /// Notes that a step's turn has come.
+    /// Adds a step that has become ready.
     pub(super) fn mark_step_ready(&mut self, step: StepId) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         if job.step(step).is_some_and(|step| !step.is_done()) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Notes that all tasks of a step are done.
+    /// Removes a step whose tasks are all done.
     pub(super) fn mark_step_done(&mut self, step: StepId) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         self.ready.remove(&job.record.service, step);
--- a/crates/jobs/src/scheduler/throttle.rs
+++ b/crates/jobs/src/scheduler/throttle.rs
@@ -1,4 +1,4 @@
-//! Slows opportunistic tasks down where they disturb tasks that serve users.
+//! Throttles opportunistic tasks that slow down tasks that serve users.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use crate::throttle::next_speed_percent;
 use crate::worker::RunPhase;
 
-/// Time between two changes on one worker: a reading covers the half second before it.
+/// Time between two changes on one worker: a load metric covers the preceding half second.
 const THROTTLE_INTERVAL: Duration = Duration::from_millis(600);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::pace";
 
 impl Scheduler {
-    /// Orders the changes of pace that are due.
+    /// Issues the throttle commands that are due.
     pub(super) fn plan_throttling(&mut self, now: Moment, commands: &mut Vec<Command>) {
         for slot in 0..self.workers.len() {
             let worker = &self.workers[slot];
--- a/crates/jobs/src/scheduler/workers.rs
+++ b/crates/jobs/src/scheduler/workers.rs
@@ -1,4 +1,4 @@
-//! Workers as the platform lists them.
+//! Workers as listed by the platform, and their incarnations.
 
 use std::cmp::Reverse;
 use std::collections::HashSet;
@@ -17,17 +17,17 @@
 use crate::spec::Resources;
 use crate::worker::{PollPhase, Worker};
 
-/// A life that is over though it is still listed.
+/// An incarnation that has ended although it is still listed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndedIncarnation {
-    /// When it was found to be over.
+    /// When the end was detected.
     at: Moment,
-    /// Its begin.
+    /// Unix time at which the incarnation started.
     started_unix: Option<Duration>,
 }
 
 impl Scheduler {
-    /// Adds the workers to which earlier owners gave tasks, listed or not.
+    /// Adds the workers to which previous owners assigned tasks, listed or not.
     pub(super) fn add_known_workers(&mut self, now: Moment) {
         for known in self.term.known_workers.clone() {
             let entry = WorkerEntry {
@@ -56,13 +56,13 @@
         slot
     }
 
-    /// Notes that the store does not name a worker yet, which therefore gets no work.
+    /// Requests the write that records a worker; it gets no tasks before that.
     fn mark_unrecorded(&mut self, slot: WorkerSlot) {
         self.stale_shards.insert(self.workers[slot].shard);
         self.raise_urgency(WriteUrgency::High);
     }
 
-    /// Takes over the list of workers.
+    /// Replaces the list of workers.
     pub fn set_workers(&mut self, entries: Vec<WorkerEntry>, now: Moment) {
         let listed: HashSet<WorkerId> = entries.iter().map(|entry| entry.id.clone()).collect();
         self.ended_incarnations.retain(|id, _| listed.contains(id));
@@ -100,7 +100,7 @@
             return;
         }
         let born = worker.entry.started_unix;
-        // A report may be older than the last look.
+        // A list entry may be older than the last poll.
         if born.is_some() && entry.started_unix > born {
             self.start_incarnation(slot, entry.started_unix, now);
             self.await_first_look(slot, now);
@@ -128,16 +128,16 @@
         }
     }
 
-    /// Whether a report is the last one of a life that is over.
+    /// Returns whether a list entry describes an incarnation that has ended.
     fn is_ended_incarnation(&self, entry: &WorkerEntry) -> bool {
         let Some(ended) = self.ended_incarnations.get(&entry.id) else { return false };
-        // A list of machines that was asked for since may show that the worker lives.
+        // A list of machines that was requested later may show that the worker is up.
         let is_seen_up = self.machines_listed.is_some_and(|at| at > ended.at)
             && self.machines.has_running_worker(&entry.id);
         !is_seen_up && entry.started_unix == ended.started_unix
     }
 
-    /// Ends a worker's life: everything that ran there is over.
+    /// Ends the incarnation of a worker and removes its runs.
     pub(super) fn retire_worker(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &mut self.workers[slot];
         if worker.is_gone {
@@ -160,10 +160,10 @@
         }
     }
 
-    /// Begins a new life of a worker that has started anew under its id.
+    /// Starts a new incarnation of a worker that has restarted under its id.
     ///
-    /// What was ordered before the former life last showed itself ran there, and is over. Later
-    /// orders may have reached the new life: a look decides about them.
+    /// Runs that were started before the last poll of the previous incarnation ran there and have
+    /// ended. Later commands may have reached the new incarnation: a poll decides about their runs.
     pub(super) fn start_incarnation(
         &mut self,
         slot: WorkerSlot,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Gives a worker no work until a look has shown its new life.
+    /// Withholds new tasks from a worker until a poll has confirmed its new incarnation.
     fn await_first_look(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &mut self.workers[slot];
         worker.is_confirmed = false;
@@ -197,12 +197,12 @@
         }
     }
 
-    /// Lives of a service's workers that are not over.
+    /// Returns the active incarnations of a service's workers.
     pub(super) fn service_slots(&self, service: &str) -> &[WorkerSlot] {
         self.slots_by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether runs of an earlier owner are known for all workers of a service.
+    /// Returns whether the runs of previous owners are known for all workers of a service.
     pub(super) fn are_inherited_runs_known(&self, service: &str, now: Moment) -> bool {
         now >= self.inherited_runs_expire
             || self.service_slots(service).iter().all(|slot| {
@@ -211,22 +211,22 @@
             })
     }
 
-    /// Addresses of the lives that were found over since the last call.
+    /// Returns the addresses of the incarnations that have ended since the last call.
     pub fn take_retired_addresses(&mut self) -> Vec<WorkerAddress> {
         std::mem::take(&mut self.retired_addresses)
     }
 
-    /// Addresses of the lives that are not over.
+    /// Returns the addresses of the active incarnations.
     pub fn active_addresses(&self) -> impl Iterator<Item = &WorkerAddress> {
         self.active_slots().map(|slot| &self.workers[slot].address)
     }
 
-    /// Lives that are not over, in no particular order.
+    /// Returns the active incarnations in no particular order.
     pub(super) fn active_slots(&self) -> impl Iterator<Item = WorkerSlot> {
         self.current_slots.values().copied()
     }
 
-    /// Workers of a part, as they are to be named in the store.
+    /// Returns the workers of a shard, as they are to be stored.
     pub(super) fn shard_members(&self, shard: WorkerShard) -> Vec<WorkerSlot> {
         let mut slots: Vec<WorkerSlot> =
             self.active_slots().filter(|slot| self.workers[*slot].shard == shard).collect();
--- a/crates/jobs/src/scheduler/write_batch.rs
+++ b/crates/jobs/src/scheduler/write_batch.rs
@@ -1,4 +1,4 @@
-//! What the owner writes to the store, and what may be said once it is written.
+//! Batches of the owner's writes to the store, and what follows once they are committed.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -18,56 +18,56 @@
 };
 use crate::spec::JobId;
 
-/// Entries of a write that are left beside two conditions and the sequence: the store takes 32.
+/// Entries of a write beside its two conditions and the sequence key: the store accepts 32.
 const ENTRIES_MAX: usize = 29;
-/// States of jobs that wait until a write is urgent.
+/// Number of waiting job states from which on a write is urgent.
 const STATES_MANY: usize = 16;
-/// Parts of the workers in one write.
+/// Maximum number of worker shards in one write.
 const SHARDS_MAX: usize = 12;
-/// Lists in one write: of waves, of ordered machines and of waiting jobs.
+/// Lists in one write: of waves, of commanded machines and of waiting jobs.
 const LISTS_MAX: usize = 3;
-/// Statuses of waves in one write.
+/// Maximum number of wave statuses in one write.
 const WAVES_MAX: usize = 3;
-/// Ended jobs that are removed in one write of the first chain.
+/// Maximum number of ended jobs that one write of the first chain deletes.
 const REMOVALS_MAX: usize = 1;
-/// Ended jobs whose removal counts as waiting.
+/// Maximum number of ended jobs whose deletion counts as waiting.
 const REMOVALS_COUNTED_MAX: usize = 200;
-/// Entries that remove an ended job: it, its cancel and its state.
+/// Entries that delete an ended job: the job, its cancel and its state.
 const REMOVAL_ENTRIES: usize = 3;
-/// Time between two writes of the number of waiting jobs.
+/// Minimum time between two writes of the number of waiting jobs.
 const WAITING_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which that number is written again though it has not changed, so that readers can
-/// tell that an owner counts.
+/// Time after which the number of waiting jobs is written again even if unchanged, so that readers
+/// can detect that no owner updates it.
 const WAITING_REFRESH: Duration = Duration::from_millis(1_000);
 
-/// States in one write that are chosen for the ends that wait longest, so that none stays
-/// unacknowledged.
+/// States in one write that are chosen by the age of their run ends, so that every end is
+/// acknowledged eventually.
 const OLDEST_STATES: usize = 6;
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::flush";
 
-/// How soon something should be written.
+/// How soon a change should be written to the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteUrgency {
-    /// Nobody waits for it.
+    /// Nothing waits for it.
     #[default]
     Low,
-    /// Workers keep ends until they are acknowledged.
+    /// Workers keep run ends until they are acknowledged.
     Normal,
-    /// Starts or callers wait for it.
+    /// Task starts or callers wait for it.
     High,
 }
 
-/// One write of the owner, and what follows from it.
+/// One write of the owner, with the changes to apply once it is committed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// The chain of writes to which it belongs.
+    /// The write chain to which it belongs.
     pub chain: ChainNumber,
     /// Values to store.
     pub puts: Vec<(Arc<str>, Vec<u8>)>,
-    /// Keys to remove.
+    /// Keys to delete.
     pub deletions: Vec<Arc<str>>,
-    /// Waves whose status is to be stored, with whether they are complete.
+    /// Waves whose status is to be stored, and whether they are complete.
     pub waves: Vec<(WaveNumber, bool)>,
     recorded: Vec<WorkerSlot>,
     removed: Vec<JobId>,
@@ -76,14 +76,14 @@
 }
 
 impl WriteBatch {
-    /// Number of states of jobs in it.
+    /// Returns the number of job states in the write.
     pub fn states(&self) -> usize {
         self.states.len()
     }
 }
 
 impl Scheduler {
-    /// How soon the next write should be.
+    /// Returns how soon the next write should start.
     pub fn write_urgency(&self) -> WriteUrgency {
         match self.machine_leases.is_write_wanted() || self.states_waiting() >= STATES_MANY {
             true => WriteUrgency::High,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// States that are behind in the store and in no write that is under way.
+    /// Returns the number of outdated states that are in no write in flight.
     fn states_waiting(&self) -> usize {
         self.unwritten_states.keys().filter(|id| !self.in_flight_writes.contains(**id)).count()
     }
@@ -100,7 +100,7 @@
         self.write_urgency = self.write_urgency.max(urgency);
     }
 
-    /// Whether a write may begin, if there is anything to write.
+    /// Returns whether a write may start, if there is anything to write.
     pub fn may_write(&self, now: Moment) -> bool {
         self.next_write_chain(now).is_some()
     }
@@ -109,7 +109,7 @@
         self.in_flight_writes.next_write_chain(|| self.states_waiting() + self.removals_due(now))
     }
 
-    /// Ended jobs that have been kept for their time, as far as they are counted.
+    /// Returns the number of ended jobs that are due for deletion, up to the counted maximum.
     fn removals_due(&self, now: Moment) -> usize {
         let due = self.ended.iter().take_while(|(_, since)| self.is_removal_due(*since, now));
         due.take(REMOVALS_COUNTED_MAX).count()
@@ -136,7 +136,7 @@
         let writes =
             !batch.puts.is_empty() || !batch.deletions.is_empty() || !batch.waves.is_empty();
         if !writes {
-            // Ends that changed no job may be acknowledged at once.
+            // Run ends that changed no job can be acknowledged immediately.
             self.mark_ends_stored(now);
             return None;
         }
@@ -157,7 +157,7 @@
         batch.waves.truncate(WAVES_MAX);
     }
 
-    /// Lets ends be acknowledged whose effects are in the store.
+    /// Marks the run ends whose effects are stored, so that they are acknowledged.
     fn mark_ends_stored(&mut self, now: Moment) {
         let unwritten_states = self.unwritten_states.values().min().copied();
         let open_since =
@@ -180,10 +180,10 @@
         }
     }
 
-    /// Jobs whose states are written next, and how soon the others should be.
+    /// Returns the jobs whose states are written next, and the urgency of the remaining ones.
     ///
-    /// Answers the load pattern of hundreds of jobs whose tasks end all the time: states for which
-    /// starts or callers wait do not queue behind the progress of others.
+    /// With hundreds of jobs whose tasks end continuously, states that starts or callers wait for
+    /// must not queue behind mere progress of other jobs.
     fn next_unwritten(&self, count_max: usize) -> (Vec<JobId>, WriteUrgency) {
         let waiting =
             self.unwritten_states.iter().filter(|(id, _)| !self.in_flight_writes.contains(**id));
@@ -199,7 +199,7 @@
         (chosen.collect(), left)
     }
 
-    /// How soon the state of a job that has changed should be written.
+    /// Returns how soon the changed state of a job should be written.
     fn state_urgency(&self, id: JobId) -> WriteUrgency {
         let Some(job) = self.jobs.get(&id) else { return WriteUrgency::Low };
         match job.awaits_start_write() || !job.is_live() {
@@ -225,8 +225,8 @@
         }
     }
 
-    /// Answers the load pattern of machines that move by the dozen each second: a worker that
-    /// comes or goes rewrites a part of the workers, not all.
+    /// Adds the outdated worker shards. Dozens of machines may move each second, so a worker that
+    /// joins or leaves rewrites one shard and not the list of all workers.
     fn collect_workers(&mut self, batch: &mut WriteBatch) {
         let shards: Vec<WorkerShard> = self.stale_shards.iter().copied().take(SHARDS_MAX).collect();
         for shard in shards {
@@ -282,7 +282,7 @@
         self.waiting_written = Some((now, waiting));
     }
 
-    /// Accepted jobs of which no task has started, by queue.
+    /// Counts the accepted jobs of which no task has started, by queue.
     fn waiting(&self) -> WaitingRecord {
         let counted_unix_ms = u64::try_from(self.unix.as_millis()).unwrap_or(u64::MAX);
         let mut waiting = WaitingRecord { counted_unix_ms, ..WaitingRecord::default() };
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Takes in that a write has taken effect.
+    /// Applies the effects of a committed write.
     pub fn handle_write_committed(&mut self, batch: &WriteBatch, now: Moment) {
         self.in_flight_writes.end(batch.chain);
         for slot in &batch.recorded {
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Counts of jobs by what they have come to, for metrics.
+    /// Returns the number of jobs in a state, for metrics.
     pub fn count_jobs(&self, state: JobState) -> usize {
         self.jobs.values().filter(|job| job.state == state).count()
     }
