--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -144,9 +144,9 @@
     settings: SchedulerSettings,
     term: OwnerTerm,
     /// Start of the owner's term.
-    began: Moment,
+    term_started: Moment,
     config: Arc<ClusterConfig>,
-    evacuated: HashSet<ZoneId>,
+    evacuated_zones: HashSet<ZoneId>,
     workers: Vec<Worker>,
     /// Incarnations that have ended and are still listed.
     ended_incarnations: HashMap<WorkerId, EndedIncarnation>,
@@ -162,26 +162,26 @@
     out_of_band_polls_due: Vec<WorkerSlot>,
     jobs: HashMap<JobId, Job>,
     /// Ready steps that are not done.
-    ready: StepsByService,
+    ready_steps: StepsByService,
     /// Ready steps that may have waiting tasks.
     waiting_steps: StepsByService,
     /// Worker shards whose record in the store is outdated.
     stale_shards: BTreeSet<WorkerShard>,
     /// Ended jobs whose state is retained, with the time at which they ended, oldest first.
-    ended: VecDeque<(JobId, Moment)>,
+    ended_jobs: VecDeque<(JobId, Moment)>,
     /// Cancelled jobs that have not been read from the store yet.
     early_cancels: HashSet<JobId>,
     /// Jobs with a schedule.
-    scheduled: Vec<JobId>,
+    recurring_jobs: Vec<JobId>,
     /// Resources that the running tasks of each team take.
     team_usage: HashMap<TeamId, Resources>,
     /// Until when runs of a previous owner may continue on workers that have not responded.
     inherited_runs_expire: Moment,
     /// Services in which something has changed since the last placement pass.
-    changed: HashSet<ServiceId>,
+    changed_services: HashSet<ServiceId>,
     /// Earliest next placement pass of services in which some step found no free capacity.
     next_placement: HashMap<ServiceId, Moment>,
-    /// Jobs whose state in the store is outdated, with the value of `ends_taken` at the first
+    /// Jobs whose state in the store is outdated, with the value of `run_ends_received` at the first
     /// change that is not stored.
     unwritten_states: HashMap<JobId, u64>,
     /// Writes to the store that are in flight.
@@ -195,36 +195,36 @@
     write_urgency: WriteUrgency,
     /// Runs that are being stopped.
     stopping: Vec<(WorkerSlot, TaskId)>,
-    tickets: HashMap<StepId, StepTickets>,
+    step_tickets: HashMap<StepId, StepTickets>,
     open_queries: usize,
     machines: MachineList,
-    machines_listed: Option<Moment>,
-    is_list_wanted: bool,
+    machines_listed_at: Option<Moment>,
+    is_machine_list_requested: bool,
     waves_written: WavesRecord,
     /// Machines that are moving or about to move, with the target service and the time of the
     /// decision.
-    moving: HashMap<InstanceId, (ServiceId, Moment)>,
+    moving_machines: HashMap<InstanceId, (ServiceId, Moment)>,
     /// Moves that wait until the store names their machines.
-    moves_due: Vec<MachineCommand>,
+    pending_moves: Vec<MachineCommand>,
     machine_leases: MachineLeases,
-    balanced: Moment,
+    last_balanced: Moment,
     /// Machines that each service has needed recently.
-    needs: HashMap<ServiceId, PeakNeed>,
+    peak_needs: HashMap<ServiceId, PeakNeed>,
     /// Number of machines of each service that no service needs.
-    surplus: HashMap<ServiceId, usize>,
+    surplus_machines: HashMap<ServiceId, usize>,
     /// Work that has arrived recently.
     arrivals: Arrivals,
-    durations: RunTimeRatio,
+    run_time_ratio: RunTimeRatio,
     waves: BTreeMap<WaveNumber, WaveProgress>,
     /// Last command to each machine.
-    machines_ordered: HashMap<InstanceId, SentCommand>,
+    machine_commands: HashMap<InstanceId, SentCommand>,
     /// Leaky bucket of each team: its level rises by one with each job and drains at the team's
     /// weight per second.
-    team_levels: HashMap<TeamId, (f64, Moment)>,
-    waiting_written: Option<(Moment, WaitingRecord)>,
-    planned_all: Moment,
+    team_buckets: HashMap<TeamId, (f64, Moment)>,
+    last_waiting_record: Option<(Moment, WaitingRecord)>,
+    last_full_plan: Moment,
     /// Unix time of the last planning pass.
-    unix: Duration,
+    last_plan_unix: Duration,
 }
 
 impl Scheduler {
@@ -239,9 +239,9 @@
         );
         let mut scheduler = Self {
             settings,
-            began: now,
+            term_started: now,
             config: Arc::default(),
-            evacuated: HashSet::new(),
+            evacuated_zones: HashSet::new(),
             workers: Vec::new(),
             ended_incarnations: HashMap::new(),
             current_slots: HashMap::new(),
@@ -250,15 +250,15 @@
             retired_addresses: Vec::new(),
             out_of_band_polls_due: Vec::new(),
             jobs: HashMap::new(),
-            ready: StepsByService::default(),
+            ready_steps: StepsByService::default(),
             waiting_steps: StepsByService::default(),
             stale_shards: BTreeSet::new(),
-            ended: VecDeque::new(),
+            ended_jobs: VecDeque::new(),
             early_cancels: HashSet::new(),
-            scheduled: Vec::new(),
+            recurring_jobs: Vec::new(),
             team_usage: HashMap::new(),
             inherited_runs_expire: now,
-            changed: HashSet::new(),
+            changed_services: HashSet::new(),
             next_placement: HashMap::new(),
             unwritten_states: HashMap::new(),
             in_flight_writes: InFlightWrites::default(),
@@ -266,36 +266,36 @@
             run_ends_received: 0,
             write_urgency: WriteUrgency::Low,
             stopping: Vec::new(),
-            tickets: HashMap::new(),
+            step_tickets: HashMap::new(),
             open_queries: 0,
             machines: MachineList::default(),
-            machines_listed: None,
-            is_list_wanted: false,
+            machines_listed_at: None,
+            is_machine_list_requested: false,
             waves_written: term.waves.clone(),
-            moving: HashMap::new(),
-            moves_due: Vec::new(),
+            moving_machines: HashMap::new(),
+            pending_moves: Vec::new(),
             machine_leases,
-            balanced: now,
-            needs: HashMap::new(),
-            surplus: HashMap::new(),
+            last_balanced: now,
+            peak_needs: HashMap::new(),
+            surplus_machines: HashMap::new(),
             arrivals: Arrivals::default(),
-            durations: RunTimeRatio::default(),
+            run_time_ratio: RunTimeRatio::default(),
             waves: BTreeMap::new(),
-            machines_ordered: HashMap::new(),
-            team_levels: HashMap::new(),
-            waiting_written: None,
-            planned_all: now,
-            unix: Duration::ZERO,
+            machine_commands: HashMap::new(),
+            team_buckets: HashMap::new(),
+            last_waiting_record: None,
+            last_full_plan: now,
+            last_plan_unix: Duration::ZERO,
             term,
         };
-        scheduler.inherited_runs_expire = now + scheduler.lease_max();
+        scheduler.inherited_runs_expire = now + scheduler.lease_max_with_skew();
         scheduler.add_known_workers(now);
         scheduler
     }
 
     /// Longest time for which a run continues after a command that extended its lease, on a worker
     /// whose clock is slow.
-    fn lease_max(&self) -> Duration {
+    fn lease_max_with_skew(&self) -> Duration {
         self.settings.lease_max * 103 / 100
     }
 
@@ -307,18 +307,18 @@
 
     /// Replaces the set of availability zones that must get no work.
     pub fn set_evacuated_zones(&mut self, zones: HashSet<ZoneId>) {
-        self.evacuated = zones;
+        self.evacuated_zones = zones;
         self.mark_all_changed();
     }
 
     /// Adds the maintenance waves that the operator requests.
     pub fn set_waves(&mut self, waves: &[Wave], now: Moment) {
-        let unix = self.term.started_unix + now.saturating_sub(self.began);
+        let now_unix = self.term.started_unix + now.saturating_sub(self.term_started);
         for wave in waves {
             let stored = self.term.waves.get(&wave.number);
             self.waves
                 .entry(wave.number)
-                .or_insert_with(|| WaveProgress::new(wave.clone(), stored, unix, now));
+                .or_insert_with(|| WaveProgress::new(wave.clone(), stored, now_unix, now));
         }
     }
 
@@ -344,10 +344,10 @@
 
     fn mark_worker_service_changed(&mut self, slot: WorkerSlot) {
         let service = self.workers[slot].entry.service.clone();
-        self.changed.insert(service);
+        self.changed_services.insert(service);
     }
 
     fn mark_all_changed(&mut self) {
-        self.changed.extend(self.waiting_steps.services().cloned());
+        self.changed_services.extend(self.waiting_steps.services().cloned());
     }
 }
--- a/crates/jobs/src/scheduler/balance.rs
+++ b/crates/jobs/src/scheduler/balance.rs
@@ -19,13 +19,13 @@
 /// Time between two balancing passes.
 const BALANCE_INTERVAL: Duration = Duration::from_millis(200);
 /// Share of the machine command rate that moves may use; the rest is reserved for maintenance.
-const MOVES_PART: f64 = 0.9;
+const MOVES_SHARE: f64 = 0.9;
 /// Time from a move command until the worker accepts tasks, in addition to the move itself.
-const ARRIVAL: Duration = Duration::from_millis(500);
+const WORKER_START_TIME: Duration = Duration::from_millis(500);
 /// Upper bound on the estimated time to issue all move commands for one service, in seconds.
-const ORDERING_MAX_S: f64 = 1.5;
+const ISSUE_TIME_MAX_S: f64 = 1.5;
 /// Maximum age of a list of machines that is used.
-const LIST_AGE_MAX: Duration = Duration::from_millis(2_000);
+const MACHINE_LIST_AGE_MAX: Duration = Duration::from_millis(2_000);
 /// A move that the list of machines does not show after this time is abandoned.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(6_000);
 /// A machine counts as idle once its worker has had no work for this time.
@@ -34,45 +34,46 @@
 impl Scheduler {
     /// Chooses the machine moves that are due.
     pub(super) fn plan_machine_moves(&mut self, now: Moment) {
-        if now.saturating_sub(self.balanced) < BALANCE_INTERVAL {
+        if now.saturating_sub(self.last_balanced) < BALANCE_INTERVAL {
             return;
         }
-        self.balanced = now;
-        let is_listed = self.machines_listed.is_some_and(|at| now < at + LIST_AGE_MAX);
-        if !is_listed {
+        self.last_balanced = now;
+        let is_list_recent =
+            self.machines_listed_at.is_some_and(|at| now < at + MACHINE_LIST_AGE_MAX);
+        if !is_list_recent {
             return;
         }
-        self.forget_done_moves(now);
+        self.remove_finished_moves(now);
         let pools = self.pools(now);
         let moves = choose_moves(&pools, self.moves_max());
-        self.surplus = surplus(&pools);
+        self.surplus_machines = surplus(&pools);
         if !moves.is_empty() {
-            report(&pools, moves.len());
+            log_pools(&pools, moves.len());
         }
-        for moved in moves {
-            self.moving.insert(moved.machine.clone(), (moved.service.clone(), now));
-            if let Some(slot) = self.worker_on_machine(&moved.machine) {
+        for chosen in moves {
+            self.moving_machines.insert(chosen.machine.clone(), (chosen.service.clone(), now));
+            if let Some(slot) = self.worker_on_machine(&chosen.machine) {
                 self.workers[slot].is_cordoned = true;
                 self.workers[slot].is_leaving = true;
             }
-            let (machine, service) = (moved.machine, moved.service);
-            self.moves_due.push(MachineCommand::Move { machine, service });
+            let (machine, service) = (chosen.machine, chosen.service);
+            self.pending_moves.push(MachineCommand::Move { machine, service });
         }
     }
 
     /// Returns the number of moves that one balancing pass may choose.
     fn moves_max(&self) -> usize {
         let commands = self.settings.machine_commands_per_s * BALANCE_INTERVAL.as_secs_f64();
-        (commands * MOVES_PART).ceil().max(1.0) as usize
+        (commands * MOVES_SHARE).ceil().max(1.0) as usize
     }
 
     /// Issues the moves whose machines are named in the store.
     pub(super) fn issue_machine_moves(&mut self, now: Moment, commands: &mut Vec<Command>) {
-        for command in std::mem::take(&mut self.moves_due) {
+        for command in std::mem::take(&mut self.pending_moves) {
             if self.machine_leases.acquire(command.machine(), now) {
                 commands.push(Command::Machine(command));
-            } else if self.moving.contains_key(command.machine()) {
-                self.moves_due.push(command);
+            } else if self.moving_machines.contains_key(command.machine()) {
+                self.pending_moves.push(command);
             } else {
                 self.handle_machine_outcome(&command, MachineOutcome::Busy, now);
             }
@@ -80,14 +81,14 @@
     }
 
     /// Removes the moves that the list of machines shows as done and those that have timed out.
-    fn forget_done_moves(&mut self, now: Moment) {
+    fn remove_finished_moves(&mut self, now: Moment) {
         let machines = &self.machines;
-        let listed = self.machines_listed;
-        self.moving.retain(|id, (service, ordered)| {
+        let listed = self.machines_listed_at;
+        self.moving_machines.retain(|id, (service, decided_at)| {
             let machine = machines.get(id);
-            let seen_after = listed.is_some_and(|at| at > *ordered);
+            let is_listed_after = listed.is_some_and(|at| at > *decided_at);
             let is_done = machine.is_none_or(|machine| machine.service == *service);
-            !(seen_after && is_done) && now < *ordered + MOVE_TIMEOUT
+            !(is_listed_after && is_done) && now < *decided_at + MOVE_TIMEOUT
         });
     }
 
@@ -98,7 +99,7 @@
             pools.insert(id.clone(), pool);
         }
         for machine in self.machines.iter() {
-            let target = self.moving.get(&machine.id).map(|(service, _)| service);
+            let target = self.moving_machines.get(&machine.id).map(|(service, _)| service);
             let Some(pool) = pools.get_mut(target.unwrap_or(&machine.service)) else { continue };
             if machine.state == MachineState::Down || self.is_draining(machine) {
                 continue;
@@ -108,15 +109,16 @@
                 pool.idle.push(machine.id.clone());
             }
         }
-        let cores_each = self.cores_each();
+        let cores_per_machine = self.cores_per_machine();
         for (id, pool) in pools.iter_mut().filter(|(_, pool)| !pool.is_spare) {
             let load = self.load(id, now);
-            pool.needed = machines_for(load.cores(), cores_each).max(self.apart(id));
+            pool.needed =
+                machines_for(load.cores(), cores_per_machine).max(self.min_workers_for_spread(id));
             pool.load = load;
             let is_falling = self.arrivals.is_falling(id, now);
-            let needs = self.needs.entry(id.clone()).or_default();
-            let lately = needs.record(pool.needed, is_falling, now);
-            pool.may_shrink = needs.has_fallen() && pool.machines > lately + SURPLUS_MACHINES;
+            let needs = self.peak_needs.entry(id.clone()).or_default();
+            let peak_need = needs.record(pool.needed, is_falling, now);
+            pool.may_shrink = needs.has_fallen() && pool.machines > peak_need + SURPLUS_MACHINES;
         }
         pools
     }
@@ -125,7 +127,7 @@
     fn is_draining(&self, machine: &Machine) -> bool {
         let slot = machine.worker.as_ref().and_then(|id| self.current_slots.get(id));
         slot.is_some_and(|slot| {
-            self.workers[*slot].is_cordoned && !self.moving.contains_key(&machine.id)
+            self.workers[*slot].is_cordoned && !self.moving_machines.contains_key(&machine.id)
         })
     }
 
@@ -136,26 +138,27 @@
         {
             return false;
         }
-        let is_spare = self.config.services.get(&machine.service).is_some_and(|one| one.is_spare);
+        let is_spare =
+            self.config.services.get(&machine.service).is_some_and(|service| service.is_spare);
         let Some(slot) = machine.worker.as_ref().and_then(|id| self.current_slots.get(id)) else {
             return is_spare;
         };
         let worker = &self.workers[*slot];
-        let rested = worker.last_run_ended.is_none_or(|at| now >= at + IDLE_AFTER);
-        worker.is_confirmed && !worker.is_leaving && worker.runs.is_empty() && rested
+        let is_past_idle_delay = worker.last_run_ended.is_none_or(|at| now >= at + IDLE_AFTER);
+        worker.is_confirmed && !worker.is_leaving && worker.runs.is_empty() && is_past_idle_delay
     }
 
     /// Returns the mean number of cores of a machine.
-    fn cores_each(&self) -> f64 {
-        let rooms = self.machines.iter().map(|machine| machine.capacity.processors_milli);
-        let (sum, count) = rooms.fold((0.0, 0.0), |(sum, count), milli| {
+    fn cores_per_machine(&self) -> f64 {
+        let core_counts = self.machines.iter().map(|machine| machine.capacity.processors_milli);
+        let (sum, count) = core_counts.fold((0.0, 0.0), |(sum, count), milli| {
             (sum + f64::from(milli) / 1_000.0, count + 1.0)
         });
         if count == 0.0 { 0.0 } else { sum / count }
     }
 
     fn load(&self, service: &ServiceId, now: Moment) -> Load {
-        let ratio = self.durations.ratio();
+        let ratio = self.run_time_ratio.ratio();
         let mut load =
             Load { arriving: self.arrivals.rate(service, now) * ratio, ..Load::default() };
         for slot in self.service_slots(service) {
@@ -181,18 +184,18 @@
     /// tasks, in estimated cores. The lead includes the time to issue the move commands, which is
     /// significant for many machines.
     fn expected_rate(&self, service: &ServiceId, now: Moment) -> f64 {
-        let arrival = self.settings.machine_move_duration + ARRIVAL;
-        let rate = self.arrivals.predicted_rate(service, arrival, now);
-        let machines = machines_for(rate * self.durations.ratio(), self.cores_each());
-        let orders_per_s = (self.settings.machine_commands_per_s * MOVES_PART).max(1.0);
-        let ordering_s = (machines as f64 / orders_per_s).min(ORDERING_MAX_S);
-        let lead = arrival + Duration::from_secs_f64(ordering_s);
+        let ready_delay = self.settings.machine_move_duration + WORKER_START_TIME;
+        let rate = self.arrivals.predicted_rate(service, ready_delay, now);
+        let machines = machines_for(rate * self.run_time_ratio.ratio(), self.cores_per_machine());
+        let moves_per_s = (self.settings.machine_commands_per_s * MOVES_SHARE).max(1.0);
+        let issue_time_s = (machines as f64 / moves_per_s).min(ISSUE_TIME_MAX_S);
+        let lead = ready_delay + Duration::from_secs_f64(issue_time_s);
         self.arrivals.predicted_rate(service, lead, now)
     }
 
     /// Returns the number of workers that the per-worker task limits of a service's steps require.
-    fn apart(&self, service: &ServiceId) -> usize {
-        let each = self.ready.of(service).filter_map(|id| {
+    fn min_workers_for_spread(&self, service: &ServiceId) -> usize {
+        let each = self.ready_steps.of(service).filter_map(|id| {
             let spec = self.spec(id)?;
             let step = self.jobs.get(&id.job)?.step(id)?;
             let open = spec.tasks.saturating_sub(step.done);
@@ -212,16 +215,16 @@
 
 /// Returns the number of surplus machines of each service: 0 while any service needs more machines.
 fn surplus(pools: &BTreeMap<ServiceId, Pool>) -> HashMap<ServiceId, usize> {
-    let is_wanting = pools.values().any(|pool| !pool.is_spare && pool.machines < pool.needed);
+    let is_any_short = pools.values().any(|pool| !pool.is_spare && pool.machines < pool.needed);
     let each = pools.iter().map(|(service, pool)| {
-        let beyond = if is_wanting { 0 } else { pool.machines.saturating_sub(pool.needed) };
-        (service.clone(), beyond)
+        let excess = if is_any_short { 0 } else { pool.machines.saturating_sub(pool.needed) };
+        (service.clone(), excess)
     });
     each.collect()
 }
 
 /// Logs the machines that each service has and needs.
-fn report(pools: &BTreeMap<ServiceId, Pool>, moves: usize) {
+fn log_pools(pools: &BTreeMap<ServiceId, Pool>, moves: usize) {
     let each = pools.iter().map(|(service, pool)| {
         let Pool { machines, needed, idle, load, .. } = pool;
         format!("{service}={machines}/{needed} idle {} ({load})", idle.len())
--- a/crates/jobs/src/scheduler/budget.rs
+++ b/crates/jobs/src/scheduler/budget.rs
@@ -17,18 +17,23 @@
 
 impl Scheduler {
     /// Returns whether a worker's machine may go down now without exceeding a budget. With
-    /// `patient`, short tasks must end first.
+    /// `wait_for_short_tasks`, short tasks must end first.
     ///
     /// The runs on a worker that has not responded to this owner are unknown until its lease
     /// expires.
-    pub(super) fn can_take_down(&self, slot: WorkerSlot, patient: bool, now: Moment) -> bool {
+    pub(super) fn can_take_down(
+        &self,
+        slot: WorkerSlot,
+        wait_for_short_tasks: bool,
+        now: Moment,
+    ) -> bool {
         let worker = &self.workers[slot];
         let is_known = worker.was_confirmed || now >= worker.lease_expires;
         is_known
             && self.workers[slot].runs.iter().all(|(task, _)| {
                 let Some(spec) = self.spec(task.step) else { return true };
                 if !spec.long_running {
-                    return !patient;
+                    return !wait_for_short_tasks;
                 }
                 self.may_interrupt(*task, slot, now)
             })
@@ -42,104 +47,105 @@
     /// that waits until all of them can spare a task at the same moment waits longest, and goes last.
     pub(super) fn evict_long_running(
         &mut self,
-        hosts: &[WorkerSlot],
+        slots: &[WorkerSlot],
         draining: &HashSet<WorkerSlot>,
         now: Moment,
     ) {
-        let mut places: HashMap<ServiceId, Vec<Candidate>> = HashMap::new();
-        for slot in hosts.iter().copied() {
+        let mut targets: HashMap<ServiceId, Vec<Candidate>> = HashMap::new();
+        for slot in slots.iter().copied() {
             // The last task may be interrupted by the maintenance itself.
-            if self.long_running_left(slot).nth(1).is_none() {
+            if self.long_running_tasks(slot).nth(1).is_none() {
                 continue;
             }
             let service = self.workers[slot].entry.service.clone();
-            let places =
-                places.entry(service).or_insert_with_key(|service| self.candidates(service, now));
-            if let Some(task) = self.movable(slot, draining.contains(&slot), places, now) {
+            let targets =
+                targets.entry(service).or_insert_with_key(|service| self.candidates(service, now));
+            if let Some(task) = self.take_evictable(slot, draining.contains(&slot), targets, now) {
                 self.stop_run(slot, task, now);
             }
         }
     }
 
     /// Returns the long-running tasks on a worker that are not being stopped.
-    fn long_running_left(&self, slot: WorkerSlot) -> impl Iterator<Item = TaskId> {
+    fn long_running_tasks(&self, slot: WorkerSlot) -> impl Iterator<Item = TaskId> {
         let runs = self.workers[slot].runs.iter();
         runs.filter(|(_, run)| run.kind.long_running && !run.is_stopping()).map(|(task, _)| *task)
     }
 
     /// Returns a long-running task of a worker that may be stopped now and fits on one of
     /// `targets`, and deducts its resources there.
-    fn movable(
+    fn take_evictable(
         &self,
         slot: WorkerSlot,
         is_draining: bool,
-        places: &mut [Candidate],
+        targets: &mut [Candidate],
         now: Moment,
     ) -> Option<TaskId> {
-        self.long_running_left(slot).find(|task| {
+        self.long_running_tasks(slot).find(|task| {
             let Some(spec) = self.spec(task.step) else { return false };
             if spec.unavailable_max.is_none() || !self.may_stop(*task, now) {
                 return false;
             }
-            let same_step = self.long_running_left(slot).filter(|other| other.step == task.step);
-            let may_be_due = is_draining && same_step.count() > 1;
-            let place = places.iter_mut().find(|place| {
-                place.slot != slot
-                    && (may_be_due || !place.is_maintenance_due)
-                    && self.is_place(place, *task, spec)
+            let same_step = self.long_running_tasks(slot).filter(|other| other.step == task.step);
+            let allow_due = is_draining && same_step.count() > 1;
+            let target = targets.iter_mut().find(|target| {
+                target.slot != slot
+                    && (allow_due || !target.is_maintenance_due)
+                    && self.can_host(target, *task, spec)
             });
-            place.map(|place| place.free = place.free.minus(&spec.reserved())).is_some()
+            target.map(|target| target.free = target.free.minus(&spec.reserved())).is_some()
         })
     }
 
     /// Returns whether a task may be placed on a worker.
-    fn is_place(&self, place: &Candidate, task: TaskId, spec: &StepSpec) -> bool {
-        let runs = self.workers[place.slot].runs.keys();
+    fn can_host(&self, target: &Candidate, task: TaskId, spec: &StepSpec) -> bool {
+        let runs = self.workers[target.slot].runs.keys();
         let same_step = runs.filter(|other| other.step == task.step).count();
-        spec.reserved().fits(&place.free)
-            && spec.per_worker_max.is_none_or(|most| same_step < most as usize)
-            && spec.label.as_ref().is_none_or(|label| place.labels.contains(label))
+        spec.reserved().fits(&target.free)
+            && spec.per_worker_max.is_none_or(|max| same_step < max as usize)
+            && spec.label.as_ref().is_none_or(|label| target.labels.contains(label))
     }
 
     /// Returns whether one long-running task may be stopped for maintenance.
     fn may_stop(&self, task: TaskId, now: Moment) -> bool {
-        self.within_budget(task, None, now)
+        self.is_within_budget(task, None, now)
     }
 
     /// Returns whether a long-running task may be stopped together with all other runs on its
     /// worker.
     fn may_interrupt(&self, task: TaskId, slot: WorkerSlot, now: Moment) -> bool {
-        self.within_budget(task, Some(slot), now)
+        self.is_within_budget(task, Some(slot), now)
     }
 
     /// Returns whether enough other tasks of a step are available to stop this one. Tasks on
     /// `excluded` count as unavailable.
-    fn within_budget(&self, task: TaskId, lost: Option<WorkerSlot>, now: Moment) -> bool {
+    fn is_within_budget(&self, task: TaskId, excluded: Option<WorkerSlot>, now: Moment) -> bool {
         let Some(budget) = self.spec(task.step).and_then(|spec| spec.unavailable_max) else {
             return true;
         };
         let Some(step) = self.jobs.get(&task.step.job).and_then(|job| job.step(task.step)) else {
             return true;
         };
-        let away = (0..).zip(&step.tasks).filter(|(index, other)| {
+        let unavailable = (0..).zip(&step.tasks).filter(|(index, other)| {
             let id = TaskId { index: *index, ..task };
-            let at_work =
-                |slot: &WorkerSlot| Some(*slot) != lost && self.is_at_work(*slot, id, now);
-            *index != task.index && !other.active_runs.iter().any(at_work)
+            let is_available = |slot: &WorkerSlot| {
+                Some(*slot) != excluded && self.is_task_available(*slot, id, now)
+            };
+            *index != task.index && !other.active_runs.iter().any(is_available)
         });
-        u32::try_from(away.count()).unwrap_or(u32::MAX) < budget
+        u32::try_from(unavailable.count()).unwrap_or(u32::MAX) < budget
     }
 
     /// Returns whether a long-running task is available. A run that a previous owner stopped may
     /// still be reported as running for a while.
-    fn is_at_work(&self, slot: WorkerSlot, task: TaskId, now: Moment) -> bool {
+    fn is_task_available(&self, slot: WorkerSlot, task: TaskId, now: Moment) -> bool {
         let worker = &self.workers[slot];
         let Some(run) = worker.runs.get(&task) else { return false };
-        let may_be_ending =
+        let may_be_stopping =
             run.is_adopted && now < run.since + self.settings.stop_grace_period + STOP_MARGIN;
         worker.is_confirmed
             && !worker.is_leaving
-            && !may_be_ending
+            && !may_be_stopping
             && run.phase == RunPhase::Running
             && run.percent >= 100
     }
--- a/crates/jobs/src/scheduler/delays.rs
+++ b/crates/jobs/src/scheduler/delays.rs
@@ -12,22 +12,22 @@
 impl Scheduler {
     /// Adds `time` to the delays of all jobs with waiting tasks. Each job is counted by the first
     /// of its steps that waits.
-    pub(super) fn note_delays(&mut self, time: Duration, now: Moment) {
-        let mut noted: Vec<(JobId, DelayCause)> = Vec::new();
+    pub(super) fn record_delays(&mut self, time: Duration, now: Moment) {
+        let mut delayed: Vec<(JobId, DelayCause)> = Vec::new();
         for service in self.waiting_steps.services() {
             let are_inherited_runs_known = self.are_inherited_runs_known(service, now);
-            let mut last = None;
+            let mut last_job = None;
             for step in self.waiting_steps.of(service) {
-                if last == Some(step.job) {
+                if last_job == Some(step.job) {
                     continue;
                 }
                 if let Some(cause) = self.delay_cause(step, are_inherited_runs_known, now) {
-                    noted.push((step.job, cause));
-                    last = Some(step.job);
+                    delayed.push((step.job, cause));
+                    last_job = Some(step.job);
                 }
             }
         }
-        for (id, cause) in noted {
+        for (id, cause) in delayed {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.delays.add(cause, time);
             }
--- a/crates/jobs/src/scheduler/gang.rs
+++ b/crates/jobs/src/scheduler/gang.rs
@@ -27,9 +27,9 @@
         if !self.is_step_idle(id) || self.waiting_tasks(id, now).len() < spec.tasks as usize {
             return None;
         }
-        let whole =
+        let total_resources =
             (0..spec.tasks).fold(Default::default(), |sum, _| spec.task_resources.plus(&sum));
-        if !self.is_amount_within_team_quota(id, &whole) {
+        if !self.is_amount_within_team_quota(id, &total_resources) {
             return None;
         }
         let mut racks: Vec<Option<Arc<str>>> = vec![None];
@@ -39,9 +39,12 @@
             racks.dedup();
         }
         for rack in racks {
-            let mut pool = candidates.to_vec();
-            pool.retain(|candidate| rack.is_none() || candidate.labels.get(1) == rack.as_ref());
-            let Some(slots) = self.gang_slots(id, spec, requirements, pool, tickets) else {
+            let mut rack_candidates = candidates.to_vec();
+            rack_candidates
+                .retain(|candidate| rack.is_none() || candidate.labels.get(1) == rack.as_ref());
+            let Some(slots) =
+                self.choose_gang_workers(id, spec, requirements, rack_candidates, tickets)
+            else {
                 continue;
             };
             if !self.ensure_start_stored(id) {
@@ -49,7 +52,7 @@
             }
             let first = TaskId { step: id, index: 0 };
             let members = (0..spec.tasks).map(|index| TaskId { index, ..first });
-            let run = members.map(|task| self.next_run(task)).max().unwrap_or(1);
+            let run = members.map(|task| self.next_run_number(task)).max().unwrap_or(1);
             for (index, slot) in (0..).zip(slots) {
                 let ticket = tickets.and_then(|tickets| tickets.get(&slot).cloned());
                 let task = TaskId { index, ..first };
@@ -61,19 +64,23 @@
         Some(requirements.clone())
     }
 
-    fn gang_slots(
+    fn choose_gang_workers(
         &self,
         id: StepId,
         spec: &StepSpec,
         requirements: &TaskRequirements,
-        mut pool: Vec<Candidate>,
+        mut rack_candidates: Vec<Candidate>,
         tickets: Option<&HashMap<WorkerSlot, Arc<str>>>,
     ) -> Option<Vec<WorkerSlot>> {
         let mut slots = Vec::with_capacity(spec.tasks as usize);
         for index in 0..spec.tasks {
-            let slot =
-                self.choose_worker_for(TaskId { step: id, index }, requirements, &pool, tickets)?;
-            deduct_task(&mut pool, slot, requirements);
+            let slot = self.choose_worker_for(
+                TaskId { step: id, index },
+                requirements,
+                &rack_candidates,
+                tickets,
+            )?;
+            deduct_task(&mut rack_candidates, slot, requirements);
             slots.push(slot);
         }
         Some(slots)
--- a/crates/jobs/src/scheduler/in_flight_writes.rs
+++ b/crates/jobs/src/scheduler/in_flight_writes.rs
@@ -24,18 +24,18 @@
     /// Parallel chains keep the number of states written per second steady when each write takes
     /// longer, as with a backlog and a slow store or a busy owner.
     pub(super) fn next_write_chain(&self, waiting: impl FnOnce() -> usize) -> Option<ChainNumber> {
-        let free = self.busy.iter().position(|busy| !busy)?;
+        let idle = self.busy.iter().position(|busy| !busy)?;
         let writes = self.busy.iter().filter(|busy| **busy).count();
-        (free == FIRST_WRITE_CHAIN || waiting() >= writes * WAITING_PER_WRITE).then_some(free)
+        (idle == FIRST_WRITE_CHAIN || waiting() >= writes * WAITING_PER_WRITE).then_some(idle)
     }
 
     /// Marks a chain as busy with a write.
-    pub(super) fn begin(&mut self, chain: ChainNumber) {
+    pub(super) fn start(&mut self, chain: ChainNumber) {
         self.busy[chain] = true;
     }
 
     /// Marks the write of a chain as completed.
-    pub(super) fn end(&mut self, chain: ChainNumber) {
+    pub(super) fn finish(&mut self, chain: ChainNumber) {
         self.busy[chain] = false;
     }
 
--- a/crates/jobs/src/scheduler/job_lifecycle.rs
+++ b/crates/jobs/src/scheduler/job_lifecycle.rs
@@ -35,13 +35,13 @@
         job.exceeds_share = self.exceeds_share(&job, now);
         if !job.is_live() {
             self.jobs.insert(id, job);
-            self.ended.push_back((id, now));
+            self.ended_jobs.push_back((id, now));
             return;
         }
-        let repeats = job.record.spec.schedule.is_some();
+        let is_recurring = job.record.spec.schedule.is_some();
         // A job that no previous owner has started uses run numbers from the first one.
         let run_number_base = if job.has_no_prior_runs { 0 } else { self.term.run_number_base };
-        if !repeats {
+        if !is_recurring {
             job.start_occurrence(0, stored, run_number_base, now);
         }
         if accepted_revision > self.term.token && !job.record.spec.is_long_running() {
@@ -51,8 +51,8 @@
             self.arrivals.record(&job.record.service, work, now);
         }
         self.jobs.insert(id, job);
-        match repeats {
-            true => self.scheduled.push(id),
+        match is_recurring {
+            true => self.recurring_jobs.push(id),
             false => self.advance_occurrence(id, 0, now),
         }
         // After an outage of the store the cancel may have arrived before the job.
@@ -70,7 +70,7 @@
         if weight <= 0.0 {
             return false;
         }
-        let (level, at) = self.team_levels.entry(team).or_insert((0.0, now));
+        let (level, at) = self.team_buckets.entry(team).or_insert((0.0, now));
         let drained = weight * now.saturating_sub(*at).as_secs_f64();
         *level = (*level - drained).max(0.0) + 1.0;
         *at = now;
@@ -88,36 +88,36 @@
         }
     }
 
-    /// Starts the repetitions that are due at the Unix time `unix`.
-    pub fn start_due_occurrences(&mut self, unix: Duration, now: Moment) {
-        let mut begun: Vec<(JobId, OccurrenceNumber)> = Vec::new();
-        for id in &self.scheduled {
+    /// Starts the repetitions that are due at the Unix time `now_unix`.
+    pub fn start_due_occurrences(&mut self, now_unix: Duration, now: Moment) {
+        let mut started: Vec<(JobId, OccurrenceNumber)> = Vec::new();
+        for id in &self.recurring_jobs {
             let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else { continue };
             let Some(schedule) = job.record.spec.schedule else { continue };
             for number in 0..schedule.occurrences {
-                if schedule.due_unix(number) > unix {
+                if schedule.due_unix(number) > now_unix {
                     break;
                 }
-                let known = job.occurrences.contains_key(&number) || job.ended.contains(&number);
-                if !known {
+                let is_known = job.occurrences.contains_key(&number) || job.ended.contains(&number);
+                if !is_known {
                     job.start_occurrence(number, None, self.term.run_number_base, now);
-                    begun.push((*id, number));
+                    started.push((*id, number));
                 }
             }
         }
-        for (id, number) in begun {
+        for (id, number) in started {
             self.advance_occurrence(id, number, now);
         }
         let jobs = &self.jobs;
-        self.scheduled.retain(|id| jobs.get(id).is_some_and(Job::is_live));
+        self.recurring_jobs.retain(|id| jobs.get(id).is_some_and(Job::is_live));
     }
 
     /// Starts a repetition of which a worker reports a run: a previous owner started it.
     pub(super) fn ensure_occurrence_started(&mut self, step: StepId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&step.job).filter(|job| job.is_live()) else { return };
-        let repeats = job.record.spec.schedule.is_some();
+        let is_recurring = job.record.spec.schedule.is_some();
         let is_known = job.occurrences.contains_key(&step.occurrence);
-        if !repeats || is_known || step.occurrence >= job.record.spec.occurrences() {
+        if !is_recurring || is_known || step.occurrence >= job.record.spec.occurrences() {
             return;
         }
         job.start_occurrence(step.occurrence, None, self.term.run_number_base, now);
@@ -130,7 +130,7 @@
         if job.record.spec.schedule.is_none() {
             return;
         }
-        let mut numbers: Vec<_> = stored.tasks.iter().map(|row| row.occurrence).collect();
+        let mut numbers: Vec<_> = stored.tasks.iter().map(|task| task.occurrence).collect();
         numbers.dedup();
         for number in numbers {
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -159,7 +159,7 @@
             return;
         }
         if !ready.is_empty() {
-            self.changed.insert(service);
+            self.changed_services.insert(service);
         }
         for step in ready {
             self.mark_step_ready(step);
@@ -169,7 +169,7 @@
     /// Finishes a job and stops its remaining runs.
     pub(super) fn finish_job(&mut self, id: JobId, state: JobState, now: Moment) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let late = self.lateness(job, now).unwrap_or_default();
+        let lateness = self.lateness(job, now).unwrap_or_default();
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.state = state;
         let service = job.record.service.clone();
@@ -177,7 +177,7 @@
         let active_runs = job.active_runs();
         let (queue, delays) = (job.record.queue.clone(), job.delays);
         self.mark_unwritten(id);
-        self.raise_urgency(WriteUrgency::High);
+        self.raise_write_urgency(WriteUrgency::High);
         emit!(
             target: LOG_TARGET,
             JobsEvent::JobEnded,
@@ -185,16 +185,16 @@
             state = format_args!("{state:?}"),
             queue = queue,
             age_ms = age.as_millis(),
-            late_ms = late.as_millis(),
+            late_ms = lateness.as_millis(),
             delays_ms = delays
         );
         for (slot, task) in active_runs {
             self.stop_run(slot, task, now);
         }
-        self.ready.remove_job(&service, id);
+        self.ready_steps.remove_job(&service, id);
         self.waiting_steps.remove_job(&service, id);
-        self.tickets.retain(|step, _| step.job != id);
-        self.ended.push_back((id, now));
-        self.changed.insert(service);
+        self.step_tickets.retain(|step, _| step.job != id);
+        self.ended_jobs.push_back((id, now));
+        self.changed_services.insert(service);
     }
 }
--- a/crates/jobs/src/scheduler/machine_leases.rs
+++ b/crates/jobs/src/scheduler/machine_leases.rs
@@ -31,7 +31,7 @@
     lease: Duration,
     leases: HashMap<InstanceId, MachineLease>,
     /// Record that is stored or in flight.
-    written: CommandedMachinesRecord,
+    last_record: CommandedMachinesRecord,
 }
 
 impl MachineLeases {
@@ -51,7 +51,7 @@
             (machine.clone(), lease)
         };
         let leases = stored.iter().map(inherit).collect();
-        Self { instance, lease, leases, written: stored }
+        Self { instance, lease, leases, last_record: stored }
     }
 
     /// Returns whether another instance may have sent a command to a machine within the last lease.
@@ -68,10 +68,10 @@
         }
         let until = now + self.lease;
         let instance = &self.instance;
-        let wanted = || MachineLease { instance: Arc::clone(instance), until, is_stored: false };
-        let lease = self.leases.entry(machine.clone()).or_insert_with(wanted);
+        let new_lease = || MachineLease { instance: Arc::clone(instance), until, is_stored: false };
+        let lease = self.leases.entry(machine.clone()).or_insert_with(new_lease);
         if lease.instance != self.instance {
-            *lease = wanted();
+            *lease = new_lease();
         }
         lease.until = lease.until.max(until);
         lease.is_stored
@@ -85,7 +85,7 @@
     }
 
     /// Returns whether a lease is not stored yet.
-    pub(super) fn is_write_wanted(&self) -> bool {
+    pub(super) fn needs_write(&self) -> bool {
         self.leases.values().any(|lease| !lease.is_stored)
     }
 
@@ -96,15 +96,15 @@
         let record: CommandedMachinesRecord = entries
             .map(|(machine, lease)| (machine.clone(), Arc::clone(&lease.instance)))
             .collect();
-        if record == self.written {
+        if record == self.last_record {
             return None;
         }
-        self.written = record.clone();
+        self.last_record = record.clone();
         Some(record)
     }
 
     /// Marks the leases of a stored record as stored.
-    pub(super) fn note_stored(&mut self, record: &CommandedMachinesRecord) {
+    pub(super) fn mark_stored(&mut self, record: &CommandedMachinesRecord) {
         for (machine, instance) in record {
             if let Some(lease) = self.leases.get_mut(machine) {
                 lease.is_stored |= lease.instance == *instance;
--- a/crates/jobs/src/scheduler/maintenance.rs
+++ b/crates/jobs/src/scheduler/maintenance.rs
@@ -21,13 +21,13 @@
 /// Machines that are drained ahead of those that are down.
 const DRAINING_AHEAD: usize = 1;
 /// Share of a wave's time limit that is kept in reserve.
-const SPARE_PART: f64 = 0.25;
+const RESERVE_SHARE: f64 = 0.25;
 /// Share of a wave's time limit after which machines are taken down even if short tasks run there.
-const PATIENT_PART: f64 = 0.75;
+const FORCE_AFTER_SHARE: f64 = 0.75;
 /// Minimum time between two commands to the same machine.
-const ORDER_RETRY: Duration = Duration::from_millis(700);
+const COMMAND_RETRY_INTERVAL: Duration = Duration::from_millis(700);
 /// Longest time after which a command without a response may still be executed.
-const LATE_ORDER_MAX: Duration = Duration::from_secs(13);
+const LATE_COMMAND_MAX: Duration = Duration::from_secs(13);
 /// Longest time for which a machine is drained before it is taken down.
 const DRAINING_MAX: Duration = Duration::from_millis(4_500);
 /// Log target of this module, which operators' filters name.
@@ -66,7 +66,7 @@
 pub(super) struct SentCommand {
     at: Moment,
     /// Whether it may still be executed.
-    is_open: bool,
+    is_pending: bool,
 }
 
 /// Progress of a wave.
@@ -85,17 +85,17 @@
 }
 
 impl WaveProgress {
-    /// Creates the progress of a wave from what a previous owner stored, if anything; `unix` is the
+    /// Creates the progress of a wave from what a previous owner stored, if anything; `now_unix` is the
     /// Unix time at `now`.
     pub(super) fn new(
         wave: Wave,
         stored: Option<&WaveRecord>,
-        unix: Duration,
+        now_unix: Duration,
         now: Moment,
     ) -> Self {
-        let unix_ms = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
-        let since_unix_ms = stored.map_or(unix_ms, |stored| stored.since_unix_ms);
-        let age = Duration::from_millis(unix_ms.saturating_sub(since_unix_ms));
+        let now_unix_ms = u64::try_from(now_unix.as_millis()).unwrap_or(u64::MAX);
+        let since_unix_ms = stored.map_or(now_unix_ms, |stored| stored.since_unix_ms);
+        let age = Duration::from_millis(now_unix_ms.saturating_sub(since_unix_ms));
         let begun = stored.map_or(&[][..], |stored| &stored.begun);
         Self {
             wave,
@@ -119,7 +119,7 @@
     /// Returns whether the machines should be listed without delay because a command was accepted,
     /// and clears the request.
     pub fn take_machine_list_request(&mut self) -> bool {
-        std::mem::take(&mut self.is_list_wanted)
+        std::mem::take(&mut self.is_machine_list_requested)
     }
 
     /// Replaces the list of machines by one that was requested at `sent`.
@@ -145,17 +145,17 @@
             self.mark_worker_service_changed(slot);
         }
         self.machines = machines;
-        self.machines_listed = Some(sent);
-        self.lose_downed(sent, now);
+        self.machines_listed_at = Some(sent);
+        self.retire_workers_on_down_machines(sent, now);
     }
 
     /// Retires silent workers whose machines are down or run another worker, according to a list
     /// that was requested after they stopped responding.
-    fn lose_downed(&mut self, sent: Moment, now: Moment) {
+    fn retire_workers_on_down_machines(&mut self, sent: Moment, now: Moment) {
         for slot in 0..self.workers.len() {
             let worker = &self.workers[slot];
-            let is_silent = worker.unresponsive_since.is_some_and(|since| since < sent);
-            if worker.is_gone || !is_silent {
+            let is_unresponsive = worker.unresponsive_since.is_some_and(|since| since < sent);
+            if worker.is_gone || !is_unresponsive {
                 continue;
             }
             if !self.machines.has_running_worker(&worker.entry.id) {
@@ -189,26 +189,26 @@
             order = format_args!("{command:?}"),
             outcome = format_args!("{outcome:?}")
         );
-        let is_open = outcome == MachineOutcome::Unknown;
-        if is_open {
-            self.machine_leases.extend(command.machine(), now + LATE_ORDER_MAX);
+        let is_pending = outcome == MachineOutcome::Unknown;
+        if is_pending {
+            self.machine_leases.extend(command.machine(), now + LATE_COMMAND_MAX);
         }
-        if let Some(ordered) = self.machines_ordered.get_mut(command.machine()) {
-            ordered.is_open = is_open;
+        if let Some(sent) = self.machine_commands.get_mut(command.machine()) {
+            sent.is_pending = is_pending;
         }
         let accepted = outcome == MachineOutcome::Accepted;
-        if !accepted && !is_open {
-            self.moving.remove(command.machine());
+        if !accepted && !is_pending {
+            self.moving_machines.remove(command.machine());
         }
         if let Some(slot) = self.worker_on_machine(command.machine()) {
             let worker = &mut self.workers[slot];
-            worker.is_leaving = is_open || accepted;
+            worker.is_leaving = is_pending || accepted;
             worker.is_cordoned &= worker.is_leaving;
             // The next list of machines shows whether the machine went down or had been maintained
             // before.
             worker.leaving_since = match outcome {
                 MachineOutcome::Accepted => Some(now),
-                MachineOutcome::Unknown => Some(now + LATE_ORDER_MAX),
+                MachineOutcome::Unknown => Some(now + LATE_COMMAND_MAX),
                 _ => None,
             };
         }
@@ -220,9 +220,9 @@
         {
             progress.begun.entry(machine.clone()).or_insert(now);
             progress.draining.remove(machine);
-            self.raise_urgency(WriteUrgency::High);
+            self.raise_write_urgency(WriteUrgency::High);
         }
-        self.is_list_wanted = true;
+        self.is_machine_list_requested = true;
     }
 
     pub(super) fn worker_on_machine(&self, machine: &str) -> Option<WorkerSlot> {
@@ -248,69 +248,82 @@
         // Removed from the map to borrow `self` mutably; inserted again below.
         let Some(mut progress) = self.waves.remove(&number) else { return };
         if progress.stored != Some(true) {
-            self.take_down(&mut progress, now, commands);
+            self.plan_take_downs(&mut progress, now, commands);
         }
         self.waves.insert(number, progress);
     }
 
     /// Takes down the machines of a wave that may go down now, those with the fewest runs first,
     /// and drains the next ones.
-    fn take_down(&mut self, progress: &mut WaveProgress, now: Moment, commands: &mut Vec<Command>) {
+    fn plan_take_downs(
+        &mut self,
+        progress: &mut WaveProgress,
+        now: Moment,
+        commands: &mut Vec<Command>,
+    ) {
         let down = self.down_count(progress);
-        let mut open = self.open_machines(progress, now);
-        for slot in open.iter().filter_map(|(_, slot)| *slot) {
+        let mut remaining = self.remaining_machines(progress, now);
+        for slot in remaining.iter().filter_map(|(_, slot)| *slot) {
             self.workers[slot].is_maintenance_due = true;
         }
-        let at_once = at_once(progress, open.len(), now);
-        let free = progress.wave.concurrent_max.saturating_sub(down);
-        let paced = at_once.saturating_sub(down);
+        let planned_down = planned_down(progress, remaining.len(), now);
+        let down_allowed_max = progress.wave.concurrent_max.saturating_sub(down);
+        let down_allowed_now = planned_down.saturating_sub(down);
         // Machines with long-running tasks take longest to drain, so they come first.
-        open.sort_by_cached_key(|(machine, slot)| {
+        remaining.sort_by_cached_key(|(machine, slot)| {
             let runs = slot.map_or(0, |slot| 1 + self.workers[slot].runs.len());
-            let is_settled = slot.is_some_and(|slot| self.hosts_long_running(slot));
-            (!progress.draining.contains_key(&machine.id), !is_settled, runs, machine.id.clone())
+            let has_long_running = slot.is_some_and(|slot| self.hosts_long_running(slot));
+            (
+                !progress.draining.contains_key(&machine.id),
+                !has_long_running,
+                runs,
+                machine.id.clone(),
+            )
         });
-        let hosts: Vec<WorkerSlot> = open.iter().filter_map(|(_, slot)| *slot).collect();
-        let patience = progress.wave.time_limit.mul_f64(PATIENT_PART);
-        let is_late = now.saturating_sub(progress.since) > patience;
-        let mut taken: Vec<InstanceId> = Vec::new();
+        let slots: Vec<WorkerSlot> = remaining.iter().filter_map(|(_, slot)| *slot).collect();
+        let force_after = progress.wave.time_limit.mul_f64(FORCE_AFTER_SHARE);
+        let is_late = now.saturating_sub(progress.since) > force_after;
+        let mut going_down: Vec<InstanceId> = Vec::new();
         // Machines that are taken down as soon as their lease is stored.
-        let mut named = 0;
+        let mut awaiting_lease = 0;
         let mut draining: BTreeSet<InstanceId> = BTreeSet::new();
-        for (machine, slot) in open {
+        for (machine, slot) in remaining {
             let since = progress.draining.get(&machine.id).copied();
             let waited = since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
-            let patient = !is_late && waited < DRAINING_MAX;
-            let is_free = slot.is_none_or(|slot| self.can_take_down(slot, patient, now));
-            let is_repeat = self.is_order_open(&machine.id);
-            let is_spared = slot.is_none_or(|slot| self.is_spared(slot));
-            let most = if is_spared { free } else { paced };
-            if is_repeat || (is_free && taken.len() + named < most) {
+            let wait_for_short_tasks = !is_late && waited < DRAINING_MAX;
+            let can_go_down =
+                slot.is_none_or(|slot| self.can_take_down(slot, wait_for_short_tasks, now));
+            let is_pending = self.is_command_pending(&machine.id);
+            let is_surplus = slot.is_none_or(|slot| self.is_surplus(slot));
+            let limit = if is_surplus { down_allowed_max } else { down_allowed_now };
+            if is_pending || (can_go_down && going_down.len() + awaiting_lease < limit) {
                 if !self.machine_leases.acquire(&machine.id, now) {
-                    named += 1;
+                    awaiting_lease += 1;
                     draining.insert(machine.id);
                     continue;
                 }
                 if let Some(slot) = slot {
                     self.workers[slot].is_leaving = true;
                 }
-                taken.push(machine.id);
-            } else if draining.len() < paced + DRAINING_AHEAD {
+                going_down.push(machine.id);
+            } else if draining.len() < down_allowed_now + DRAINING_AHEAD {
                 draining.insert(machine.id);
             }
         }
-        let going = draining.iter().filter_map(|machine| self.worker_on_machine(machine)).collect();
-        self.evict_long_running(&hosts, &going, now);
+        let draining_slots =
+            draining.iter().filter_map(|machine| self.worker_on_machine(machine)).collect();
+        self.evict_long_running(&slots, &draining_slots, now);
         self.drain_machines(progress, draining, now);
-        for machine in taken {
-            self.order_maintenance(progress.wave.number, machine, now, commands);
+        for machine in going_down {
+            self.command_maintenance(progress.wave.number, machine, now, commands);
         }
     }
 
     /// Returns whether a worker's machine is idle and its service has surplus machines.
-    fn is_spared(&self, slot: WorkerSlot) -> bool {
+    fn is_surplus(&self, slot: WorkerSlot) -> bool {
         let worker = &self.workers[slot];
-        worker.runs.is_empty() && self.surplus.get(&worker.entry.service).is_some_and(|it| *it > 0)
+        worker.runs.is_empty()
+            && self.surplus_machines.get(&worker.entry.service).is_some_and(|count| *count > 0)
     }
 
     fn hosts_long_running(&self, slot: WorkerSlot) -> bool {
@@ -319,31 +332,32 @@
 
     /// Returns how many machines of a wave are or may be down for maintenance.
     fn down_count(&self, progress: &WaveProgress) -> usize {
-        let is_back = |machine: &InstanceId, begun: Moment| {
+        let is_up_again = |machine: &InstanceId, begun: Moment| {
             let listed = self.machines.get(machine);
-            let seen_after = self.machines_listed.is_some_and(|at| at > begun);
+            let is_listed_after = self.machines_listed_at.is_some_and(|at| at > begun);
             let is_up =
                 |listed: &Machine| matches!(listed.state, MachineState::Up | MachineState::Moving);
-            seen_after && listed.is_none_or(is_up)
+            is_listed_after && listed.is_none_or(is_up)
         };
-        let begun = progress.begun.iter().filter(|(machine, at)| !is_back(machine, **at)).count();
-        let unknown = progress.wave.machines.iter().filter(|machine| {
-            let ordered = self.is_order_open(machine);
+        let begun =
+            progress.begun.iter().filter(|(machine, at)| !is_up_again(machine, **at)).count();
+        let others_down = progress.wave.machines.iter().filter(|machine| {
+            let is_commanded = self.is_command_pending(machine);
             let listed = self.machines.get(machine);
             let down = listed.is_some_and(|listed| listed.state == MachineState::Maintenance);
-            (ordered || down) && !progress.begun.contains_key(*machine)
+            (is_commanded || down) && !progress.begun.contains_key(*machine)
         });
-        begun + unknown.count()
+        begun + others_down.count()
     }
 
     /// Returns whether a command to a machine may still be executed.
-    fn is_order_open(&self, machine: &str) -> bool {
-        self.machines_ordered.get(machine).is_some_and(|ordered| ordered.is_open)
+    fn is_command_pending(&self, machine: &str) -> bool {
+        self.machine_commands.get(machine).is_some_and(|sent| sent.is_pending)
     }
 
     /// Returns the machines of a wave that are up and whose maintenance has not started, with their
     /// workers. Machines that are leased to another instance are left out.
-    fn open_machines(
+    fn remaining_machines(
         &self,
         progress: &WaveProgress,
         now: Moment,
@@ -370,12 +384,12 @@
         draining: BTreeSet<InstanceId>,
         now: Moment,
     ) {
-        let former = std::mem::take(&mut progress.draining);
+        let previous = std::mem::take(&mut progress.draining);
         progress.draining = draining
             .iter()
-            .map(|machine| (machine.clone(), former.get(machine).copied().unwrap_or(now)))
+            .map(|machine| (machine.clone(), previous.get(machine).copied().unwrap_or(now)))
             .collect();
-        for machine in former.keys().filter(|machine| !draining.contains(*machine)) {
+        for machine in previous.keys().filter(|machine| !draining.contains(*machine)) {
             if let Some(slot) = self.worker_on_machine(machine) {
                 self.workers[slot].is_cordoned = self.workers[slot].is_leaving;
                 self.mark_worker_service_changed(slot);
@@ -388,7 +402,7 @@
         }
     }
 
-    fn order_maintenance(
+    fn command_maintenance(
         &mut self,
         number: WaveNumber,
         machine: InstanceId,
@@ -398,35 +412,35 @@
         if let Some(slot) = self.worker_on_machine(&machine) {
             self.workers[slot].is_cordoned = true;
         }
-        let last = self.machines_ordered.get(&machine);
-        if last.is_some_and(|last| now.saturating_sub(last.at) < ORDER_RETRY) {
+        let last = self.machine_commands.get(&machine);
+        if last.is_some_and(|last| now.saturating_sub(last.at) < COMMAND_RETRY_INTERVAL) {
             return;
         }
-        self.machines_ordered.insert(machine.clone(), SentCommand { at: now, is_open: true });
+        self.machine_commands.insert(machine.clone(), SentCommand { at: now, is_pending: true });
         commands.push(Command::Machine(MachineCommand::Maintain { machine, wave: number }));
     }
 
     /// Returns the waves whose status in the store is outdated.
     pub(super) fn wave_statuses(&self) -> Vec<(WaveNumber, bool)> {
-        let behind = self.waves.values().filter_map(|progress| {
+        let outdated = self.waves.values().filter_map(|progress| {
             let is_complete = self.is_complete(progress);
             (progress.stored != Some(is_complete)).then_some((progress.wave.number, is_complete))
         });
-        behind.collect()
+        outdated.collect()
     }
 
     /// Returns whether the maintenance of every machine has started. Machines that are no longer
     /// listed do not count.
     fn is_complete(&self, progress: &WaveProgress) -> bool {
-        let listed_lately = self.machines_listed.is_some_and(|at| at > progress.since);
-        listed_lately
+        let is_listed_after = self.machines_listed_at.is_some_and(|at| at > progress.since);
+        is_listed_after
             && progress.wave.machines.iter().all(|machine| {
                 let is_listed = self.machines.get(machine).is_some();
                 progress.begun.contains_key(machine) || !is_listed
             })
     }
 
-    pub(super) fn note_wave_statuses(&mut self, statuses: &[(WaveNumber, bool)]) {
+    pub(super) fn mark_wave_statuses_stored(&mut self, statuses: &[(WaveNumber, bool)]) {
         for (number, is_complete) in statuses {
             if let Some(progress) = self.waves.get_mut(number) {
                 progress.stored = Some(*is_complete);
@@ -440,10 +454,10 @@
 ///
 /// A wave may start while a service is under load. Machines that are needed then go down evenly
 /// over the time limit instead of all at its start.
-fn at_once(progress: &WaveProgress, open: usize, now: Moment) -> usize {
-    let planned = progress.wave.time_limit.mul_f64(1.0 - SPARE_PART);
+fn planned_down(progress: &WaveProgress, remaining: usize, now: Moment) -> usize {
+    let planned = progress.wave.time_limit.mul_f64(1.0 - RESERVE_SHARE);
     let left = (progress.since + planned).saturating_sub(now);
     let rounds = (left.as_secs_f64() / MAINTENANCE_TIME.as_secs_f64()).floor().max(1.0);
-    let needed = (open as f64 / rounds).ceil() as usize;
+    let needed = (remaining as f64 / rounds).ceil() as usize;
     needed.clamp(1, progress.wave.concurrent_max.max(1))
 }
--- a/crates/jobs/src/scheduler/plan.rs
+++ b/crates/jobs/src/scheduler/plan.rs
@@ -21,23 +21,23 @@
 const REPLAN_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between two placement passes of a service without enough free capacity, so that freed
 /// capacity accumulates.
-const FULL_INTERVAL: Duration = Duration::from_millis(5);
+const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// A step that has waited this long for capacity has a worker reserved for it.
 const RESERVE_AFTER: Duration = Duration::from_millis(400);
 /// Maximum number of workers of a service that are reserved for waiting steps.
-const RESERVED_MAX: usize = 2;
+const RESERVATIONS_MAX: usize = 2;
 /// Number of different jobs that must have failed on a worker before it is suspected.
-const SUSPECT_JOBS: usize = 3;
+const SUSPECT_JOBS_MIN: usize = 3;
 
 impl Scheduler {
-    /// Returns the commands that are due at `now`, which is the Unix time `unix`.
-    pub fn plan(&mut self, unix: Duration, now: Moment) -> Vec<Command> {
+    /// Returns the commands that are due at `now`, which is the Unix time `now_unix`.
+    pub fn plan(&mut self, now_unix: Duration, now: Moment) -> Vec<Command> {
         let mut commands = Vec::new();
-        self.unix = unix;
-        if now.saturating_sub(self.planned_all) >= REPLAN_INTERVAL {
-            self.note_delays(now.saturating_sub(self.planned_all), now);
-            self.planned_all = now;
-            self.start_due_occurrences(unix, now);
+        self.last_plan_unix = now_unix;
+        if now.saturating_sub(self.last_full_plan) >= REPLAN_INTERVAL {
+            self.record_delays(now.saturating_sub(self.last_full_plan), now);
+            self.last_full_plan = now;
+            self.start_due_occurrences(now_unix, now);
             self.mark_all_changed();
             for slot in self.active_slots().collect::<Vec<_>>() {
                 self.expire_lease(slot, now);
@@ -47,14 +47,14 @@
             self.plan_throttling(now, &mut commands);
         }
         self.issue_machine_moves(now, &mut commands);
-        for service in std::mem::take(&mut self.changed) {
+        for service in std::mem::take(&mut self.changed_services) {
             if self.next_placement.get(&service).is_some_and(|until| now < *until) {
-                self.changed.insert(service);
+                self.changed_services.insert(service);
                 continue;
             }
             self.plan_service(&service, now, &mut commands);
         }
-        commands.extend(self.due_stops(now));
+        commands.extend(self.due_stop_commands(now));
         self.due_polls(now, &mut commands);
         commands
     }
@@ -62,9 +62,10 @@
     /// Returns when the next command is due if nothing changes.
     pub fn next_due(&self, now: Moment) -> Moment {
         let poll = self.poll_queue.peek().map_or(Moment::MAX, |Reverse((at, _))| *at);
-        let full = self.changed.iter().filter_map(|service| self.next_placement.get(service));
-        let pass = full.min().copied().unwrap_or(Moment::MAX);
-        poll.min(pass).min(now + REPLAN_INTERVAL)
+        let postponed =
+            self.changed_services.iter().filter_map(|service| self.next_placement.get(service));
+        let next_pass = postponed.min().copied().unwrap_or(Moment::MAX);
+        poll.min(next_pass).min(now + REPLAN_INTERVAL)
     }
 
     fn due_polls(&mut self, now: Moment, commands: &mut Vec<Command>) {
@@ -108,9 +109,9 @@
                 break;
             }
             let waited = now.saturating_sub(waiting_step.ready_since);
-            let may_reserve =
-                reserved < RESERVED_MAX && (waiting_step.long_running || waited >= RESERVE_AFTER);
-            let plain = self.plain_requirements(waiting_step.step);
+            let may_reserve = reserved < RESERVATIONS_MAX
+                && (waiting_step.long_running || waited >= RESERVE_AFTER);
+            let plain = self.simple_requirements(waiting_step.step);
             if !may_reserve && plain.is_some_and(|plain| unplaced.covers(&plain)) {
                 continue;
             }
@@ -120,13 +121,13 @@
                 unplaced.record(&requirements);
             }
             if may_reserve {
-                let kept = choose_reservation(&requirements, &candidates);
-                reserved += usize::from(kept.is_some());
-                candidates.retain(|candidate| Some(candidate.slot) != kept);
+                let reserved_slot = choose_reservation(&requirements, &candidates);
+                reserved += usize::from(reserved_slot.is_some());
+                candidates.retain(|candidate| Some(candidate.slot) != reserved_slot);
             }
         }
         if !unplaced.is_empty() {
-            self.next_placement.insert(service.into(), now + FULL_INTERVAL);
+            self.next_placement.insert(service.into(), now + PLACEMENT_RETRY_INTERVAL);
         }
     }
 
@@ -134,13 +135,13 @@
     fn eligible_steps(&mut self, service: &str, now: Moment) -> Vec<WaitingStep> {
         let are_inherited_runs_known = self.are_inherited_runs_known(service, now);
         let mut eligible_steps = Vec::new();
-        let mut settled = Vec::new();
+        let mut without_waiting = Vec::new();
         for id in self.waiting_steps.of(service) {
             let Some(job) = self.jobs.get(&id.job) else { continue };
             let Some(step) = job.step(id) else { continue };
             let mut waiting = step.tasks.iter().filter(|task| task.is_waiting()).peekable();
             if waiting.peek().is_none() {
-                settled.push(id);
+                without_waiting.push(id);
             } else if (are_inherited_runs_known || job.has_no_prior_runs)
                 && !job.awaits_start_write()
                 && waiting.any(|task| task.earliest_start <= now)
@@ -148,7 +149,7 @@
                 eligible_steps.extend(self.waiting_step(job, id));
             }
         }
-        for id in settled {
+        for id in without_waiting {
             self.waiting_steps.remove(service, id);
         }
         eligible_steps
@@ -156,10 +157,10 @@
 
     /// Returns what a task of a step takes if it is neither in a gang nor subject to a placement
     /// policy.
-    fn plain_requirements(&self, step: StepId) -> Option<Resources> {
+    fn simple_requirements(&self, step: StepId) -> Option<Resources> {
         let spec = self.spec(step)?;
-        let is_plain = !spec.gang && self.placement_policy(step).is_none();
-        is_plain.then(|| spec.reserved())
+        let is_simple = !spec.gang && self.placement_policy(step).is_none();
+        is_simple.then(|| spec.reserved())
     }
 
     /// Returns whether no previous owner can have started any task of a step's job.
@@ -176,7 +177,7 @@
         if !is_start_stored && job.state == JobState::Queued {
             job.state = JobState::Running;
             self.mark_unwritten(step.job);
-            self.raise_urgency(WriteUrgency::High);
+            self.raise_write_urgency(WriteUrgency::High);
         }
         is_start_stored
     }
@@ -207,10 +208,10 @@
     }
 
     pub(super) fn candidates(&self, service: &str, now: Moment) -> Vec<Candidate> {
-        let of_service =
+        let workers_of_service =
             self.service_slots(service).iter().map(|slot| (*slot, &self.workers[*slot]));
-        let usable = of_service.filter(|(_, worker)| {
-            worker.is_usable(now) && !self.evacuated.contains(&worker.entry.zone)
+        let usable = workers_of_service.filter(|(_, worker)| {
+            worker.is_usable(now) && !self.evacuated_zones.contains(&worker.entry.zone)
         });
         usable
             .map(|(slot, worker)| Candidate {
@@ -252,11 +253,11 @@
             opportunistic: spec.opportunistic,
         };
         self.count_same_step(id, spec, candidates);
-        let asks = self.placement_policy(id).is_some();
-        if asks {
+        let has_policy = self.placement_policy(id).is_some();
+        if has_policy {
             self.query_policy(id, candidates, now, commands);
         }
-        let tickets = asks.then(|| self.valid_tickets(id, now));
+        let tickets = has_policy.then(|| self.valid_tickets(id, now));
         if spec.gang {
             return self.place_gang(
                 id,
@@ -283,7 +284,7 @@
                 return None;
             }
             let ticket = tickets.as_ref().and_then(|tickets| tickets.get(&slot).cloned());
-            let run = self.next_run(task);
+            let run = self.next_run_number(task);
             self.command_start(task, run, slot, spec, ticket, now, commands);
             deduct_task(candidates, slot, &requirements);
         }
@@ -345,12 +346,12 @@
         limits.admits(&used, task_resources)
     }
 
-    pub(super) fn next_run(&self, task: TaskId) -> u32 {
+    pub(super) fn next_run_number(&self, task: TaskId) -> u32 {
         let entry = self.jobs.get(&task.step.job).and_then(|job| job.task(task));
         entry.map_or(0, |entry| entry.last_run) + 1
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the parts of one order")]
+    #[expect(clippy::too_many_arguments, reason = "the parts of one command")]
     pub(super) fn command_start(
         &mut self,
         task: TaskId,
@@ -366,7 +367,7 @@
         entry.last_run = run;
         entry.active_runs.push(slot);
         self.adjust_team_usage(task.step.job, &spec.task_resources, true);
-        let ordered = Run {
+        let new_run = Run {
             number: run,
             phase: RunPhase::Starting,
             since: now,
@@ -381,7 +382,7 @@
             load_metric: 0,
             speed_percent: 100,
         };
-        self.workers[slot].add(task, ordered);
+        self.workers[slot].add(task, new_run);
         commands.push(Command::Start { worker: slot, task, run, ticket });
     }
 }
@@ -404,10 +405,10 @@
 
 /// Returns whether at least half of the recent runs on a worker failed, from several jobs.
 fn is_suspect(recent_ends: &[(u64, bool)]) -> bool {
-    let mut failed: Vec<u64> =
-        recent_ends.iter().filter(|(_, failed)| *failed).map(|(job, _)| *job).collect();
-    let failures = failed.len();
-    failed.sort_unstable();
-    failed.dedup();
-    failed.len() >= SUSPECT_JOBS && 2 * failures >= recent_ends.len()
+    let mut failed_jobs: Vec<u64> =
+        recent_ends.iter().filter(|(_, has_failed)| *has_failed).map(|(job, _)| *job).collect();
+    let failures = failed_jobs.len();
+    failed_jobs.sort_unstable();
+    failed_jobs.dedup();
+    failed_jobs.len() >= SUSPECT_JOBS_MIN && 2 * failures >= recent_ends.len()
 }
--- a/crates/jobs/src/scheduler/policy_queries.rs
+++ b/crates/jobs/src/scheduler/policy_queries.rs
@@ -14,13 +14,13 @@
 use crate::spec::StepId;
 
 /// Maximum number of workers in one query.
-const WORKERS_MAX: usize = 12;
+const QUERY_WORKERS_MAX: usize = 12;
 /// Maximum number of open queries; the policy processes one at a time.
 const OPEN_QUERIES_MAX: usize = 2;
 /// A ticket is not used within this time before it expires.
 const TICKET_MARGIN: Duration = Duration::from_millis(250);
 /// Delay before the next query about a step after one without a response.
-const QUERY_RETRY: Duration = Duration::from_millis(200);
+const QUERY_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// A query to the placement policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -36,8 +36,8 @@
 pub(super) struct StepTickets {
     tickets: HashMap<WorkerSlot, (Arc<str>, Moment)>,
     refused: HashSet<WorkerSlot>,
-    is_asking: bool,
-    next_ask: Moment,
+    is_query_open: bool,
+    next_query: Moment,
 }
 
 impl Scheduler {
@@ -48,8 +48,8 @@
 
     /// Returns the tickets of a step that are valid now.
     pub(super) fn valid_tickets(&self, step: StepId, now: Moment) -> HashMap<WorkerSlot, Arc<str>> {
-        let known = self.tickets.get(&step).map(|known| &known.tickets);
-        let valid = known.into_iter().flatten().filter(|(_, (_, until))| now < *until);
+        let tickets = self.step_tickets.get(&step).map(|step_tickets| &step_tickets.tickets);
+        let valid = tickets.into_iter().flatten().filter(|(_, (_, until))| now < *until);
         valid.map(|(slot, (proof, _))| (*slot, proof.clone())).collect()
     }
 
@@ -65,25 +65,29 @@
         if self.open_queries >= OPEN_QUERIES_MAX {
             return;
         }
-        let known = self.tickets.entry(step).or_default();
-        if known.is_asking || now < known.next_ask {
+        let step_tickets = self.step_tickets.entry(step).or_default();
+        if step_tickets.is_query_open || now < step_tickets.next_query {
             return;
         }
-        let mut open: Vec<&Candidate> = candidates
+        let mut undecided: Vec<&Candidate> = candidates
             .iter()
             .filter(|candidate| {
-                let valid = known.tickets.get(&candidate.slot).is_some_and(|(_, at)| now < *at);
-                !valid && !known.refused.contains(&candidate.slot)
+                let is_valid =
+                    step_tickets.tickets.get(&candidate.slot).is_some_and(|(_, at)| now < *at);
+                !is_valid && !step_tickets.refused.contains(&candidate.slot)
             })
             .collect();
-        if open.is_empty() {
+        if undecided.is_empty() {
             return;
         }
-        open.sort_by_key(|candidate| std::cmp::Reverse(candidate.free.processors_milli));
-        open.truncate(WORKERS_MAX);
-        known.is_asking = true;
+        undecided.sort_by_key(|candidate| std::cmp::Reverse(candidate.free.processors_milli));
+        undecided.truncate(QUERY_WORKERS_MAX);
+        step_tickets.is_query_open = true;
         self.open_queries += 1;
-        let workers = open.iter().map(|one| self.workers[one.slot].entry.id.clone()).collect();
+        let workers = undecided
+            .iter()
+            .map(|candidate| self.workers[candidate.slot].entry.id.clone())
+            .collect();
         commands.push(Command::QueryPolicy(PolicyQuery { step, workers }));
     }
 
@@ -98,10 +102,10 @@
         self.open_queries = self.open_queries.saturating_sub(1);
         self.mark_job_service_changed(query.step.job);
         let current_slots = &self.current_slots;
-        let Some(known) = self.tickets.get_mut(&query.step) else { return };
-        known.is_asking = false;
+        let Some(step_tickets) = self.step_tickets.get_mut(&query.step) else { return };
+        step_tickets.is_query_open = false;
         let Some(response) = response else {
-            known.next_ask = now + QUERY_RETRY;
+            step_tickets.next_query = now + QUERY_RETRY_DELAY;
             return;
         };
         let until = sent + response.valid_for.saturating_sub(TICKET_MARGIN);
@@ -109,10 +113,10 @@
             let Some(slot) = current_slots.get(id).copied() else { continue };
             match response.tickets.iter().find(|ticket| ticket.worker == *id) {
                 Some(ticket) => {
-                    known.tickets.insert(slot, (ticket.proof.clone(), until));
+                    step_tickets.tickets.insert(slot, (ticket.proof.clone(), until));
                 }
                 None => {
-                    known.refused.insert(slot);
+                    step_tickets.refused.insert(slot);
                 }
             }
         }
@@ -120,8 +124,8 @@
 
     /// Removes a ticket that a worker refused.
     pub(super) fn discard_ticket(&mut self, step: StepId, slot: WorkerSlot) {
-        if let Some(known) = self.tickets.get_mut(&step) {
-            known.tickets.remove(&slot);
+        if let Some(step_tickets) = self.step_tickets.get_mut(&step) {
+            step_tickets.tickets.remove(&slot);
         }
     }
 }
--- a/crates/jobs/src/scheduler/polls.rs
+++ b/crates/jobs/src/scheduler/polls.rs
@@ -15,19 +15,19 @@
 use crate::worker::{PollPhase, Run, RunKind, RunPhase};
 
 /// How long a worker with runs may hold a poll open for a run to end.
-const WAIT_BUSY: Duration = Duration::from_millis(1_000);
+const POLL_WAIT_BUSY: Duration = Duration::from_millis(1_000);
 /// How long a worker without runs may hold a poll open.
-const WAIT_IDLE: Duration = Duration::from_millis(2_000);
+const POLL_WAIT_IDLE: Duration = Duration::from_millis(2_000);
 /// Delay between a response without run ends and the next poll.
-const POLL_GAP: Duration = Duration::from_millis(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Minimum delay between a response with run ends and the next poll. Until the ends are stored and
 /// acknowledged, the worker would respond immediately and report them again; the delay also lets
 /// further ends accumulate.
-const ENDS_GAP: Duration = Duration::from_millis(40);
+const ENDS_POLL_INTERVAL_MIN: Duration = Duration::from_millis(40);
 /// Polls per second of all workers that may report unstored run ends again.
 const REPEATED_POLLS_PER_S: f64 = 1_500.0;
 /// Delay between a failed poll and the next one.
-const RETRY_GAP: Duration = Duration::from_millis(200);
+const POLL_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Failed polls after which an unlisted worker counts as lost once its lease has expired.
 const FAILED_POLLS_MAX: u32 = 2;
 /// Log target of this module, which operators' filters name.
@@ -52,8 +52,8 @@
         let wait = match (worker.is_confirmed, worker.runs.is_empty()) {
             (false, _) => Duration::ZERO,
             _ if is_out_of_band => Duration::ZERO,
-            (true, true) => WAIT_IDLE,
-            (true, false) => WAIT_BUSY,
+            (true, true) => POLL_WAIT_IDLE,
+            (true, false) => POLL_WAIT_BUSY,
         };
         // Nothing may be acknowledged while the worker's incarnation is unconfirmed: a new one
         // would use the same numbers for its run ends.
@@ -77,25 +77,25 @@
         if worker.is_gone {
             return;
         }
-        let (known, seen) = (worker.entry.started_unix, poll.started_unix);
-        if known.is_some() && seen.is_some() && known != seen {
-            self.start_incarnation(slot, seen, now);
+        let (known_start, reported_start) = (worker.entry.started_unix, poll.started_unix);
+        if known_start.is_some() && reported_start.is_some() && known_start != reported_start {
+            self.start_incarnation(slot, reported_start, now);
         }
-        let ends_gap = ends_gap(self.workers_with_unstored_ends);
+        let ends_poll_interval = ends_poll_interval(self.workers_with_unstored_ends);
         let worker = &mut self.workers[slot];
-        worker.entry.started_unix = worker.entry.started_unix.or(seen);
+        worker.entry.started_unix = worker.entry.started_unix.or(reported_start);
         worker.set_clock(poll.clock, now);
-        let first = !worker.is_confirmed;
+        let is_first = !worker.is_confirmed;
         worker.is_confirmed = true;
         worker.unresponsive_since = None;
         worker.was_confirmed = true;
         worker.failed_polls = 0;
         // A worker that did not respond may have runs whose lease is about to expire, so it is
         // polled again immediately.
-        let next = match (first, poll.ended.is_empty()) {
+        let next = match (is_first, poll.ended.is_empty()) {
             (true, _) => now,
-            (false, true) => now + POLL_GAP,
-            (false, false) => now + ends_gap,
+            (false, true) => now + POLL_INTERVAL,
+            (false, false) => now + ends_poll_interval,
         };
         if !is_out_of_band {
             worker.poll = PollPhase::DueAt(next);
@@ -103,29 +103,29 @@
         }
         let is_latest = sent >= worker.poll_sent;
         worker.poll_sent = worker.poll_sent.max(sent);
-        if first {
+        if is_first {
             self.mark_worker_service_changed(slot);
         }
-        let mut shown: HashSet<TaskId> = HashSet::with_capacity(poll.running.len());
+        let mut reported: HashSet<TaskId> = HashSet::with_capacity(poll.running.len());
         for row in poll.ended {
-            self.note_end(slot, row, now);
+            self.handle_ended_run(slot, row, now);
         }
         if !is_latest {
             return;
         }
         for row in poll.running {
-            shown.insert(row.task);
-            self.note_running(slot, row, now);
+            reported.insert(row.task);
+            self.handle_running_run(slot, row, now);
         }
-        self.drop_vanished(slot, &shown, sent, now);
-        self.stop_unbegun(slot, &shown, sent, now);
+        self.release_missing_runs(slot, &reported, sent, now);
+        self.stop_unstarted_runs(slot, &reported, sent, now);
     }
 
     /// Brings forward the poll of a worker whose run ends are all stored, to acknowledge them.
     /// Until then the worker reports them again.
     pub(super) fn schedule_ack_poll(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &mut self.workers[slot];
-        let due = now.max(worker.last_answered.unwrap_or(now) + ENDS_GAP);
+        let due = now.max(worker.last_answered.unwrap_or(now) + ENDS_POLL_INTERVAL_MIN);
         if matches!(worker.poll, PollPhase::DueAt(at) if at > due) && worker.is_confirmed {
             worker.poll = PollPhase::DueAt(due);
             self.poll_queue.push(Reverse((due, slot)));
@@ -134,11 +134,11 @@
 
     /// Returns whether a poll response contains run ends, but only ones that were received before.
     pub fn has_only_known_ends(&self, slot: WorkerSlot, poll: &PollResponse) -> bool {
-        let seen = self.workers[slot].last_end_seen;
-        !poll.ended.is_empty() && poll.ended.iter().all(|row| row.number <= seen)
+        let last_seen = self.workers[slot].last_end_seen;
+        !poll.ended.is_empty() && poll.ended.iter().all(|row| row.number <= last_seen)
     }
 
-    fn note_end(&mut self, slot: WorkerSlot, row: EndedRun, now: Moment) {
+    fn handle_ended_run(&mut self, slot: WorkerSlot, row: EndedRun, now: Moment) {
         let worker = &mut self.workers[slot];
         if row.number <= worker.last_end_seen {
             return;
@@ -148,13 +148,13 @@
         self.workers_with_unstored_ends += usize::from(worker.ends_unstored.is_empty());
         worker.ends_unstored.push_back((row.number, self.run_ends_received));
         if row.end == RunEnd::Done {
-            self.raise_urgency(WriteUrgency::Normal);
+            self.raise_write_urgency(WriteUrgency::Normal);
         }
         self.ensure_occurrence_started(row.task.step, now);
         self.handle_run_end(slot, &row, now);
     }
 
-    fn note_running(&mut self, slot: WorkerSlot, row: RunningRun, now: Moment) {
+    fn handle_running_run(&mut self, slot: WorkerSlot, row: RunningRun, now: Moment) {
         let token = self.term.token;
         let worker = &mut self.workers[slot];
         if let Some(run) = worker.runs.get_mut(&row.task)
@@ -170,19 +170,19 @@
             }
             run.load_metric = row.load_metric;
             self.mark_job_started(slot, row.task, now);
-            self.note_checkpoint(row.task, row.checkpoint);
+            self.set_checkpoint(row.task, row.checkpoint);
             return;
         }
         if worker.runs.contains_key(&row.task) {
             // An older run of a task that was started here again: the worker refuses one of them.
             return;
         }
-        self.adopt(slot, row, token, now);
+        self.adopt_run(slot, row, token, now);
     }
 
     /// Adopts a run that this owner did not start; stops it if the task must not run on this
     /// worker.
-    fn adopt(&mut self, slot: WorkerSlot, row: RunningRun, token: u64, now: Moment) {
+    fn adopt_run(&mut self, slot: WorkerSlot, row: RunningRun, token: u64, now: Moment) {
         let id = row.task;
         self.ensure_occurrence_started(id.step, now);
         let job = self.jobs.get_mut(&id.step.job);
@@ -192,12 +192,12 @@
         let (quota_usage, reserved) =
             spec.as_ref().map(|spec| (spec.task_resources, spec.reserved())).unwrap_or_default();
         let kind = spec.as_ref().map(RunKind::from).unwrap_or_default();
-        let mut is_wanted = false;
+        let mut should_run = false;
         if let Some(job) = job {
             job.has_started = true;
             if let Some(task) = job.task_mut(id) {
                 task.last_run = task.last_run.max(row.run);
-                is_wanted =
+                should_run =
                     is_live && !task.is_done && (speculative || task.active_runs.is_empty());
                 task.active_runs.push(slot);
             }
@@ -227,15 +227,15 @@
             run = row.run,
             worker = worker.entry.id,
             token = token,
-            wanted = is_wanted
+            wanted = should_run
         );
-        self.note_checkpoint(id, row.checkpoint);
-        if !is_wanted {
+        self.set_checkpoint(id, row.checkpoint);
+        if !should_run {
             self.stop_run(slot, id, now);
         }
     }
 
-    fn note_checkpoint(&mut self, task: TaskId, checkpoint: Option<std::sync::Arc<str>>) {
+    fn set_checkpoint(&mut self, task: TaskId, checkpoint: Option<std::sync::Arc<str>>) {
         let Some(checkpoint) = checkpoint else { return };
         let job = self.jobs.get_mut(&task.step.job);
         let Some(task) = job.and_then(|job| job.task_mut(task)) else { return };
@@ -245,28 +245,28 @@
     }
 
     /// Removes the runs that are missing from a poll sent after they were last confirmed.
-    fn drop_vanished(
+    fn release_missing_runs(
         &mut self,
         slot: WorkerSlot,
-        shown: &HashSet<TaskId>,
+        reported: &HashSet<TaskId>,
         sent: Moment,
         now: Moment,
     ) {
         let worker = &self.workers[slot];
-        let vanished: Vec<TaskId> = worker
+        let missing: Vec<TaskId> = worker
             .runs
             .iter()
             .filter(|(task, run)| {
-                let settled = match run.phase {
+                let confirmed_at = match run.phase {
                     RunPhase::Starting => None,
                     RunPhase::Running => run.confirmed,
                     RunPhase::Stopping { confirmed, .. } => confirmed,
                 };
-                !shown.contains(*task) && settled.is_some_and(|at| at < sent)
+                !reported.contains(*task) && confirmed_at.is_some_and(|at| at < sent)
             })
             .map(|(task, _)| *task)
             .collect();
-        for task in vanished {
+        for task in missing {
             emit!(
                 target: LOG_TARGET,
                 JobsEvent::RunVanished,
@@ -279,21 +279,21 @@
 
     /// Stops the runs whose start command got no response and that a later poll does not report:
     /// they might still start.
-    fn stop_unbegun(
+    fn stop_unstarted_runs(
         &mut self,
         slot: WorkerSlot,
-        shown: &HashSet<TaskId>,
+        reported: &HashSet<TaskId>,
         sent: Moment,
         now: Moment,
     ) {
         let runs = self.workers[slot].runs.iter();
-        let unbegun = runs.filter(|(task, run)| {
+        let unstarted = runs.filter(|(task, run)| {
             run.phase == RunPhase::Starting
                 && run.start_unanswered_at.is_some_and(|at| at < sent)
-                && !shown.contains(*task)
+                && !reported.contains(*task)
         });
-        let unbegun: Vec<TaskId> = unbegun.map(|(task, _)| *task).collect();
-        for task in unbegun {
+        let unstarted: Vec<TaskId> = unstarted.map(|(task, _)| *task).collect();
+        for task in unstarted {
             self.stop_run(slot, task, now);
         }
     }
@@ -311,8 +311,8 @@
             // The pending long poll decides whether the worker is lost.
             return;
         }
-        worker.poll = PollPhase::DueAt(now + RETRY_GAP);
-        self.poll_queue.push(Reverse((now + RETRY_GAP, slot)));
+        worker.poll = PollPhase::DueAt(now + POLL_RETRY_DELAY);
+        self.poll_queue.push(Reverse((now + POLL_RETRY_DELAY, slot)));
         if worker.is_gone {
             return;
         }
@@ -361,7 +361,8 @@
 ///
 /// It grows when ends arrive faster than they are stored: polls that only report known ends must
 /// not take the processor time that storing them needs.
-fn ends_gap(workers_with_unstored_ends: usize) -> Duration {
-    let spread = Duration::from_secs_f64(workers_with_unstored_ends as f64 / REPEATED_POLLS_PER_S);
-    ENDS_GAP.max(spread)
+fn ends_poll_interval(workers_with_unstored_ends: usize) -> Duration {
+    let min_interval =
+        Duration::from_secs_f64(workers_with_unstored_ends as f64 / REPEATED_POLLS_PER_S);
+    ENDS_POLL_INTERVAL_MIN.max(min_interval)
 }
--- a/crates/jobs/src/scheduler/run_commands.rs
+++ b/crates/jobs/src/scheduler/run_commands.rs
@@ -13,11 +13,11 @@
 use crate::worker::RunPhase;
 
 /// How long a worker that was full or unhealthy gets no new tasks.
-const BLOCKED: Duration = Duration::from_millis(300);
+const BLOCK_DURATION: Duration = Duration::from_millis(300);
 /// Delay before a stop command that was not confirmed is sent again.
-const STOP_RETRY: Duration = Duration::from_millis(120);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(120);
 /// Added to a run number that a worker refused as outdated.
-const RUN_STEP: RunNumber = 8;
+const RUN_NUMBER_INCREMENT: RunNumber = 8;
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::orders";
 
@@ -39,12 +39,12 @@
         }
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.spec(task.step.step)?;
-        let saved = match spec.gang {
+        let saved_checkpoint = match spec.gang {
             true => job.task(TaskId { index: 0, ..task })?.checkpoint.clone(),
             false => job.task(task)?.checkpoint.clone(),
         };
         let payload = job.record.spec.payload.clone();
-        let checkpoint = saved.filter(|_| spec.checkpoints);
+        let checkpoint = saved_checkpoint.filter(|_| spec.checkpoints);
         let lease_until = self.workers[slot].extend_lease(lease_max, now)?;
         Some(StartRequest { token, task, run, payload, checkpoint, lease_until, ticket })
     }
@@ -80,9 +80,9 @@
                 ordered.confirmed = ordered.confirmed.or(Some(now));
                 self.mark_job_started(slot, task, now);
             }
-            CommandOutcome::Unknown => self.start_unanswered(slot, task, now),
-            CommandOutcome::NotSent => self.start_failed(slot, task, now),
-            CommandOutcome::Refused(refusal) => self.start_refused(slot, task, refusal, now),
+            CommandOutcome::Unknown => self.handle_unanswered_start(slot, task, now),
+            CommandOutcome::NotSent => self.cancel_start(slot, task, now),
+            CommandOutcome::Refused(refusal) => self.handle_refused_start(slot, task, refusal, now),
         }
     }
 
@@ -103,7 +103,7 @@
 
     /// Handles a start command without a response. The run may be active if this process was late
     /// to read the response, so a poll decides whether it is stopped.
-    fn start_unanswered(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
+    fn handle_unanswered_start(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let worker = &mut self.workers[slot];
         if let Some(run) = worker.runs.get_mut(&task).filter(|run| run.phase == RunPhase::Starting)
         {
@@ -112,7 +112,13 @@
         }
     }
 
-    fn start_refused(&mut self, slot: WorkerSlot, task: TaskId, refusal: Refusal, now: Moment) {
+    fn handle_refused_start(
+        &mut self,
+        slot: WorkerSlot,
+        task: TaskId,
+        refusal: Refusal,
+        now: Moment,
+    ) {
         if refusal == Refusal::OtherLife {
             self.retire_worker(slot, now);
             return;
@@ -123,18 +129,19 @@
         if refusal == Refusal::Outdated {
             let job = self.jobs.get_mut(&task.step.job);
             if let Some(entry) = job.and_then(|job| job.task_mut(task)) {
-                entry.last_run += RUN_STEP;
+                entry.last_run += RUN_NUMBER_INCREMENT;
             }
         }
         if matches!(refusal, Refusal::NoRoom | Refusal::Unhealthy | Refusal::Malformed) {
-            self.workers[slot].blocked_until = now + BLOCKED;
+            self.workers[slot].blocked_until = now + BLOCK_DURATION;
         }
-        self.start_failed(slot, task, now);
+        self.cancel_start(slot, task, now);
     }
 
-    fn start_failed(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
+    fn cancel_start(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         self.release_run(slot, task, now);
-        self.workers[slot].blocked_until = self.workers[slot].blocked_until.max(now + BLOCKED);
+        self.workers[slot].blocked_until =
+            self.workers[slot].blocked_until.max(now + BLOCK_DURATION);
     }
 
     /// Handles the outcome of a stop command.
@@ -161,7 +168,7 @@
     }
 
     /// Returns the stop commands that are due.
-    pub(super) fn due_stops(&mut self, now: Moment) -> Vec<super::Command> {
+    pub(super) fn due_stop_commands(&mut self, now: Moment) -> Vec<super::Command> {
         let mut commands = Vec::new();
         let workers = &mut self.workers;
         self.stopping.retain(|(slot, task)| {
@@ -172,8 +179,8 @@
             }
             // A confirmed stop is sent again only if its run continues far too long.
             *next_try = match confirmed {
-                Some(_) => now + STOP_RETRY * 20,
-                None => now + STOP_RETRY,
+                Some(_) => now + STOP_RETRY_INTERVAL * 20,
+                None => now + STOP_RETRY_INTERVAL,
             };
             commands.push(super::Command::Stop { worker: *slot, task: *task, run: run.number });
             true
--- a/crates/jobs/src/scheduler/run_ends.rs
+++ b/crates/jobs/src/scheduler/run_ends.rs
@@ -14,60 +14,63 @@
 use crate::worker::{Run, RunPhase};
 
 /// Number of recent run ends kept per worker, to distinguish a faulty worker from a faulty job.
-const RECENT_ENDS: usize = 8;
+const RECENT_ENDS_MAX: usize = 8;
 /// Delay before a failed task is retried.
-const FAILED_DELAY: Duration = Duration::from_millis(50);
+const FAILED_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::ends";
 
 impl Scheduler {
     /// Handles the end of a run.
-    pub(super) fn handle_run_end(&mut self, slot: WorkerSlot, row: &EndedRun, now: Moment) {
-        let known = self.workers[slot].runs.get(&row.task).is_some_and(|run| run.number == row.run);
-        if known {
-            self.note_duration(slot, row, now);
-            self.release_run(slot, row.task, now);
-        }
-        let Some(job) = self.jobs.get_mut(&row.task.step.job) else { return };
+    pub(super) fn handle_run_end(&mut self, slot: WorkerSlot, ended_run: &EndedRun, now: Moment) {
+        let is_known = self.workers[slot]
+            .runs
+            .get(&ended_run.task)
+            .is_some_and(|run| run.number == ended_run.run);
+        if is_known {
+            self.record_run_time(slot, ended_run, now);
+            self.release_run(slot, ended_run.task, now);
+        }
+        let Some(job) = self.jobs.get_mut(&ended_run.task.step.job) else { return };
         job.has_started = true;
-        if let Some(task) = job.task_mut(row.task) {
-            task.last_run = task.last_run.max(row.run);
-            if row.checkpoint.is_some() {
-                task.checkpoint = row.checkpoint.clone();
+        if let Some(task) = job.task_mut(ended_run.task) {
+            task.last_run = task.last_run.max(ended_run.run);
+            if ended_run.checkpoint.is_some() {
+                task.checkpoint = ended_run.checkpoint.clone();
             }
         }
-        match row.end {
-            RunEnd::Done => self.task_done(row.task, now),
-            RunEnd::Failed => self.task_failed(slot, row, now),
+        match ended_run.end {
+            RunEnd::Done => self.complete_task(ended_run.task, now),
+            RunEnd::Failed => self.fail_task(slot, ended_run, now),
             RunEnd::Stopped | RunEnd::Expired | RunEnd::Broken | RunEnd::Alone => {
                 emit!(
                     target: LOG_TARGET,
                     JobsEvent::RunEnded,
-                    task = row.task,
-                    run = row.run,
-                    end = format_args!("{:?}", row.end)
+                    task = ended_run.task,
+                    run = ended_run.run,
+                    end = format_args!("{:?}", ended_run.end)
                 );
             }
         }
-        if matches!(row.end, RunEnd::Done | RunEnd::Failed) {
+        if matches!(ended_run.end, RunEnd::Done | RunEnd::Failed) {
             let worker = &mut self.workers[slot];
-            worker.recent_ends.push((row.task.step.job, row.end == RunEnd::Failed));
-            let excess = worker.recent_ends.len().saturating_sub(RECENT_ENDS);
+            worker.recent_ends.push((ended_run.task.step.job, ended_run.end == RunEnd::Failed));
+            let excess = worker.recent_ends.len().saturating_sub(RECENT_ENDS_MAX);
             worker.recent_ends.drain(..excess);
         }
     }
 
-    fn note_duration(&mut self, slot: WorkerSlot, row: &EndedRun, now: Moment) {
-        let Some(run) = self.workers[slot].runs.get(&row.task) else { return };
-        let taken = now.saturating_sub(run.confirmed.unwrap_or(run.since));
-        let Some(spec) = self.spec(row.task.step) else { return };
-        if row.end == RunEnd::Done && !spec.long_running {
+    fn record_run_time(&mut self, slot: WorkerSlot, ended_run: &EndedRun, now: Moment) {
+        let Some(run) = self.workers[slot].runs.get(&ended_run.task) else { return };
+        let elapsed = now.saturating_sub(run.confirmed.unwrap_or(run.since));
+        let Some(spec) = self.spec(ended_run.task.step) else { return };
+        if ended_run.end == RunEnd::Done && !spec.long_running {
             let estimate = spec.estimate;
-            self.durations.record(estimate, taken);
+            self.run_time_ratio.record(estimate, elapsed);
         }
     }
 
-    fn task_done(&mut self, id: TaskId, now: Moment) {
+    fn complete_task(&mut self, id: TaskId, now: Moment) {
         let job_id = id.step.job;
         let Some(job) = self.jobs.get_mut(&job_id).filter(|job| job.is_live()) else { return };
         let Some(spec) = job.spec(id.step.step) else { return };
@@ -75,10 +78,10 @@
             self.mark_job_service_changed(job_id);
             return;
         }
-        let gang = spec.gang;
+        let is_gang = spec.gang;
         let Some(step) = job.step_mut(id.step) else { return };
         let members =
-            if gang { 0..step.tasks.len() } else { id.index as usize..id.index as usize + 1 };
+            if is_gang { 0..step.tasks.len() } else { id.index as usize..id.index as usize + 1 };
         let mut active_runs: Vec<(WorkerSlot, TaskId)> = Vec::new();
         for index in members {
             let Some(task) = step.tasks.get_mut(index).filter(|task| !task.is_done) else {
@@ -101,17 +104,17 @@
         }
     }
 
-    fn task_failed(&mut self, slot: WorkerSlot, row: &EndedRun, now: Moment) {
-        let id = row.task;
+    fn fail_task(&mut self, slot: WorkerSlot, ended_run: &EndedRun, now: Moment) {
+        let id = ended_run.task;
         let attempts_max = self.attempts_max(id.step.job);
         let Some(job) = self.jobs.get_mut(&id.step.job).filter(|job| job.is_live()) else { return };
         let Some(spec) = job.spec(id.step.step) else { return };
-        let (long_running, gang) = (spec.long_running, spec.gang);
+        let (long_running, is_gang) = (spec.long_running, spec.gang);
         // The failures of a gang are counted on its first member.
-        let counted = if gang { TaskId { index: 0, ..id } } else { id };
-        let Some(task) = job.task_mut(counted).filter(|task| !task.is_done) else { return };
-        if !task.failed_runs.contains(&row.run) {
-            task.failed_runs.push(row.run);
+        let counted_task = if is_gang { TaskId { index: 0, ..id } } else { id };
+        let Some(task) = job.task_mut(counted_task).filter(|task| !task.is_done) else { return };
+        if !task.failed_runs.contains(&ended_run.run) {
+            task.failed_runs.push(ended_run.run);
         }
         let failures = task.failed_runs.len();
         if long_running {
@@ -119,14 +122,14 @@
         }
         if let Some(task) = job.task_mut(id) {
             task.avoided_workers.push(slot);
-            task.earliest_start = now + FAILED_DELAY;
+            task.earliest_start = now + FAILED_RETRY_DELAY;
         }
         self.mark_unwritten(id.step.job);
         emit!(
             target: LOG_TARGET,
             JobsEvent::RunFailed,
             task = id,
-            run = row.run,
+            run = ended_run.run,
             worker = self.workers[slot].entry.id,
             failures = failures,
             attempts_max = attempts_max
@@ -163,7 +166,7 @@
         self.mark_worker_service_changed(slot);
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         if let Some(entry) = job.task_mut(task) {
-            entry.active_runs.retain(|copy| *copy != slot);
+            entry.active_runs.retain(|other| *other != slot);
             entry.last_ended = Some(now);
         }
         let is_ready = job.is_live() && job.step(task.step).is_some_and(|step| step.is_ready);
@@ -178,14 +181,14 @@
         self.release_runs_if(slot, now, |_| true);
     }
 
-    /// Removes the runs of a worker for which `is_lost` holds.
+    /// Removes the runs of a worker for which `is_released` holds.
     pub(super) fn release_runs_if(
         &mut self,
         slot: WorkerSlot,
         now: Moment,
-        is_lost: impl Fn(&Run) -> bool,
+        is_released: impl Fn(&Run) -> bool,
     ) {
-        let runs = self.workers[slot].runs.iter().filter(|(_, run)| is_lost(run));
+        let runs = self.workers[slot].runs.iter().filter(|(_, run)| is_released(run));
         let tasks: Vec<TaskId> = runs.map(|(task, _)| *task).collect();
         for task in tasks {
             self.mark_unwritten(task.step.job);
@@ -195,17 +198,17 @@
 
     pub(super) fn mark_job_service_changed(&mut self, job: JobId) {
         if let Some(job) = self.jobs.get(&job) {
-            self.changed.insert(job.record.service.clone());
+            self.changed_services.insert(job.record.service.clone());
         }
     }
 
     /// Adds a run's resources to the usage of its team, or subtracts them.
-    pub(super) fn adjust_team_usage(&mut self, job: JobId, amount: &Resources, is_more: bool) {
+    pub(super) fn adjust_team_usage(&mut self, job: JobId, amount: &Resources, is_added: bool) {
         let Some(team) = self.jobs.get(&job).and_then(|job| job.record.team.clone()) else {
             return;
         };
         let used = self.team_usage.entry(team).or_default();
-        *used = if is_more { used.plus(amount) } else { used.minus(amount) };
+        *used = if is_added { used.plus(amount) } else { used.minus(amount) };
     }
 
     /// Returns whether no task of a step has a run in any phase.
--- a/crates/jobs/src/scheduler/steps.rs
+++ b/crates/jobs/src/scheduler/steps.rs
@@ -56,7 +56,7 @@
     pub(super) fn mark_step_ready(&mut self, step: StepId) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         if job.step(step).is_some_and(|step| !step.is_done()) {
-            self.ready.insert(&job.record.service, step);
+            self.ready_steps.insert(&job.record.service, step);
             self.waiting_steps.insert(&job.record.service, step);
         }
     }
@@ -64,8 +64,8 @@
     /// Removes a step whose tasks are all done.
     pub(super) fn mark_step_done(&mut self, step: StepId) {
         let Some(job) = self.jobs.get(&step.job) else { return };
-        self.ready.remove(&job.record.service, step);
+        self.ready_steps.remove(&job.record.service, step);
         self.waiting_steps.remove(&job.record.service, step);
-        self.tickets.remove(&step);
+        self.step_tickets.remove(&step);
     }
 }
--- a/crates/jobs/src/scheduler/throttle.rs
+++ b/crates/jobs/src/scheduler/throttle.rs
@@ -34,7 +34,7 @@
 
     fn throttle_worker(&mut self, slot: WorkerSlot, commands: &mut Vec<Command>) {
         let mut load = 0.0_f64;
-        let mut fillers: Vec<TaskId> = Vec::new();
+        let mut opportunistic_tasks: Vec<TaskId> = Vec::new();
         for (task, run) in &self.workers[slot].runs {
             let Some(spec) = self.spec(task.step) else { continue };
             if run.phase != RunPhase::Running {
@@ -45,10 +45,10 @@
                 load = load.max(f64::from(run.load_metric) / target_ms.max(1.0));
             }
             if spec.opportunistic {
-                fillers.push(*task);
+                opportunistic_tasks.push(*task);
             }
         }
-        for task in fillers {
+        for task in opportunistic_tasks {
             let worker = &mut self.workers[slot];
             let Some(run) = worker.runs.get_mut(&task) else { continue };
             let percent = next_speed_percent(run.speed_percent, load);
@@ -56,7 +56,7 @@
                 continue;
             }
             run.speed_percent = percent;
-            let number = run.number;
+            let run_number = run.number;
             emit!(
                 target: LOG_TARGET,
                 JobsEvent::PaceChanged,
@@ -65,7 +65,7 @@
                 load = format_args!("{load:.2}"),
                 percent = percent
             );
-            commands.push(Command::Throttle { worker: slot, task, run: number, percent });
+            commands.push(Command::Throttle { worker: slot, task, run: run_number, percent });
         }
     }
 }
--- a/crates/jobs/src/scheduler/workers.rs
+++ b/crates/jobs/src/scheduler/workers.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndedIncarnation {
     /// When the end was detected.
-    at: Moment,
+    ended_at: Moment,
     /// Unix time at which the incarnation started.
     started_unix: Option<Duration>,
 }
@@ -59,7 +59,7 @@
     /// Requests the write that records a worker; it gets no tasks before that.
     fn mark_unrecorded(&mut self, slot: WorkerSlot) {
         self.stale_shards.insert(self.workers[slot].shard);
-        self.raise_urgency(WriteUrgency::High);
+        self.raise_write_urgency(WriteUrgency::High);
     }
 
     /// Replaces the list of workers.
@@ -67,7 +67,7 @@
         let listed: HashSet<WorkerId> = entries.iter().map(|entry| entry.id.clone()).collect();
         self.ended_incarnations.retain(|id, _| listed.contains(id));
         for entry in entries {
-            self.note_entry(entry, now);
+            self.update_worker(entry, now);
         }
         for slot in 0..self.workers.len() {
             let worker = &mut self.workers[slot];
@@ -79,7 +79,7 @@
         }
     }
 
-    fn note_entry(&mut self, entry: WorkerEntry, now: Moment) {
+    fn update_worker(&mut self, entry: WorkerEntry, now: Moment) {
         let Some(slot) = self.current_slots.get(&entry.id).copied() else {
             if self.is_ended_incarnation(&entry) {
                 return;
@@ -91,36 +91,36 @@
             return;
         };
         let worker = &mut self.workers[slot];
-        let same_place = worker.entry.address == entry.address
+        let is_same_place = worker.entry.address == entry.address
             && (worker.entry.service == entry.service || !worker.is_listed);
-        if worker.is_gone || !same_place {
+        if worker.is_gone || !is_same_place {
             self.retire_worker(slot, now);
             let slot = self.add_worker(entry, now);
             self.mark_unrecorded(slot);
             return;
         }
-        let born = worker.entry.started_unix;
+        let started_unix = worker.entry.started_unix;
         // A list entry may be older than the last poll.
-        if born.is_some() && entry.started_unix > born {
+        if started_unix.is_some() && entry.started_unix > started_unix {
             self.start_incarnation(slot, entry.started_unix, now);
-            self.await_first_look(slot, now);
+            self.await_first_poll(slot, now);
         }
         let worker = &mut self.workers[slot];
-        let born = worker.entry.started_unix;
+        let started_unix = worker.entry.started_unix;
         let changed = !worker.is_listed || worker.entry != entry;
-        let drains = entry.is_draining && !worker.entry.is_draining;
+        let starts_draining = entry.is_draining && !worker.entry.is_draining;
         worker.is_listed = true;
-        let former = std::mem::replace(
+        let previous = std::mem::replace(
             &mut worker.entry,
-            WorkerEntry { started_unix: born.or(entry.started_unix), ..entry },
+            WorkerEntry { started_unix: started_unix.or(entry.started_unix), ..entry },
         );
-        if former.service != worker.entry.service {
+        if previous.service != worker.entry.service {
             let service = worker.entry.service.clone();
-            self.leave_service(&former.service, slot);
+            self.remove_from_service(&previous.service, slot);
             self.slots_by_service.entry(service).or_default().push(slot);
         }
         let worker = &self.workers[slot];
-        if drains {
+        if starts_draining {
             emit!(JobsEvent::WorkerDraining, worker = worker.entry.id, runs = worker.runs.len());
         }
         if changed {
@@ -132,7 +132,7 @@
     fn is_ended_incarnation(&self, entry: &WorkerEntry) -> bool {
         let Some(ended) = self.ended_incarnations.get(&entry.id) else { return false };
         // A list of machines that was requested later may show that the worker is up.
-        let is_seen_up = self.machines_listed.is_some_and(|at| at > ended.at)
+        let is_seen_up = self.machines_listed_at.is_some_and(|at| at > ended.ended_at)
             && self.machines.has_running_worker(&entry.id);
         !is_seen_up && entry.started_unix == ended.started_unix
     }
@@ -148,13 +148,13 @@
         self.stale_shards.insert(worker.shard);
         let id = worker.entry.id.clone();
         self.retired_addresses.push(worker.address.clone());
-        let ended = EndedIncarnation { at: now, started_unix: worker.entry.started_unix };
+        let ended = EndedIncarnation { ended_at: now, started_unix: worker.entry.started_unix };
         self.ended_incarnations.insert(id.clone(), ended);
         let worker = &self.workers[slot];
         emit!(JobsEvent::WorkerLost, worker = id, runs = worker.runs.len());
         self.release_all_runs(slot, now);
         let service = self.workers[slot].entry.service.clone();
-        self.leave_service(&service, slot);
+        self.remove_from_service(&service, slot);
         if self.current_slots.get(&id) == Some(&slot) {
             self.current_slots.remove(&id);
         }
@@ -167,23 +167,23 @@
     pub(super) fn start_incarnation(
         &mut self,
         slot: WorkerSlot,
-        born: Option<Duration>,
+        started_unix: Option<Duration>,
         now: Moment,
     ) {
         let worker = &self.workers[slot];
         emit!(JobsEvent::WorkerReborn, worker = worker.entry.id);
-        let last_seen = worker.poll_sent;
-        self.release_runs_if(slot, now, |run| run.since <= last_seen);
-        let lease = self.lease_max();
+        let last_poll_sent = worker.poll_sent;
+        self.release_runs_if(slot, now, |run| run.since <= last_poll_sent);
+        let lease = self.lease_max_with_skew();
         let worker = &mut self.workers[slot];
-        worker.start_incarnation(born, now);
+        worker.start_incarnation(started_unix, now);
         if !worker.runs.is_empty() {
             worker.lease_expires = now + lease;
         }
     }
 
     /// Withholds new tasks from a worker until a poll has confirmed its new incarnation.
-    fn await_first_look(&mut self, slot: WorkerSlot, now: Moment) {
+    fn await_first_poll(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &mut self.workers[slot];
         worker.is_confirmed = false;
         worker.was_confirmed = false;
@@ -191,7 +191,7 @@
         self.poll_queue.push(Reverse((now, slot)));
     }
 
-    fn leave_service(&mut self, service: &str, slot: WorkerSlot) {
+    fn remove_from_service(&mut self, service: &str, slot: WorkerSlot) {
         if let Some(slots) = self.slots_by_service.get_mut(service) {
             slots.retain(|other| *other != slot);
         }
--- a/crates/jobs/src/scheduler/write_batch.rs
+++ b/crates/jobs/src/scheduler/write_batch.rs
@@ -21,7 +21,7 @@
 /// Entries of a write beside its two conditions and the sequence key: the store accepts 32.
 const ENTRIES_MAX: usize = 29;
 /// Number of waiting job states from which on a write is urgent.
-const STATES_MANY: usize = 16;
+const URGENT_STATES_MIN: usize = 16;
 /// Maximum number of worker shards in one write.
 const SHARDS_MAX: usize = 12;
 /// Lists in one write: of waves, of commanded machines and of waiting jobs.
@@ -29,11 +29,11 @@
 /// Maximum number of wave statuses in one write.
 const WAVES_MAX: usize = 3;
 /// Maximum number of ended jobs that one write of the first chain deletes.
-const REMOVALS_MAX: usize = 1;
+const DELETED_JOBS_MAX: usize = 1;
 /// Maximum number of ended jobs whose deletion counts as waiting.
-const REMOVALS_COUNTED_MAX: usize = 200;
+const DELETIONS_COUNTED_MAX: usize = 200;
 /// Entries that delete an ended job: the job, its cancel and its state.
-const REMOVAL_ENTRIES: usize = 3;
+const DELETION_ENTRIES: usize = 3;
 /// Minimum time between two writes of the number of waiting jobs.
 const WAITING_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after which the number of waiting jobs is written again even if unchanged, so that readers
@@ -42,7 +42,7 @@
 
 /// States in one write that are chosen by the age of their run ends, so that every end is
 /// acknowledged eventually.
-const OLDEST_STATES: usize = 6;
+const OLDEST_STATES_MAX: usize = 6;
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::flush";
 
@@ -69,8 +69,8 @@
     pub deletions: Vec<Arc<str>>,
     /// Waves whose status is to be stored, and whether they are complete.
     pub waves: Vec<(WaveNumber, bool)>,
-    recorded: Vec<WorkerSlot>,
-    removed: Vec<JobId>,
+    recorded_workers: Vec<WorkerSlot>,
+    deleted_jobs: Vec<JobId>,
     states: Vec<JobId>,
     commanded_machines: CommandedMachinesRecord,
 }
@@ -85,7 +85,7 @@
 impl Scheduler {
     /// Returns how soon the next write should start.
     pub fn write_urgency(&self) -> WriteUrgency {
-        match self.machine_leases.is_write_wanted() || self.states_waiting() >= STATES_MANY {
+        match self.machine_leases.needs_write() || self.states_waiting() >= URGENT_STATES_MIN {
             true => WriteUrgency::High,
             false => self.write_urgency,
         }
@@ -96,7 +96,7 @@
         self.unwritten_states.keys().filter(|id| !self.in_flight_writes.contains(**id)).count()
     }
 
-    pub(super) fn raise_urgency(&mut self, urgency: WriteUrgency) {
+    pub(super) fn raise_write_urgency(&mut self, urgency: WriteUrgency) {
         self.write_urgency = self.write_urgency.max(urgency);
     }
 
@@ -106,16 +106,16 @@
     }
 
     fn next_write_chain(&self, now: Moment) -> Option<ChainNumber> {
-        self.in_flight_writes.next_write_chain(|| self.states_waiting() + self.removals_due(now))
+        self.in_flight_writes.next_write_chain(|| self.states_waiting() + self.deletions_due(now))
     }
 
     /// Returns the number of ended jobs that are due for deletion, up to the counted maximum.
-    fn removals_due(&self, now: Moment) -> usize {
-        let due = self.ended.iter().take_while(|(_, since)| self.is_removal_due(*since, now));
-        due.take(REMOVALS_COUNTED_MAX).count()
+    fn deletions_due(&self, now: Moment) -> usize {
+        let due = self.ended_jobs.iter().take_while(|(_, since)| self.is_deletion_due(*since, now));
+        due.take(DELETIONS_COUNTED_MAX).count()
     }
 
-    fn is_removal_due(&self, ended: Moment, now: Moment) -> bool {
+    fn is_deletion_due(&self, ended: Moment, now: Moment) -> bool {
         now.saturating_sub(ended) > self.settings.status_retention
     }
 
@@ -130,52 +130,52 @@
             _ => {
                 self.collect_states(ENTRIES_MAX, &mut batch);
                 let left = ENTRIES_MAX - batch.puts.len();
-                self.collect_removals(left / REMOVAL_ENTRIES, now, &mut batch);
+                self.collect_deletions(left / DELETION_ENTRIES, now, &mut batch);
             }
         }
-        let writes =
+        let has_entries =
             !batch.puts.is_empty() || !batch.deletions.is_empty() || !batch.waves.is_empty();
-        if !writes {
+        if !has_entries {
             // Run ends that changed no job can be acknowledged immediately.
             self.mark_ends_stored(now);
             return None;
         }
-        self.in_flight_writes.begin(chain);
+        self.in_flight_writes.start(chain);
         Some(batch)
     }
 
     fn collect_all(&mut self, now: Moment, batch: &mut WriteBatch) {
         self.write_urgency = WriteUrgency::Low;
         self.collect_workers(batch);
-        let others = LISTS_MAX + WAVES_MAX + REMOVALS_MAX * REMOVAL_ENTRIES;
+        let others = LISTS_MAX + WAVES_MAX + DELETED_JOBS_MAX * DELETION_ENTRIES;
         self.collect_states(ENTRIES_MAX - others - batch.puts.len(), batch);
         self.collect_waves(batch);
         self.collect_commanded_machines(now, batch);
         self.collect_waiting(now, batch);
-        self.collect_removals(REMOVALS_MAX, now, batch);
+        self.collect_deletions(DELETED_JOBS_MAX, now, batch);
         batch.waves = self.wave_statuses();
         batch.waves.truncate(WAVES_MAX);
     }
 
     /// Marks the run ends whose effects are stored, so that they are acknowledged.
     fn mark_ends_stored(&mut self, now: Moment) {
-        let unwritten_states = self.unwritten_states.values().min().copied();
-        let open_since =
-            unwritten_states.into_iter().chain(self.in_flight_writes.first_end()).min();
-        let open_since = open_since.unwrap_or(u64::MAX);
-        let mut settled = Vec::new();
+        let first_unwritten = self.unwritten_states.values().min().copied();
+        let first_unstored =
+            first_unwritten.into_iter().chain(self.in_flight_writes.first_end()).min();
+        let first_unstored = first_unstored.unwrap_or(u64::MAX);
+        let mut fully_stored = Vec::new();
         self.workers_with_unstored_ends = 0;
         for slot in self.current_slots.values().copied() {
             let worker = &mut self.workers[slot];
-            let had_open = !worker.ends_unstored.is_empty();
-            worker.mark_ends_stored(open_since);
+            let had_unstored = !worker.ends_unstored.is_empty();
+            worker.mark_ends_stored(first_unstored);
             match worker.ends_unstored.is_empty() {
-                true if had_open => settled.push(slot),
+                true if had_unstored => fully_stored.push(slot),
                 true => {}
                 false => self.workers_with_unstored_ends += 1,
             }
         }
-        for slot in settled {
+        for slot in fully_stored {
             self.schedule_ack_poll(slot, now);
         }
     }
@@ -187,9 +187,9 @@
     fn next_unwritten(&self, count_max: usize) -> (Vec<JobId>, WriteUrgency) {
         let waiting =
             self.unwritten_states.iter().filter(|(id, _)| !self.in_flight_writes.contains(**id));
-        let mut ids: Vec<(u64, JobId)> = waiting.map(|(id, behind)| (*behind, *id)).collect();
+        let mut ids: Vec<(u64, JobId)> = waiting.map(|(id, first_end)| (*first_end, *id)).collect();
         ids.sort_unstable();
-        let rest = ids.split_off(ids.len().min(OLDEST_STATES));
+        let rest = ids.split_off(ids.len().min(OLDEST_STATES_MAX));
         let mut rest: Vec<(WriteUrgency, JobId)> =
             rest.into_iter().map(|(_, id)| (self.state_urgency(id), id)).collect();
         rest.sort_by_key(|(urgency, _)| Reverse(*urgency));
@@ -210,7 +210,7 @@
 
     fn collect_states(&mut self, count_max: usize, batch: &mut WriteBatch) {
         let (ids, left) = self.next_unwritten(count_max);
-        self.raise_urgency(left);
+        self.raise_write_urgency(left);
         for id in ids {
             let first_end = self.unwritten_states.remove(&id).unwrap_or_default();
             let Some(job) = self.jobs.get(&id) else { continue };
@@ -220,7 +220,7 @@
                     batch.states.push(id);
                     self.in_flight_writes.add(id, first_end);
                 }
-                Err(error) => report(id, &error),
+                Err(error) => log_encode_error(id, &error),
             }
         }
     }
@@ -232,15 +232,15 @@
         for shard in shards {
             self.stale_shards.remove(&shard);
             let members = self.shard_members(shard);
-            let named = members.iter().map(|slot| WorkerRecord::from(&self.workers[*slot].entry));
-            match encode_workers(&named.collect::<Vec<_>>()) {
+            let records = members.iter().map(|slot| WorkerRecord::from(&self.workers[*slot].entry));
+            match encode_workers(&records.collect::<Vec<_>>()) {
                 Ok(bytes) => batch.puts.push((workers_key(shard), bytes)),
-                Err(error) => return report(0, &error),
+                Err(error) => return log_encode_error(0, &error),
             }
-            batch.recorded.extend(members);
+            batch.recorded_workers.extend(members);
         }
         if !self.stale_shards.is_empty() {
-            self.raise_urgency(WriteUrgency::High);
+            self.raise_write_urgency(WriteUrgency::High);
         }
     }
 
@@ -251,7 +251,7 @@
         }
         match serde_json::to_vec(&waves) {
             Ok(bytes) => batch.puts.push((WAVES_KEY.into(), bytes)),
-            Err(error) => return report(0, &error.into()),
+            Err(error) => return log_encode_error(0, &error.into()),
         }
         self.waves_written = waves;
     }
@@ -260,13 +260,13 @@
         let Some(commanded_machines) = self.machine_leases.take_record(now) else { return };
         match serde_json::to_vec(&commanded_machines) {
             Ok(bytes) => batch.puts.push((COMMANDED_MACHINES_KEY.into(), bytes)),
-            Err(error) => return report(0, &error.into()),
+            Err(error) => return log_encode_error(0, &error.into()),
         }
         batch.commanded_machines = commanded_machines;
     }
 
     fn collect_waiting(&mut self, now: Moment, batch: &mut WriteBatch) {
-        let last = self.waiting_written.as_ref();
+        let last = self.last_waiting_record.as_ref();
         if last.is_some_and(|(at, _)| now.saturating_sub(*at) < WAITING_INTERVAL) {
             return;
         }
@@ -277,14 +277,14 @@
         }
         match serde_json::to_vec(&waiting) {
             Ok(bytes) => batch.puts.push((WAITING_KEY.into(), bytes)),
-            Err(error) => return report(0, &error.into()),
+            Err(error) => return log_encode_error(0, &error.into()),
         }
-        self.waiting_written = Some((now, waiting));
+        self.last_waiting_record = Some((now, waiting));
     }
 
     /// Counts the accepted jobs of which no task has started, by queue.
     fn waiting(&self) -> WaitingRecord {
-        let counted_unix_ms = u64::try_from(self.unix.as_millis()).unwrap_or(u64::MAX);
+        let counted_unix_ms = u64::try_from(self.last_plan_unix.as_millis()).unwrap_or(u64::MAX);
         let mut waiting = WaitingRecord { counted_unix_ms, ..WaitingRecord::default() };
         let jobs = self.jobs.values().filter(|job| job.is_live() && !job.has_started);
         for job in jobs {
@@ -293,35 +293,35 @@
         waiting
     }
 
-    fn collect_removals(&mut self, count_max: usize, now: Moment, batch: &mut WriteBatch) {
-        while batch.removed.len() < count_max
-            && let Some((id, since)) = self.ended.front().copied()
-            && self.is_removal_due(since, now)
+    fn collect_deletions(&mut self, count_max: usize, now: Moment, batch: &mut WriteBatch) {
+        while batch.deleted_jobs.len() < count_max
+            && let Some((id, since)) = self.ended_jobs.front().copied()
+            && self.is_deletion_due(since, now)
             && !self.unwritten_states.contains_key(&id)
             && !self.in_flight_writes.contains(id)
         {
-            self.ended.pop_front();
+            self.ended_jobs.pop_front();
             batch.deletions.extend([job_key(id), cancel_key(id), state_key(id)]);
-            batch.removed.push(id);
+            batch.deleted_jobs.push(id);
         }
     }
 
     /// Applies the effects of a committed write.
     pub fn handle_write_committed(&mut self, batch: &WriteBatch, now: Moment) {
-        self.in_flight_writes.end(batch.chain);
-        for slot in &batch.recorded {
+        self.in_flight_writes.finish(batch.chain);
+        for slot in &batch.recorded_workers {
             self.workers[*slot].is_recorded = true;
             self.mark_worker_service_changed(*slot);
         }
-        for id in &batch.removed {
+        for id in &batch.deleted_jobs {
             self.jobs.remove(id);
         }
         for id in &batch.states {
             self.in_flight_writes.remove(*id);
             self.mark_start_stored(*id);
         }
-        self.machine_leases.note_stored(&batch.commanded_machines);
-        self.note_wave_statuses(&batch.waves);
+        self.machine_leases.mark_stored(&batch.commanded_machines);
+        self.mark_wave_statuses_stored(&batch.waves);
         self.mark_ends_stored(now);
     }
 
@@ -329,7 +329,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state != JobState::Queued && !job.is_start_stored {
             job.is_start_stored = true;
-            self.changed.insert(job.record.service.clone());
+            self.changed_services.insert(job.record.service.clone());
         }
     }
 
@@ -343,7 +343,7 @@
     Ok(serde_json::to_vec(known)?)
 }
 
-fn report(id: JobId, error: &RecordError) {
+fn log_encode_error(id: JobId, error: &RecordError) {
     emit!(
         target: LOG_TARGET,
         JobsEvent::RecordNotEncoded,
