--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -198,6 +198,7 @@
     step_tickets: HashMap<StepId, StepTickets>,
     open_queries: usize,
     machines: MachineList,
+    /// When the current list of machines was requested.
     machines_listed_at: Option<Moment>,
     is_machine_list_requested: bool,
     waves_written: WavesRecord,
@@ -221,7 +222,9 @@
     /// Leaky bucket of each team: its level rises by one with each job and drains at the team's
     /// weight per second.
     team_buckets: HashMap<TeamId, (f64, Moment)>,
+    /// Last written count of waiting jobs, and when it was written.
     last_waiting_record: Option<(Moment, WaitingRecord)>,
+    /// Last planning pass over all services.
     last_full_plan: Moment,
     /// Unix time of the last planning pass.
     last_plan_unix: Duration,
--- a/crates/jobs/src/scheduler/balance.rs
+++ b/crates/jobs/src/scheduler/balance.rs
@@ -46,7 +46,7 @@
         self.remove_finished_moves(now);
         let pools = self.pools(now);
         let moves = choose_moves(&pools, self.moves_max());
-        self.surplus_machines = surplus(&pools);
+        self.surplus_machines = count_surplus(&pools);
         if !moves.is_empty() {
             log_pools(&pools, moves.len());
         }
@@ -195,13 +195,13 @@
 
     /// Returns the number of workers that the per-worker task limits of a service's steps require.
     fn min_workers_for_spread(&self, service: &ServiceId) -> usize {
-        let each = self.ready_steps.of(service).filter_map(|id| {
+        let workers_per_step = self.ready_steps.of(service).filter_map(|id| {
             let spec = self.spec(id)?;
             let step = self.jobs.get(&id.job)?.step(id)?;
             let open = spec.tasks.saturating_sub(step.done);
             Some(open.div_ceil(spec.per_worker_max?) as usize)
         });
-        each.max().unwrap_or(0)
+        workers_per_step.max().unwrap_or(0)
     }
 }
 
@@ -213,22 +213,22 @@
     load.running += f64::from(running_milli) / 1_000.0;
 }
 
-/// Returns the number of surplus machines of each service: 0 while any service needs more machines.
-fn surplus(pools: &BTreeMap<ServiceId, Pool>) -> HashMap<ServiceId, usize> {
+/// Returns the number of surplus machines of workers_per_step service: 0 while any service needs more machines.
+fn count_surplus(pools: &BTreeMap<ServiceId, Pool>) -> HashMap<ServiceId, usize> {
     let is_any_short = pools.values().any(|pool| !pool.is_spare && pool.machines < pool.needed);
-    let each = pools.iter().map(|(service, pool)| {
+    let counts = pools.iter().map(|(service, pool)| {
         let excess = if is_any_short { 0 } else { pool.machines.saturating_sub(pool.needed) };
         (service.clone(), excess)
     });
-    each.collect()
+    counts.collect()
 }
 
-/// Logs the machines that each service has and needs.
+/// Logs the machines that counts service has and needs.
 fn log_pools(pools: &BTreeMap<ServiceId, Pool>, moves: usize) {
-    let each = pools.iter().map(|(service, pool)| {
+    let descriptions = pools.iter().map(|(service, pool)| {
         let Pool { machines, needed, idle, load, .. } = pool;
         format!("{service}={machines}/{needed} idle {} ({load})", idle.len())
     });
-    let pools = each.collect::<Vec<_>>().join(", ");
+    let pools = descriptions.collect::<Vec<_>>().join(", ");
     emit!(JobsEvent::PoolsBalanced, moves = moves, pools = pools);
 }
--- a/crates/jobs/src/scheduler/budget.rs
+++ b/crates/jobs/src/scheduler/budget.rs
@@ -39,12 +39,13 @@
             })
     }
 
-    /// Moves long-running tasks off workers whose machines are to be maintained, to workers that
-    /// are not, as fast as the budgets of their steps allow. Of those in `draining`, tasks may go to
-    /// any worker if several of their step run together.
+    /// Stops long-running tasks on workers whose machines are to be maintained, as fast as the
+    /// budgets of their steps allow, so that they restart on workers whose machines are not. A task
+    /// on one of `draining` may also restart on a worker that is due for maintenance if several
+    /// tasks of its step run together.
     ///
-    /// Answers the load pattern of a wave over machines that host tasks of several steps: a machine
-    /// that waits until all of them can spare a task at the same moment waits longest, and goes last.
+    /// Without it, a machine that hosts tasks of several steps would wait until the budgets of all
+    /// these steps allow an interruption at the same moment, and would be maintained last.
     pub(super) fn evict_long_running(
         &mut self,
         slots: &[WorkerSlot],
--- a/crates/jobs/src/scheduler/gang.rs
+++ b/crates/jobs/src/scheduler/gang.rs
@@ -12,8 +12,8 @@
 use crate::spec::{StepId, StepSpec, TaskId};
 
 impl Scheduler {
-    /// Starts all members of a gang or none; returns their demand if the gang did not fit.
-    #[expect(clippy::too_many_arguments, reason = "one call from one place")]
+    /// Starts all members of a gang or none; returns their requirements if the gang did not fit.
+    #[expect(clippy::too_many_arguments, reason = "called from one place only")]
     pub(super) fn place_gang(
         &mut self,
         id: StepId,
--- a/crates/jobs/src/scheduler/in_flight_writes.rs
+++ b/crates/jobs/src/scheduler/in_flight_writes.rs
@@ -25,8 +25,8 @@
     /// longer, as with a backlog and a slow store or a busy owner.
     pub(super) fn next_write_chain(&self, waiting: impl FnOnce() -> usize) -> Option<ChainNumber> {
         let idle = self.busy.iter().position(|busy| !busy)?;
-        let writes = self.busy.iter().filter(|busy| **busy).count();
-        (idle == FIRST_WRITE_CHAIN || waiting() >= writes * WAITING_PER_WRITE).then_some(idle)
+        let busy_count = self.busy.iter().filter(|busy| **busy).count();
+        (idle == FIRST_WRITE_CHAIN || waiting() >= busy_count * WAITING_PER_WRITE).then_some(idle)
     }
 
     /// Marks a chain as busy with a write.
--- a/crates/jobs/src/scheduler/job_lifecycle.rs
+++ b/crates/jobs/src/scheduler/job_lifecycle.rs
@@ -32,7 +32,7 @@
             return;
         }
         let mut job = Job::new(id, record, accepted_revision, stored, now);
-        job.exceeds_share = self.exceeds_share(&job, now);
+        job.exceeds_share = self.count_submission(&job, now);
         if !job.is_live() {
             self.jobs.insert(id, job);
             self.ended_jobs.push_back((id, now));
@@ -62,7 +62,7 @@
     }
 
     /// Adds one job to the team's bucket and returns whether the team exceeds its weight.
-    fn exceeds_share(&mut self, job: &Job, now: Moment) -> bool {
+    fn count_submission(&mut self, job: &Job, now: Moment) -> bool {
         let Some(team) = job.record.team.clone() else { return false };
         let Some(weight) = self.config.teams.get(&team).map(|team| team.weight) else {
             return false;
@@ -70,10 +70,10 @@
         if weight <= 0.0 {
             return false;
         }
-        let (level, at) = self.team_buckets.entry(team).or_insert((0.0, now));
-        let drained = weight * now.saturating_sub(*at).as_secs_f64();
+        let (level, updated_at) = self.team_buckets.entry(team).or_insert((0.0, now));
+        let drained = weight * now.saturating_sub(*updated_at).as_secs_f64();
         *level = (*level - drained).max(0.0) + 1.0;
-        *at = now;
+        *updated_at = now;
         *level > (weight * WEIGHT_BURST_S).max(1.0)
     }
 
--- a/crates/jobs/src/scheduler/machine_leases.rs
+++ b/crates/jobs/src/scheduler/machine_leases.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(super) struct MachineLeases {
     instance: Arc<str>,
-    lease: Duration,
+    lease_duration: Duration,
     leases: HashMap<InstanceId, MachineLease>,
     /// Record that is stored or in flight.
     last_record: CommandedMachinesRecord,
@@ -38,20 +38,20 @@
     /// Creates the leases that previous owners may have held at `now`.
     pub(super) fn new(
         instance: Arc<str>,
-        lease: Duration,
+        lease_duration: Duration,
         stored: CommandedMachinesRecord,
         now: Moment,
     ) -> Self {
         let inherit = |(machine, instance): (&InstanceId, &Arc<str>)| {
             let lease = MachineLease {
                 instance: Arc::clone(instance),
-                until: now + lease,
+                until: now + lease_duration,
                 is_stored: true,
             };
             (machine.clone(), lease)
         };
         let leases = stored.iter().map(inherit).collect();
-        Self { instance, lease, leases, last_record: stored }
+        Self { instance, lease_duration, leases, last_record: stored }
     }
 
     /// Returns whether another instance may have sent a command to a machine within the last lease.
@@ -66,7 +66,7 @@
         if self.is_leased_to_other(machine, now) {
             return false;
         }
-        let until = now + self.lease;
+        let until = now + self.lease_duration;
         let instance = &self.instance;
         let new_lease = || MachineLease { instance: Arc::clone(instance), until, is_stored: false };
         let lease = self.leases.entry(machine.clone()).or_insert_with(new_lease);
@@ -80,7 +80,7 @@
     /// Extends the lease for a command that may be executed as late as `until`.
     pub(super) fn extend(&mut self, machine: &str, until: Moment) {
         if let Some(lease) = self.leases.get_mut(machine) {
-            lease.until = lease.until.max(until + self.lease);
+            lease.until = lease.until.max(until + self.lease_duration);
         }
     }
 
--- a/crates/jobs/src/scheduler/maintenance.rs
+++ b/crates/jobs/src/scheduler/maintenance.rs
@@ -64,7 +64,7 @@
 /// The last command to a machine.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SentCommand {
-    at: Moment,
+    sent_at: Moment,
     /// Whether it may still be executed.
     is_pending: bool,
 }
@@ -289,8 +289,8 @@
         let mut draining: BTreeSet<InstanceId> = BTreeSet::new();
         for (machine, slot) in remaining {
             let since = progress.draining.get(&machine.id).copied();
-            let waited = since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
-            let wait_for_short_tasks = !is_late && waited < DRAINING_MAX;
+            let drained_for = since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
+            let wait_for_short_tasks = !is_late && drained_for < DRAINING_MAX;
             let can_go_down =
                 slot.is_none_or(|slot| self.can_take_down(slot, wait_for_short_tasks, now));
             let is_pending = self.is_command_pending(&machine.id);
@@ -412,11 +412,14 @@
         if let Some(slot) = self.worker_on_machine(&machine) {
             self.workers[slot].is_cordoned = true;
         }
-        let last = self.machine_commands.get(&machine);
-        if last.is_some_and(|last| now.saturating_sub(last.at) < COMMAND_RETRY_INTERVAL) {
+        let last_command = self.machine_commands.get(&machine);
+        if last_command
+            .is_some_and(|sent| now.saturating_sub(sent.sent_at) < COMMAND_RETRY_INTERVAL)
+        {
             return;
         }
-        self.machine_commands.insert(machine.clone(), SentCommand { at: now, is_pending: true });
+        self.machine_commands
+            .insert(machine.clone(), SentCommand { sent_at: now, is_pending: true });
         commands.push(Command::Machine(MachineCommand::Maintain { machine, wave: number }));
     }
 
--- a/crates/jobs/src/scheduler/plan.rs
+++ b/crates/jobs/src/scheduler/plan.rs
@@ -102,27 +102,27 @@
         }
         sort(&mut eligible_steps, now);
         let mut candidates = self.candidates(service, now);
-        let mut reserved = 0;
+        let mut reserved_count = 0;
         let mut unplaced = UnplaceableRequirements::default();
         for waiting_step in &eligible_steps {
             if candidates.is_empty() {
                 break;
             }
             let waited = now.saturating_sub(waiting_step.ready_since);
-            let may_reserve = reserved < RESERVATIONS_MAX
+            let may_reserve = reserved_count < RESERVATIONS_MAX
                 && (waiting_step.long_running || waited >= RESERVE_AFTER);
-            let plain = self.simple_requirements(waiting_step.step);
-            if !may_reserve && plain.is_some_and(|plain| unplaced.covers(&plain)) {
+            let simple = self.simple_requirements(waiting_step.step);
+            if !may_reserve && simple.is_some_and(|simple| unplaced.covers(&simple)) {
                 continue;
             }
-            let open = self.place_step(waiting_step.step, &mut candidates, now, commands);
-            let Some(requirements) = open else { continue };
-            if plain.is_some() {
+            let unmet = self.place_step(waiting_step.step, &mut candidates, now, commands);
+            let Some(requirements) = unmet else { continue };
+            if simple.is_some() {
                 unplaced.record(&requirements);
             }
             if may_reserve {
                 let reserved_slot = choose_reservation(&requirements, &candidates);
-                reserved += usize::from(reserved_slot.is_some());
+                reserved_count += usize::from(reserved_slot.is_some());
                 candidates.retain(|candidate| Some(candidate.slot) != reserved_slot);
             }
         }
@@ -233,7 +233,7 @@
         self.jobs.get(&step.job).and_then(|job| job.spec(step.step))
     }
 
-    /// Starts as many tasks of a step as fit; returns the demand of a task if some did not fit.
+    /// Starts as many tasks of a step as fit; returns the requirements of a task if some did not fit.
     fn place_step(
         &mut self,
         id: StepId,
--- a/crates/jobs/src/scheduler/polls.rs
+++ b/crates/jobs/src/scheduler/polls.rs
@@ -71,20 +71,20 @@
         is_out_of_band: bool,
         sent: Moment,
         now: Moment,
-        poll: PollResponse,
+        response: PollResponse,
     ) {
         let worker = &mut self.workers[slot];
         if worker.is_gone {
             return;
         }
-        let (known_start, reported_start) = (worker.entry.started_unix, poll.started_unix);
+        let (known_start, reported_start) = (worker.entry.started_unix, response.started_unix);
         if known_start.is_some() && reported_start.is_some() && known_start != reported_start {
             self.start_incarnation(slot, reported_start, now);
         }
         let ends_poll_interval = ends_poll_interval(self.workers_with_unstored_ends);
         let worker = &mut self.workers[slot];
         worker.entry.started_unix = worker.entry.started_unix.or(reported_start);
-        worker.set_clock(poll.clock, now);
+        worker.set_clock(response.clock, now);
         let is_first = !worker.is_confirmed;
         worker.is_confirmed = true;
         worker.unresponsive_since = None;
@@ -92,7 +92,7 @@
         worker.failed_polls = 0;
         // A worker that did not respond may have runs whose lease is about to expire, so it is
         // polled again immediately.
-        let next = match (is_first, poll.ended.is_empty()) {
+        let next = match (is_first, response.ended.is_empty()) {
             (true, _) => now,
             (false, true) => now + POLL_INTERVAL,
             (false, false) => now + ends_poll_interval,
@@ -106,16 +106,16 @@
         if is_first {
             self.mark_worker_service_changed(slot);
         }
-        let mut reported: HashSet<TaskId> = HashSet::with_capacity(poll.running.len());
-        for row in poll.ended {
-            self.handle_ended_run(slot, row, now);
+        let mut reported: HashSet<TaskId> = HashSet::with_capacity(response.running.len());
+        for ended_run in response.ended {
+            self.handle_ended_run(slot, ended_run, now);
         }
         if !is_latest {
             return;
         }
-        for row in poll.running {
-            reported.insert(row.task);
-            self.handle_running_run(slot, row, now);
+        for running_run in response.running {
+            reported.insert(running_run.task);
+            self.handle_running_run(slot, running_run, now);
         }
         self.release_missing_runs(slot, &reported, sent, now);
         self.stop_unstarted_runs(slot, &reported, sent, now);
@@ -133,57 +133,58 @@
     }
 
     /// Returns whether a poll response contains run ends, but only ones that were received before.
-    pub fn has_only_known_ends(&self, slot: WorkerSlot, poll: &PollResponse) -> bool {
+    pub fn has_only_known_ends(&self, slot: WorkerSlot, response: &PollResponse) -> bool {
         let last_seen = self.workers[slot].last_end_seen;
-        !poll.ended.is_empty() && poll.ended.iter().all(|row| row.number <= last_seen)
+        !response.ended.is_empty()
+            && response.ended.iter().all(|ended_run| ended_run.number <= last_seen)
     }
 
-    fn handle_ended_run(&mut self, slot: WorkerSlot, row: EndedRun, now: Moment) {
+    fn handle_ended_run(&mut self, slot: WorkerSlot, ended_run: EndedRun, now: Moment) {
         let worker = &mut self.workers[slot];
-        if row.number <= worker.last_end_seen {
+        if ended_run.number <= worker.last_end_seen {
             return;
         }
-        worker.last_end_seen = row.number;
+        worker.last_end_seen = ended_run.number;
         self.run_ends_received += 1;
         self.workers_with_unstored_ends += usize::from(worker.ends_unstored.is_empty());
-        worker.ends_unstored.push_back((row.number, self.run_ends_received));
-        if row.end == RunEnd::Done {
+        worker.ends_unstored.push_back((ended_run.number, self.run_ends_received));
+        if ended_run.end == RunEnd::Done {
             self.raise_write_urgency(WriteUrgency::Normal);
         }
-        self.ensure_occurrence_started(row.task.step, now);
-        self.handle_run_end(slot, &row, now);
+        self.ensure_occurrence_started(ended_run.task.step, now);
+        self.handle_run_end(slot, &ended_run, now);
     }
 
-    fn handle_running_run(&mut self, slot: WorkerSlot, row: RunningRun, now: Moment) {
+    fn handle_running_run(&mut self, slot: WorkerSlot, running_run: RunningRun, now: Moment) {
         let token = self.term.token;
         let worker = &mut self.workers[slot];
-        if let Some(run) = worker.runs.get_mut(&row.task)
-            && run.number == row.run
+        if let Some(run) = worker.runs.get_mut(&running_run.task)
+            && run.number == running_run.run
         {
             if run.phase == RunPhase::Starting {
                 run.phase = RunPhase::Running;
             }
             run.confirmed = run.confirmed.or(Some(now));
-            if run.percent != row.percent {
-                run.percent = row.percent;
+            if run.percent != running_run.percent {
+                run.percent = running_run.percent;
                 run.last_progress = now;
             }
-            run.load_metric = row.load_metric;
-            self.mark_job_started(slot, row.task, now);
-            self.set_checkpoint(row.task, row.checkpoint);
+            run.load_metric = running_run.load_metric;
+            self.mark_job_started(slot, running_run.task, now);
+            self.set_checkpoint(running_run.task, running_run.checkpoint);
             return;
         }
-        if worker.runs.contains_key(&row.task) {
+        if worker.runs.contains_key(&running_run.task) {
             // An older run of a task that was started here again: the worker refuses one of them.
             return;
         }
-        self.adopt_run(slot, row, token, now);
+        self.adopt_run(slot, running_run, token, now);
     }
 
     /// Adopts a run that this owner did not start; stops it if the task must not run on this
     /// worker.
-    fn adopt_run(&mut self, slot: WorkerSlot, row: RunningRun, token: u64, now: Moment) {
-        let id = row.task;
+    fn adopt_run(&mut self, slot: WorkerSlot, running_run: RunningRun, token: u64, now: Moment) {
+        let id = running_run.task;
         self.ensure_occurrence_started(id.step, now);
         let job = self.jobs.get_mut(&id.step.job);
         let spec = job.as_ref().and_then(|job| job.spec(id.step.step)).cloned();
@@ -196,14 +197,14 @@
         if let Some(job) = job {
             job.has_started = true;
             if let Some(task) = job.task_mut(id) {
-                task.last_run = task.last_run.max(row.run);
+                task.last_run = task.last_run.max(running_run.run);
                 should_run =
                     is_live && !task.is_done && (speculative || task.active_runs.is_empty());
                 task.active_runs.push(slot);
             }
         }
         let run = Run {
-            number: row.run,
+            number: running_run.run,
             phase: RunPhase::Running,
             since: now,
             start_unanswered_at: None,
@@ -212,9 +213,9 @@
             kind,
             reserved,
             quota_usage,
-            percent: row.percent,
+            percent: running_run.percent,
             last_progress: now,
-            load_metric: row.load_metric,
+            load_metric: running_run.load_metric,
             speed_percent: 100,
         };
         self.adjust_team_usage(id.step.job, &run.quota_usage, true);
@@ -224,12 +225,12 @@
             target: LOG_TARGET,
             JobsEvent::RunAdopted,
             task = id,
-            run = row.run,
+            run = running_run.run,
             worker = worker.entry.id,
             token = token,
             wanted = should_run
         );
-        self.set_checkpoint(id, row.checkpoint);
+        self.set_checkpoint(id, running_run.checkpoint);
         if !should_run {
             self.stop_run(slot, id, now);
         }
--- a/crates/jobs/src/scheduler/run_commands.rs
+++ b/crates/jobs/src/scheduler/run_commands.rs
@@ -33,8 +33,8 @@
     ) -> Option<StartRequest> {
         let lease_max = self.settings.lease_max;
         let token = self.term.token;
-        let ordered = self.workers[slot].runs.get(&task)?;
-        if ordered.number != run || ordered.phase != RunPhase::Starting {
+        let known_run = self.workers[slot].runs.get(&task)?;
+        if known_run.number != run || known_run.phase != RunPhase::Starting {
             return None;
         }
         let job = self.jobs.get(&task.step.job)?;
@@ -59,25 +59,25 @@
         now: Moment,
     ) {
         let worker = &mut self.workers[slot];
-        let id = worker.entry.id.clone();
-        let ordered = worker.runs.get_mut(&task);
-        let Some(ordered) = ordered.filter(|ordered| ordered.number == run) else { return };
+        let worker_id = worker.entry.id.clone();
+        let known_run = worker.runs.get_mut(&task);
+        let Some(known_run) = known_run.filter(|known_run| known_run.number == run) else { return };
         if outcome != CommandOutcome::Accepted {
             emit!(
                 target: LOG_TARGET,
                 JobsEvent::StartNotAccepted,
                 task = task,
                 run = run,
-                worker = id,
+                worker = worker_id,
                 outcome = format_args!("{outcome:?}")
             );
         }
         match outcome {
             CommandOutcome::Accepted => {
-                if ordered.phase == RunPhase::Starting {
-                    ordered.phase = RunPhase::Running;
+                if known_run.phase == RunPhase::Starting {
+                    known_run.phase = RunPhase::Running;
                 }
-                ordered.confirmed = ordered.confirmed.or(Some(now));
+                known_run.confirmed = known_run.confirmed.or(Some(now));
                 self.mark_job_started(slot, task, now);
             }
             CommandOutcome::Unknown => self.handle_unanswered_start(slot, task, now),
@@ -157,9 +157,9 @@
             self.retire_worker(slot, now);
             return;
         }
-        let ordered = self.workers[slot].runs.get_mut(&task);
-        let Some(ordered) = ordered.filter(|ordered| ordered.number == run) else { return };
-        let RunPhase::Stopping { confirmed, .. } = &mut ordered.phase else { return };
+        let known_run = self.workers[slot].runs.get_mut(&task);
+        let Some(known_run) = known_run.filter(|known_run| known_run.number == run) else { return };
+        let RunPhase::Stopping { confirmed, .. } = &mut known_run.phase else { return };
         if outcome == CommandOutcome::Accepted && confirmed.is_none() {
             *confirmed = Some(now);
             // A run that never started reports no end: the next poll shows that it is absent.
--- a/crates/jobs/src/scheduler/workers.rs
+++ b/crates/jobs/src/scheduler/workers.rs
@@ -29,13 +29,13 @@
 impl Scheduler {
     /// Adds the workers to which previous owners assigned tasks, listed or not.
     pub(super) fn add_known_workers(&mut self, now: Moment) {
-        for known in self.term.known_workers.clone() {
+        for record in self.term.known_workers.clone() {
             let entry = WorkerEntry {
-                id: known.id,
+                id: record.id,
                 started_unix: None,
-                service: known.service,
-                address: known.address,
-                zone: known.zone,
+                service: record.service,
+                address: record.address,
+                zone: record.zone,
                 labels: Arc::default(),
                 capacity: Resources::default(),
                 is_draining: false,
@@ -107,7 +107,7 @@
         }
         let worker = &mut self.workers[slot];
         let started_unix = worker.entry.started_unix;
-        let changed = !worker.is_listed || worker.entry != entry;
+        let has_changed = !worker.is_listed || worker.entry != entry;
         let starts_draining = entry.is_draining && !worker.entry.is_draining;
         worker.is_listed = true;
         let previous = std::mem::replace(
@@ -123,7 +123,7 @@
         if starts_draining {
             emit!(JobsEvent::WorkerDraining, worker = worker.entry.id, runs = worker.runs.len());
         }
-        if changed {
+        if has_changed {
             self.mark_worker_service_changed(slot);
         }
     }
@@ -174,11 +174,11 @@
         emit!(JobsEvent::WorkerReborn, worker = worker.entry.id);
         let last_poll_sent = worker.poll_sent;
         self.release_runs_if(slot, now, |run| run.since <= last_poll_sent);
-        let lease = self.lease_max_with_skew();
+        let lease_max = self.lease_max_with_skew();
         let worker = &mut self.workers[slot];
         worker.start_incarnation(started_unix, now);
         if !worker.runs.is_empty() {
-            worker.lease_expires = now + lease;
+            worker.lease_expires = now + lease_max;
         }
     }
 
--- a/crates/jobs/src/scheduler/write_batch.rs
+++ b/crates/jobs/src/scheduler/write_batch.rs
@@ -119,9 +119,9 @@
         now.saturating_sub(ended) > self.settings.status_retention
     }
 
-    /// The next write; `None` when the store is up to date, or enough writes are under way.
+    /// Returns the next write; `None` if the store is up to date or enough writes are in flight.
     ///
-    /// Each write that is taken must be given back by [`Self::handle_write_committed`].
+    /// Each write must be confirmed by [`Self::handle_write_committed`].
     pub fn next_write_batch(&mut self, now: Moment) -> Option<WriteBatch> {
         let chain = self.next_write_chain(now)?;
         let mut batch = WriteBatch { chain, ..WriteBatch::default() };
@@ -129,8 +129,8 @@
             FIRST_WRITE_CHAIN => self.collect_all(now, &mut batch),
             _ => {
                 self.collect_states(ENTRIES_MAX, &mut batch);
-                let left = ENTRIES_MAX - batch.puts.len();
-                self.collect_deletions(left / DELETION_ENTRIES, now, &mut batch);
+                let remaining = ENTRIES_MAX - batch.puts.len();
+                self.collect_deletions(remaining / DELETION_ENTRIES, now, &mut batch);
             }
         }
         let has_entries =
@@ -147,8 +147,8 @@
     fn collect_all(&mut self, now: Moment, batch: &mut WriteBatch) {
         self.write_urgency = WriteUrgency::Low;
         self.collect_workers(batch);
-        let others = LISTS_MAX + WAVES_MAX + DELETED_JOBS_MAX * DELETION_ENTRIES;
-        self.collect_states(ENTRIES_MAX - others - batch.puts.len(), batch);
+        let other_entries = LISTS_MAX + WAVES_MAX + DELETED_JOBS_MAX * DELETION_ENTRIES;
+        self.collect_states(ENTRIES_MAX - other_entries - batch.puts.len(), batch);
         self.collect_waves(batch);
         self.collect_commanded_machines(now, batch);
         self.collect_waiting(now, batch);
@@ -185,18 +185,20 @@
     /// With hundreds of jobs whose tasks end continuously, states that starts or callers wait for
     /// must not queue behind mere progress of other jobs.
     fn next_unwritten(&self, count_max: usize) -> (Vec<JobId>, WriteUrgency) {
-        let waiting =
+        let unwritten =
             self.unwritten_states.iter().filter(|(id, _)| !self.in_flight_writes.contains(**id));
-        let mut ids: Vec<(u64, JobId)> = waiting.map(|(id, first_end)| (*first_end, *id)).collect();
-        ids.sort_unstable();
-        let rest = ids.split_off(ids.len().min(OLDEST_STATES_MAX));
-        let mut rest: Vec<(WriteUrgency, JobId)> =
-            rest.into_iter().map(|(_, id)| (self.state_urgency(id), id)).collect();
-        rest.sort_by_key(|(urgency, _)| Reverse(*urgency));
-        let left = rest.split_off(rest.len().min(count_max - ids.len()));
-        let left = left.first().map_or(WriteUrgency::Low, |(urgency, _)| *urgency);
-        let chosen = ids.into_iter().map(|(_, id)| id).chain(rest.into_iter().map(|(_, id)| id));
-        (chosen.collect(), left)
+        let mut oldest: Vec<(u64, JobId)> =
+            unwritten.map(|(id, first_end)| (*first_end, *id)).collect();
+        oldest.sort_unstable();
+        let others = oldest.split_off(oldest.len().min(OLDEST_STATES_MAX));
+        let mut others: Vec<(WriteUrgency, JobId)> =
+            others.into_iter().map(|(_, id)| (self.state_urgency(id), id)).collect();
+        others.sort_by_key(|(urgency, _)| Reverse(*urgency));
+        let remaining = others.split_off(others.len().min(count_max - oldest.len()));
+        let remaining = remaining.first().map_or(WriteUrgency::Low, |(urgency, _)| *urgency);
+        let chosen =
+            oldest.into_iter().map(|(_, id)| id).chain(others.into_iter().map(|(_, id)| id));
+        (chosen.collect(), remaining)
     }
 
     /// Returns how soon the changed state of a job should be written.
@@ -209,8 +211,8 @@
     }
 
     fn collect_states(&mut self, count_max: usize, batch: &mut WriteBatch) {
-        let (ids, left) = self.next_unwritten(count_max);
-        self.raise_write_urgency(left);
+        let (ids, remaining_urgency) = self.next_unwritten(count_max);
+        self.raise_write_urgency(remaining_urgency);
         for id in ids {
             let first_end = self.unwritten_states.remove(&id).unwrap_or_default();
             let Some(job) = self.jobs.get(&id) else { continue };
@@ -270,27 +272,27 @@
         if last.is_some_and(|(at, _)| now.saturating_sub(*at) < WAITING_INTERVAL) {
             return;
         }
-        let waiting = self.waiting();
+        let record = self.waiting_record();
         let is_recent = |at: Moment| now.saturating_sub(at) < WAITING_REFRESH;
-        if last.is_some_and(|(at, written)| written.jobs == waiting.jobs && is_recent(*at)) {
+        if last.is_some_and(|(at, written)| written.jobs == record.jobs && is_recent(*at)) {
             return;
         }
-        match serde_json::to_vec(&waiting) {
+        match serde_json::to_vec(&record) {
             Ok(bytes) => batch.puts.push((WAITING_KEY.into(), bytes)),
             Err(error) => return log_encode_error(0, &error.into()),
         }
-        self.last_waiting_record = Some((now, waiting));
+        self.last_waiting_record = Some((now, record));
     }
 
     /// Counts the accepted jobs of which no task has started, by queue.
-    fn waiting(&self) -> WaitingRecord {
+    fn waiting_record(&self) -> WaitingRecord {
         let counted_unix_ms = u64::try_from(self.last_plan_unix.as_millis()).unwrap_or(u64::MAX);
-        let mut waiting = WaitingRecord { counted_unix_ms, ..WaitingRecord::default() };
+        let mut record = WaitingRecord { counted_unix_ms, ..WaitingRecord::default() };
         let jobs = self.jobs.values().filter(|job| job.is_live() && !job.has_started);
         for job in jobs {
-            *waiting.jobs.entry(job.record.queue.clone()).or_default() += 1;
+            *record.jobs.entry(job.record.queue.clone()).or_default() += 1;
         }
-        waiting
+        record
     }
 
     fn collect_deletions(&mut self, count_max: usize, now: Moment, batch: &mut WriteBatch) {
@@ -339,8 +341,8 @@
     }
 }
 
-fn encode_workers(known: &[WorkerRecord]) -> Result<Vec<u8>, RecordError> {
-    Ok(serde_json::to_vec(known)?)
+fn encode_workers(workers: &[WorkerRecord]) -> Result<Vec<u8>, RecordError> {
+    Ok(serde_json::to_vec(workers)?)
 }
 
 fn log_encode_error(id: JobId, error: &RecordError) {
