--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -181,8 +181,8 @@
     changed_services: HashSet<ServiceId>,
     /// Earliest next placement pass of services in which some step found no free capacity.
     next_placement: HashMap<ServiceId, Moment>,
-    /// Jobs whose state in the store is outdated, with the value of `run_ends_received` at the first
-    /// change that is not stored.
+    /// Jobs whose state in the store is outdated, with the value of `run_ends_received` at the
+    /// first change that is not stored.
     unwritten_states: HashMap<JobId, u64>,
     /// Writes to the store that are in flight.
     in_flight_writes: InFlightWrites,
--- a/crates/jobs/src/scheduler/balance.rs
+++ b/crates/jobs/src/scheduler/balance.rs
@@ -213,7 +213,7 @@
     load.running += f64::from(running_milli) / 1_000.0;
 }
 
-/// Returns the number of surplus machines of workers_per_step service: 0 while any service needs more machines.
+/// Returns the number of surplus machines of each service: 0 while any service needs more machines.
 fn count_surplus(pools: &BTreeMap<ServiceId, Pool>) -> HashMap<ServiceId, usize> {
     let is_any_short = pools.values().any(|pool| !pool.is_spare && pool.machines < pool.needed);
     let counts = pools.iter().map(|(service, pool)| {
@@ -223,7 +223,7 @@
     counts.collect()
 }
 
-/// Logs the machines that counts service has and needs.
+/// Logs the machines that each service has and needs.
 fn log_pools(pools: &BTreeMap<ServiceId, Pool>, moves: usize) {
     let descriptions = pools.iter().map(|(service, pool)| {
         let Pool { machines, needed, idle, load, .. } = pool;
--- a/crates/jobs/src/scheduler/maintenance.rs
+++ b/crates/jobs/src/scheduler/maintenance.rs
@@ -85,8 +85,8 @@
 }
 
 impl WaveProgress {
-    /// Creates the progress of a wave from what a previous owner stored, if anything; `now_unix` is the
-    /// Unix time at `now`.
+    /// Creates the progress of a wave from what a previous owner stored, if anything; `now_unix` is
+    /// the Unix time at `now`.
     pub(super) fn new(
         wave: Wave,
         stored: Option<&WaveRecord>,
--- a/crates/jobs/src/scheduler/plan.rs
+++ b/crates/jobs/src/scheduler/plan.rs
@@ -233,7 +233,8 @@
         self.jobs.get(&step.job).and_then(|job| job.spec(step.step))
     }
 
-    /// Starts as many tasks of a step as fit; returns the requirements of a task if some did not fit.
+    /// Starts as many tasks of a step as fit; returns the requirements of a task if some did not
+    /// fit.
     fn place_step(
         &mut self,
         id: StepId,
