--- a/crates/jobs/src/scheduler/plan.rs
+++ b/crates/jobs/src/scheduler/plan.rs
@@ -155,8 +155,8 @@
         eligible_steps
     }
 
-    /// Returns what a task of a step takes if it is neither in a gang nor subject to a placement
-    /// policy.
+    /// Returns the resources that a task of a step takes; `None` for a gang or a step that is
+    /// subject to a placement policy.
     fn simple_requirements(&self, step: StepId) -> Option<Resources> {
         let spec = self.spec(step)?;
         let is_simple = !spec.gang && self.placement_policy(step).is_none();
--- a/crates/jobs/src/scheduler/polls.rs
+++ b/crates/jobs/src/scheduler/polls.rs
@@ -24,7 +24,7 @@
 /// acknowledged, the worker would respond immediately and report them again; the delay also lets
 /// further ends accumulate.
 const ENDS_POLL_INTERVAL_MIN: Duration = Duration::from_millis(40);
-/// Polls per second of all workers that may report unstored run ends again.
+/// Maximum number of polls per second, over all workers, that may report unstored run ends again.
 const REPEATED_POLLS_PER_S: f64 = 1_500.0;
 /// Delay between a failed poll and the next one.
 const POLL_RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -108,14 +108,14 @@
         }
         let mut reported: HashSet<TaskId> = HashSet::with_capacity(response.running.len());
         for ended_run in response.ended {
-            self.handle_ended_run(slot, ended_run, now);
+            self.receive_run_end(slot, ended_run, now);
         }
         if !is_latest {
             return;
         }
         for running_run in response.running {
             reported.insert(running_run.task);
-            self.handle_running_run(slot, running_run, now);
+            self.receive_running_run(slot, running_run, now);
         }
         self.release_missing_runs(slot, &reported, sent, now);
         self.stop_unstarted_runs(slot, &reported, sent, now);
@@ -139,7 +139,8 @@
             && response.ended.iter().all(|ended_run| ended_run.number <= last_seen)
     }
 
-    fn handle_ended_run(&mut self, slot: WorkerSlot, ended_run: EndedRun, now: Moment) {
+    /// Counts and handles a run end, unless it was received before.
+    fn receive_run_end(&mut self, slot: WorkerSlot, ended_run: EndedRun, now: Moment) {
         let worker = &mut self.workers[slot];
         if ended_run.number <= worker.last_end_seen {
             return;
@@ -155,7 +156,8 @@
         self.handle_run_end(slot, &ended_run, now);
     }
 
-    fn handle_running_run(&mut self, slot: WorkerSlot, running_run: RunningRun, now: Moment) {
+    /// Updates a run that a worker reports as running, or adopts it.
+    fn receive_running_run(&mut self, slot: WorkerSlot, running_run: RunningRun, now: Moment) {
         let token = self.term.token;
         let worker = &mut self.workers[slot];
         if let Some(run) = worker.runs.get_mut(&running_run.task)
--- a/crates/jobs/src/scheduler/run_commands.rs
+++ b/crates/jobs/src/scheduler/run_commands.rs
@@ -177,7 +177,7 @@
             if *next_try > now {
                 return true;
             }
-            // A confirmed stop is sent again only if its run continues far too long.
+            // A confirmed stop is sent again only if its run continues for 20 retry intervals.
             *next_try = match confirmed {
                 Some(_) => now + STOP_RETRY_INTERVAL * 20,
                 None => now + STOP_RETRY_INTERVAL,
--- a/crates/jobs/src/scheduler/run_ends.rs
+++ b/crates/jobs/src/scheduler/run_ends.rs
@@ -140,8 +140,8 @@
         self.mark_job_service_changed(id.step.job);
     }
 
-    /// Returns how many attempts a task of a job has. Without a limit if the queue is no longer
-    /// configured.
+    /// Returns how often a task of a job may fail before the job fails; unlimited if the queue is
+    /// no longer configured.
     fn attempts_max(&self, job: JobId) -> u32 {
         let queue = self.jobs.get(&job).map(|job| &job.record.queue);
         let queue = queue.and_then(|queue| self.config.queues.get(queue));
