--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -205,7 +205,7 @@
     /// Machines that are moving or about to move, with the target service and the time of the
     /// decision.
     moving_machines: HashMap<InstanceId, (ServiceId, Moment)>,
-    /// Moves that wait until the store names their machines.
+    /// Moves that wait until the leases on their machines are stored.
     pending_moves: Vec<MachineCommand>,
     machine_leases: MachineLeases,
     last_balanced: Moment,
@@ -296,8 +296,8 @@
         scheduler
     }
 
-    /// Longest time for which a run continues after a command that extended its lease, on a worker
-    /// whose clock is slow.
+    /// Longest time for which a run continues after a command that extended its lease: 3 % more than
+    /// the lease, since the clock of a worker may be slow.
     fn lease_max_with_skew(&self) -> Duration {
         self.settings.lease_max * 103 / 100
     }
--- a/crates/jobs/src/scheduler/balance.rs
+++ b/crates/jobs/src/scheduler/balance.rs
@@ -67,7 +67,7 @@
         (commands * MOVES_SHARE).ceil().max(1.0) as usize
     }
 
-    /// Issues the moves whose machines are named in the store.
+    /// Issues the moves for which the lease on the machine is stored.
     pub(super) fn issue_machine_moves(&mut self, now: Moment, commands: &mut Vec<Command>) {
         for command in std::mem::take(&mut self.pending_moves) {
             if self.machine_leases.acquire(command.machine(), now) {
--- a/crates/jobs/src/scheduler/job_lifecycle.rs
+++ b/crates/jobs/src/scheduler/job_lifecycle.rs
@@ -12,7 +12,7 @@
 use crate::record::{JobRecord, JobState, StateRecord};
 use crate::spec::{JobId, OccurrenceNumber, StepId, StepSpec};
 
-/// Burst that a team may submit before its jobs count as beyond its weight, in seconds of its
+/// Burst that a team may submit before its jobs count as exceeding its weight, in seconds of the
 /// weight.
 const WEIGHT_BURST_S: f64 = 2.0;
 /// Log target of this module, which operators' filters name.
