--- a/crates/jobs/src/scheduler/delays.rs
+++ b/crates/jobs/src/scheduler/delays.rs
@@ -1,4 +1,4 @@
-//! Notes for each job what its ready tasks wait for.
+//! Records for each job what its ready tasks wait for.
 
 use std::time::Duration;
 
@@ -10,30 +10,31 @@
 use crate::spec::{JobId, StepId};
 
 impl Scheduler {
-    /// Takes in that what waits now has waited for `time`. A job counts with one of its steps.
-    pub(super) fn note_delays(&mut self, time: Duration, now: Moment) {
-        let mut noted: Vec<(JobId, DelayCause)> = Vec::new();
+    /// Adds `time` to the delays of all jobs with waiting tasks. Each job is counted by the first
+    /// of its steps that waits.
+    pub(super) fn record_delays(&mut self, time: Duration, now: Moment) {
+        let mut delayed: Vec<(JobId, DelayCause)> = Vec::new();
         for service in self.waiting_steps.services() {
             let are_inherited_runs_known = self.are_inherited_runs_known(service, now);
-            let mut last = None;
+            let mut last_job = None;
             for step in self.waiting_steps.of(service) {
-                if last == Some(step.job) {
+                if last_job == Some(step.job) {
                     continue;
                 }
                 if let Some(cause) = self.delay_cause(step, are_inherited_runs_known, now) {
-                    noted.push((step.job, cause));
-                    last = Some(step.job);
+                    delayed.push((step.job, cause));
+                    last_job = Some(step.job);
                 }
             }
         }
-        for (id, cause) in noted {
+        for (id, cause) in delayed {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.delays.add(cause, time);
             }
         }
     }
 
-    /// What a step waits for; `None` if none of its tasks waits.
+    /// Returns what a step waits for; `None` if none of its tasks is waiting.
     fn delay_cause(
         &self,
         id: StepId,
@@ -56,7 +57,8 @@
         })
     }
 
-    /// How long after its objective a job ends; 0 if it meets it. `None` for a job without one.
+    /// Returns how long after its objective a job ends; 0 if it meets it, `None` for a job without
+    /// one.
     pub(super) fn lateness(&self, job: &Job, now: Moment) -> Option<Duration> {
         let occurrence = job.occurrences.values().next()?;
         let spec = &job.record.spec;
--- a/crates/jobs/src/scheduler/maintenance.rs
+++ b/crates/jobs/src/scheduler/maintenance.rs
@@ -1,4 +1,4 @@
-//! Waves of maintenance: which machine is taken down next.
+//! Maintenance waves: decides which machine is maintained next.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -15,35 +15,35 @@
 use crate::job::WorkerSlot;
 use crate::record::{WaveRecord, WavesRecord};
 
-/// Time that one machine of a wave takes, from the order until its new worker takes work, with
-/// the order's turn-around.
+/// Time that the maintenance of one machine takes, from the command until its new worker accepts
+/// tasks, including the round trip of the command.
 const MAINTENANCE_TIME: Duration = Duration::from_millis(3_000);
-/// Machines that are emptied beyond those that are down at once.
+/// Machines that are drained ahead of those that are down.
 const DRAINING_AHEAD: usize = 1;
-/// Part of a wave's term that is left unplanned.
-const SPARE_PART: f64 = 0.25;
-/// Part of a wave's term after which machines are taken down though short tasks run there.
-const PATIENT_PART: f64 = 0.75;
-/// Time between two orders to the same machine.
-const ORDER_RETRY: Duration = Duration::from_millis(700);
-/// An order without an answer may be carried out until this time has passed.
-const LATE_ORDER_MAX: Duration = Duration::from_secs(13);
-/// Longest time for which one machine is emptied before it is taken down.
+/// Share of a wave's time limit that is kept in reserve.
+const RESERVE_SHARE: f64 = 0.25;
+/// Share of a wave's time limit after which machines are taken down even if short tasks run there.
+const FORCE_AFTER_SHARE: f64 = 0.75;
+/// Minimum time between two commands to the same machine.
+const COMMAND_RETRY_INTERVAL: Duration = Duration::from_millis(700);
+/// Longest time after which a command without a response may still be executed.
+const LATE_COMMAND_MAX: Duration = Duration::from_secs(13);
+/// Longest time for which a machine is drained before it is taken down.
 const DRAINING_MAX: Duration = Duration::from_millis(4_500);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::upkeep";
 
-/// An order to a machine.
+/// A command to a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MachineCommand {
-    /// Maintain it.
+    /// Maintains it.
     Maintain {
         /// The machine.
         machine: InstanceId,
         /// The wave.
         wave: WaveNumber,
     },
-    /// Move it to another service.
+    /// Moves it to another service.
     Move {
         /// The machine.
         machine: InstanceId,
@@ -53,7 +53,7 @@
 }
 
 impl MachineCommand {
-    /// The machine that the order is for.
+    /// Returns the machine to which the command applies.
     pub fn machine(&self) -> &InstanceId {
         match self {
             Self::Maintain { machine, .. } | Self::Move { machine, .. } => machine,
@@ -61,41 +61,41 @@
     }
 }
 
-/// The last order to a machine.
+/// The last command to a machine.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SentCommand {
-    at: Moment,
-    /// Whether it may still be carried out.
-    is_open: bool,
+    sent_at: Moment,
+    /// Whether it may still be executed.
+    is_pending: bool,
 }
 
-/// How far a wave is.
+/// Progress of a wave.
 #[derive(Debug)]
 pub(super) struct WaveProgress {
     wave: Wave,
     /// When an owner first saw the wave.
     since: Moment,
     since_unix_ms: u64,
-    /// Machines whose maintenance has begun, and when.
+    /// Machines whose maintenance has started, and when.
     begun: HashMap<InstanceId, Moment>,
-    /// Machines that get no new work until they are taken down, and since when.
+    /// Machines that are being drained for maintenance, and since when.
     draining: HashMap<InstanceId, Moment>,
-    /// Last status that lies in the store: whether the wave is complete.
+    /// Last stored status: whether the wave is complete.
     stored: Option<bool>,
 }
 
 impl WaveProgress {
-    /// A wave with what an earlier owner stored of it, if there is any; `unix` is the time of day
-    /// at `now`.
+    /// Creates the progress of a wave from what a previous owner stored, if anything; `now_unix` is
+    /// the Unix time at `now`.
     pub(super) fn new(
         wave: Wave,
         stored: Option<&WaveRecord>,
-        unix: Duration,
+        now_unix: Duration,
         now: Moment,
     ) -> Self {
-        let unix_ms = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
-        let since_unix_ms = stored.map_or(unix_ms, |stored| stored.since_unix_ms);
-        let age = Duration::from_millis(unix_ms.saturating_sub(since_unix_ms));
+        let now_unix_ms = u64::try_from(now_unix.as_millis()).unwrap_or(u64::MAX);
+        let since_unix_ms = stored.map_or(now_unix_ms, |stored| stored.since_unix_ms);
+        let age = Duration::from_millis(now_unix_ms.saturating_sub(since_unix_ms));
         let begun = stored.map_or(&[][..], |stored| &stored.begun);
         Self {
             wave,
@@ -109,18 +109,20 @@
 }
 
 impl Scheduler {
-    /// Whether machines have to be listed, since a wave is open.
+    /// Returns whether the machines have to be listed: a wave is not complete, or there is a spare
+    /// pool.
     pub fn needs_machine_list(&self) -> bool {
         self.waves.values().any(|wave| wave.stored != Some(true))
             || self.config.services.values().any(|service| service.is_spare)
     }
 
-    /// Whether machines should be listed without delay, since one was ordered.
+    /// Returns whether the machines should be listed without delay because a command was accepted,
+    /// and clears the request.
     pub fn take_machine_list_request(&mut self) -> bool {
-        std::mem::take(&mut self.is_list_wanted)
+        std::mem::take(&mut self.is_machine_list_requested)
     }
 
-    /// Takes over the list of machines, asked for at `sent`.
+    /// Replaces the list of machines by one that was requested at `sent`.
     pub fn set_machines(&mut self, machines: Vec<Machine>, sent: Moment, now: Moment) {
         let machines = MachineList::new(machines);
         let leaving: Vec<WorkerSlot> = (0..self.workers.len())
@@ -135,7 +137,7 @@
                 self.retire_worker(slot, now);
                 continue;
             }
-            // The order had been carried out before; the worker is the one that came after it.
+            // The command had been executed before: this is the worker that started after it.
             let worker = &mut self.workers[slot];
             worker.leaving_since = None;
             worker.is_leaving = false;
@@ -143,17 +145,17 @@
             self.mark_worker_service_changed(slot);
         }
         self.machines = machines;
-        self.machines_listed = Some(sent);
-        self.lose_downed(sent, now);
+        self.machines_listed_at = Some(sent);
+        self.retire_workers_on_down_machines(sent, now);
     }
 
-    /// Gives up silent workers whose machines are down or run another worker, by a list that was
-    /// asked for after they had fallen silent.
-    fn lose_downed(&mut self, sent: Moment, now: Moment) {
+    /// Retires silent workers whose machines are down or run another worker, according to a list
+    /// that was requested after they stopped responding.
+    fn retire_workers_on_down_machines(&mut self, sent: Moment, now: Moment) {
         for slot in 0..self.workers.len() {
             let worker = &self.workers[slot];
-            let is_silent = worker.unresponsive_since.is_some_and(|since| since < sent);
-            if worker.is_gone || !is_silent {
+            let is_unresponsive = worker.unresponsive_since.is_some_and(|since| since < sent);
+            if worker.is_gone || !is_unresponsive {
                 continue;
             }
             if !self.machines.has_running_worker(&worker.entry.id) {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// How far the waves are, as it shall lie in the store.
+    /// Returns the progress of all waves as the record to store.
     pub(super) fn waves_record(&self) -> WavesRecord {
         let records = self.waves.values().map(|progress| {
             let mut begun: Vec<InstanceId> = progress.begun.keys().cloned().collect();
@@ -173,7 +175,7 @@
         records.collect()
     }
 
-    /// Takes in the outcome of an order to a machine.
+    /// Handles the outcome of a command to a machine.
     pub fn handle_machine_outcome(
         &mut self,
         command: &MachineCommand,
@@ -187,25 +189,26 @@
             order = format_args!("{command:?}"),
             outcome = format_args!("{outcome:?}")
         );
-        let is_open = outcome == MachineOutcome::Unknown;
-        if is_open {
-            self.machine_leases.extend(command.machine(), now + LATE_ORDER_MAX);
+        let is_pending = outcome == MachineOutcome::Unknown;
+        if is_pending {
+            self.machine_leases.extend(command.machine(), now + LATE_COMMAND_MAX);
         }
-        if let Some(ordered) = self.machines_ordered.get_mut(command.machine()) {
-            ordered.is_open = is_open;
+        if let Some(sent) = self.machine_commands.get_mut(command.machine()) {
+            sent.is_pending = is_pending;
         }
         let accepted = outcome == MachineOutcome::Accepted;
-        if !accepted && !is_open {
-            self.moving.remove(command.machine());
+        if !accepted && !is_pending {
+            self.moving_machines.remove(command.machine());
         }
         if let Some(slot) = self.worker_on_machine(command.machine()) {
             let worker = &mut self.workers[slot];
-            worker.is_leaving = is_open || accepted;
+            worker.is_leaving = is_pending || accepted;
             worker.is_cordoned &= worker.is_leaving;
-            // Whether it has gone down, or had been maintained before, the next list shows.
+            // The next list of machines shows whether the machine went down or had been maintained
+            // before.
             worker.leaving_since = match outcome {
                 MachineOutcome::Accepted => Some(now),
-                MachineOutcome::Unknown => Some(now + LATE_ORDER_MAX),
+                MachineOutcome::Unknown => Some(now + LATE_COMMAND_MAX),
                 _ => None,
             };
         }
@@ -217,9 +220,9 @@
         {
             progress.begun.entry(machine.clone()).or_insert(now);
             progress.draining.remove(machine);
-            self.raise_urgency(WriteUrgency::High);
+            self.raise_write_urgency(WriteUrgency::High);
         }
-        self.is_list_wanted = true;
+        self.is_machine_list_requested = true;
     }
 
     pub(super) fn worker_on_machine(&self, machine: &str) -> Option<WorkerSlot> {
@@ -227,7 +230,7 @@
         self.current_slots.get(listed.worker.as_ref()?).copied()
     }
 
-    /// Orders the maintenance that is due.
+    /// Issues the maintenance commands that are due.
     pub(super) fn plan_maintenance(&mut self, now: Moment, commands: &mut Vec<Command>) {
         if self.machines.is_empty() {
             return;
@@ -242,105 +245,119 @@
     }
 
     fn plan_wave(&mut self, number: WaveNumber, now: Moment, commands: &mut Vec<Command>) {
-        // Taken out while workers are marked, and put back below.
+        // Removed from the map to borrow `self` mutably; inserted again below.
         let Some(mut progress) = self.waves.remove(&number) else { return };
         if progress.stored != Some(true) {
-            self.take_down(&mut progress, now, commands);
+            self.plan_take_downs(&mut progress, now, commands);
         }
         self.waves.insert(number, progress);
     }
 
-    /// Takes down the machines of a wave that may go now, the emptiest first, and keeps new work
-    /// off those that follow.
-    fn take_down(&mut self, progress: &mut WaveProgress, now: Moment, commands: &mut Vec<Command>) {
+    /// Takes down the machines of a wave that may go down now, those with the fewest runs first,
+    /// and drains the next ones.
+    fn plan_take_downs(
+        &mut self,
+        progress: &mut WaveProgress,
+        now: Moment,
+        commands: &mut Vec<Command>,
+    ) {
         let down = self.down_count(progress);
-        let mut open = self.open_machines(progress, now);
-        for slot in open.iter().filter_map(|(_, slot)| *slot) {
+        let mut remaining = self.remaining_machines(progress, now);
+        for slot in remaining.iter().filter_map(|(_, slot)| *slot) {
             self.workers[slot].is_maintenance_due = true;
         }
-        let at_once = at_once(progress, open.len(), now);
-        let free = progress.wave.concurrent_max.saturating_sub(down);
-        let paced = at_once.saturating_sub(down);
-        // Machines with long-running tasks take longest to empty, so these begin first.
-        open.sort_by_cached_key(|(machine, slot)| {
+        let planned_down = planned_down(progress, remaining.len(), now);
+        let down_allowed_max = progress.wave.concurrent_max.saturating_sub(down);
+        let down_allowed_now = planned_down.saturating_sub(down);
+        // Machines with long-running tasks take longest to drain, so they come first.
+        remaining.sort_by_cached_key(|(machine, slot)| {
             let runs = slot.map_or(0, |slot| 1 + self.workers[slot].runs.len());
-            let is_settled = slot.is_some_and(|slot| self.hosts_long_running(slot));
-            (!progress.draining.contains_key(&machine.id), !is_settled, runs, machine.id.clone())
+            let has_long_running = slot.is_some_and(|slot| self.hosts_long_running(slot));
+            (
+                !progress.draining.contains_key(&machine.id),
+                !has_long_running,
+                runs,
+                machine.id.clone(),
+            )
         });
-        let hosts: Vec<WorkerSlot> = open.iter().filter_map(|(_, slot)| *slot).collect();
-        let patience = progress.wave.time_limit.mul_f64(PATIENT_PART);
-        let is_late = now.saturating_sub(progress.since) > patience;
-        let mut taken: Vec<InstanceId> = Vec::new();
-        // Machines that go as soon as they are named in the store.
-        let mut named = 0;
+        let slots: Vec<WorkerSlot> = remaining.iter().filter_map(|(_, slot)| *slot).collect();
+        let force_after = progress.wave.time_limit.mul_f64(FORCE_AFTER_SHARE);
+        let is_late = now.saturating_sub(progress.since) > force_after;
+        let mut going_down: Vec<InstanceId> = Vec::new();
+        // Machines that are taken down as soon as their lease is stored.
+        let mut awaiting_lease = 0;
         let mut draining: BTreeSet<InstanceId> = BTreeSet::new();
-        for (machine, slot) in open {
+        for (machine, slot) in remaining {
             let since = progress.draining.get(&machine.id).copied();
-            let waited = since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
-            let patient = !is_late && waited < DRAINING_MAX;
-            let is_free = slot.is_none_or(|slot| self.can_take_down(slot, patient, now));
-            let is_repeat = self.is_order_open(&machine.id);
-            let is_spared = slot.is_none_or(|slot| self.is_spared(slot));
-            let most = if is_spared { free } else { paced };
-            if is_repeat || (is_free && taken.len() + named < most) {
+            let drained_for = since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
+            let wait_for_short_tasks = !is_late && drained_for < DRAINING_MAX;
+            let can_go_down =
+                slot.is_none_or(|slot| self.can_take_down(slot, wait_for_short_tasks, now));
+            let is_pending = self.is_command_pending(&machine.id);
+            let is_surplus = slot.is_none_or(|slot| self.is_surplus(slot));
+            let limit = if is_surplus { down_allowed_max } else { down_allowed_now };
+            if is_pending || (can_go_down && going_down.len() + awaiting_lease < limit) {
                 if !self.machine_leases.acquire(&machine.id, now) {
-                    named += 1;
+                    awaiting_lease += 1;
                     draining.insert(machine.id);
                     continue;
                 }
                 if let Some(slot) = slot {
                     self.workers[slot].is_leaving = true;
                 }
-                taken.push(machine.id);
-            } else if draining.len() < paced + DRAINING_AHEAD {
+                going_down.push(machine.id);
+            } else if draining.len() < down_allowed_now + DRAINING_AHEAD {
                 draining.insert(machine.id);
             }
         }
-        let going = draining.iter().filter_map(|machine| self.worker_on_machine(machine)).collect();
-        self.evict_long_running(&hosts, &going, now);
+        let draining_slots =
+            draining.iter().filter_map(|machine| self.worker_on_machine(machine)).collect();
+        self.evict_long_running(&slots, &draining_slots, now);
         self.drain_machines(progress, draining, now);
-        for machine in taken {
-            self.order_maintenance(progress.wave.number, machine, now, commands);
+        for machine in going_down {
+            self.command_maintenance(progress.wave.number, machine, now, commands);
         }
     }
 
-    /// Whether a worker's machine is one that no service wants now.
-    fn is_spared(&self, slot: WorkerSlot) -> bool {
+    /// Returns whether a worker's machine is idle and its service has surplus machines.
+    fn is_surplus(&self, slot: WorkerSlot) -> bool {
         let worker = &self.workers[slot];
-        worker.runs.is_empty() && self.surplus.get(&worker.entry.service).is_some_and(|it| *it > 0)
+        worker.runs.is_empty()
+            && self.surplus_machines.get(&worker.entry.service).is_some_and(|count| *count > 0)
     }
 
     fn hosts_long_running(&self, slot: WorkerSlot) -> bool {
         self.workers[slot].counts.long_running > 0
     }
 
-    /// Machines of a wave that are down for it, or may be.
+    /// Returns how many machines of a wave are or may be down for maintenance.
     fn down_count(&self, progress: &WaveProgress) -> usize {
-        let is_back = |machine: &InstanceId, begun: Moment| {
+        let is_up_again = |machine: &InstanceId, begun: Moment| {
             let listed = self.machines.get(machine);
-            let seen_after = self.machines_listed.is_some_and(|at| at > begun);
+            let is_listed_after = self.machines_listed_at.is_some_and(|at| at > begun);
             let is_up =
                 |listed: &Machine| matches!(listed.state, MachineState::Up | MachineState::Moving);
-            seen_after && listed.is_none_or(is_up)
+            is_listed_after && listed.is_none_or(is_up)
         };
-        let begun = progress.begun.iter().filter(|(machine, at)| !is_back(machine, **at)).count();
-        let unknown = progress.wave.machines.iter().filter(|machine| {
-            let ordered = self.is_order_open(machine);
+        let begun =
+            progress.begun.iter().filter(|(machine, at)| !is_up_again(machine, **at)).count();
+        let others_down = progress.wave.machines.iter().filter(|machine| {
+            let is_commanded = self.is_command_pending(machine);
             let listed = self.machines.get(machine);
             let down = listed.is_some_and(|listed| listed.state == MachineState::Maintenance);
-            (ordered || down) && !progress.begun.contains_key(*machine)
+            (is_commanded || down) && !progress.begun.contains_key(*machine)
         });
-        begun + unknown.count()
+        begun + others_down.count()
     }
 
-    /// Whether an order to a machine was sent and may still be carried out.
-    fn is_order_open(&self, machine: &str) -> bool {
-        self.machines_ordered.get(machine).is_some_and(|ordered| ordered.is_open)
+    /// Returns whether a command to a machine may still be executed.
+    fn is_command_pending(&self, machine: &str) -> bool {
+        self.machine_commands.get(machine).is_some_and(|sent| sent.is_pending)
     }
 
-    /// Machines of a wave whose maintenance has not begun, with their workers, but those that
-    /// another instance ordered lately.
-    fn open_machines(
+    /// Returns the machines of a wave that are up and whose maintenance has not started, with their
+    /// workers. Machines that are leased to another instance are left out.
+    fn remaining_machines(
         &self,
         progress: &WaveProgress,
         now: Moment,
@@ -360,19 +377,19 @@
             .collect()
     }
 
-    /// Keeps new work off the machines that are taken down next, and off no others.
+    /// Cordons the machines that are taken down next and uncordons those that no longer are.
     fn drain_machines(
         &mut self,
         progress: &mut WaveProgress,
         draining: BTreeSet<InstanceId>,
         now: Moment,
     ) {
-        let former = std::mem::take(&mut progress.draining);
+        let previous = std::mem::take(&mut progress.draining);
         progress.draining = draining
             .iter()
-            .map(|machine| (machine.clone(), former.get(machine).copied().unwrap_or(now)))
+            .map(|machine| (machine.clone(), previous.get(machine).copied().unwrap_or(now)))
             .collect();
-        for machine in former.keys().filter(|machine| !draining.contains(*machine)) {
+        for machine in previous.keys().filter(|machine| !draining.contains(*machine)) {
             if let Some(slot) = self.worker_on_machine(machine) {
                 self.workers[slot].is_cordoned = self.workers[slot].is_leaving;
                 self.mark_worker_service_changed(slot);
@@ -385,7 +402,7 @@
         }
     }
 
-    fn order_maintenance(
+    fn command_maintenance(
         &mut self,
         number: WaveNumber,
         machine: InstanceId,
@@ -395,34 +412,38 @@
         if let Some(slot) = self.worker_on_machine(&machine) {
             self.workers[slot].is_cordoned = true;
         }
-        let last = self.machines_ordered.get(&machine);
-        if last.is_some_and(|last| now.saturating_sub(last.at) < ORDER_RETRY) {
+        let last_command = self.machine_commands.get(&machine);
+        if last_command
+            .is_some_and(|sent| now.saturating_sub(sent.sent_at) < COMMAND_RETRY_INTERVAL)
+        {
             return;
         }
-        self.machines_ordered.insert(machine.clone(), SentCommand { at: now, is_open: true });
+        self.machine_commands
+            .insert(machine.clone(), SentCommand { sent_at: now, is_pending: true });
         commands.push(Command::Machine(MachineCommand::Maintain { machine, wave: number }));
     }
 
-    /// Waves whose status in the store is behind.
+    /// Returns the waves whose status in the store is outdated.
     pub(super) fn wave_statuses(&self) -> Vec<(WaveNumber, bool)> {
-        let behind = self.waves.values().filter_map(|progress| {
+        let outdated = self.waves.values().filter_map(|progress| {
             let is_complete = self.is_complete(progress);
             (progress.stored != Some(is_complete)).then_some((progress.wave.number, is_complete))
         });
-        behind.collect()
+        outdated.collect()
     }
 
-    /// Whether the maintenance of each machine has begun, but of those that have left for good.
+    /// Returns whether the maintenance of every machine has started. Machines that are no longer
+    /// listed do not count.
     fn is_complete(&self, progress: &WaveProgress) -> bool {
-        let listed_lately = self.machines_listed.is_some_and(|at| at > progress.since);
-        listed_lately
+        let is_listed_after = self.machines_listed_at.is_some_and(|at| at > progress.since);
+        is_listed_after
             && progress.wave.machines.iter().all(|machine| {
                 let is_listed = self.machines.get(machine).is_some();
                 progress.begun.contains_key(machine) || !is_listed
             })
     }
 
-    pub(super) fn note_wave_statuses(&mut self, statuses: &[(WaveNumber, bool)]) {
+    pub(super) fn mark_wave_statuses_stored(&mut self, statuses: &[(WaveNumber, bool)]) {
         for (number, is_complete) in statuses {
             if let Some(progress) = self.waves.get_mut(number) {
                 progress.stored = Some(*is_complete);
@@ -431,14 +452,15 @@
     }
 }
 
-/// How many machines of a wave are down at once: as few as keep its term.
+/// Returns how many machines of a wave may be down at the same time: as few as its time limit
+/// allows.
 ///
-/// Answers the load pattern of a wave that begins while a service has its turn: the machines that
-/// are wanted go down evenly over the term and not all at its begin.
-fn at_once(progress: &WaveProgress, open: usize, now: Moment) -> usize {
-    let planned = progress.wave.time_limit.mul_f64(1.0 - SPARE_PART);
+/// A wave may start while a service is under load. Machines that are needed then go down evenly
+/// over the time limit instead of all at its start.
+fn planned_down(progress: &WaveProgress, remaining: usize, now: Moment) -> usize {
+    let planned = progress.wave.time_limit.mul_f64(1.0 - RESERVE_SHARE);
     let left = (progress.since + planned).saturating_sub(now);
     let rounds = (left.as_secs_f64() / MAINTENANCE_TIME.as_secs_f64()).floor().max(1.0);
-    let needed = (open as f64 / rounds).ceil() as usize;
+    let needed = (remaining as f64 / rounds).ceil() as usize;
     needed.clamp(1, progress.wave.concurrent_max.max(1))
 }
--- a/crates/jobs/src/scheduler/plan.rs
+++ b/crates/jobs/src/scheduler/plan.rs
@@ -1,4 +1,4 @@
-//! Which orders follow from the present state.
+//! Planning pass: derives the commands that are due from the current state.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -17,26 +17,27 @@
 use crate::step_order::{WaitingStep, sort};
 use crate::worker::{PollPhase, Run, RunKind, RunPhase};
 
-/// Time after which services are planned again without news, for delays that have passed.
+/// Time after which all services are planned again without a change, because delays have expired.
 const REPLAN_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two plans of a service in which steps found no room: what becomes free gathers.
-const FULL_INTERVAL: Duration = Duration::from_millis(5);
-/// A step that has found no room for this long has a worker kept for it.
+/// Time between two placement passes of a service without enough free capacity, so that freed
+/// capacity accumulates.
+const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// A step that has waited this long for capacity has a worker reserved for it.
 const RESERVE_AFTER: Duration = Duration::from_millis(400);
-/// Most workers of a service that are kept for steps that found no room.
-const RESERVED_MAX: usize = 2;
-/// Ends of different jobs that must have failed on a worker before it is suspected.
-const SUSPECT_JOBS: usize = 3;
+/// Maximum number of workers of a service that are reserved for waiting steps.
+const RESERVATIONS_MAX: usize = 2;
+/// Number of different jobs that must have failed on a worker before it is suspected.
+const SUSPECT_JOBS_MIN: usize = 3;
 
 impl Scheduler {
-    /// The orders that are due now, at a time of day `unix`.
-    pub fn plan(&mut self, unix: Duration, now: Moment) -> Vec<Command> {
+    /// Returns the commands that are due at `now`, which is the Unix time `now_unix`.
+    pub fn plan(&mut self, now_unix: Duration, now: Moment) -> Vec<Command> {
         let mut commands = Vec::new();
-        self.unix = unix;
-        if now.saturating_sub(self.planned_all) >= REPLAN_INTERVAL {
-            self.note_delays(now.saturating_sub(self.planned_all), now);
-            self.planned_all = now;
-            self.start_due_occurrences(unix, now);
+        self.last_plan_unix = now_unix;
+        if now.saturating_sub(self.last_full_plan) >= REPLAN_INTERVAL {
+            self.record_delays(now.saturating_sub(self.last_full_plan), now);
+            self.last_full_plan = now;
+            self.start_due_occurrences(now_unix, now);
             self.mark_all_changed();
             for slot in self.active_slots().collect::<Vec<_>>() {
                 self.expire_lease(slot, now);
@@ -46,24 +47,25 @@
             self.plan_throttling(now, &mut commands);
         }
         self.issue_machine_moves(now, &mut commands);
-        for service in std::mem::take(&mut self.changed) {
+        for service in std::mem::take(&mut self.changed_services) {
             if self.next_placement.get(&service).is_some_and(|until| now < *until) {
-                self.changed.insert(service);
+                self.changed_services.insert(service);
                 continue;
             }
             self.plan_service(&service, now, &mut commands);
         }
-        commands.extend(self.due_stops(now));
+        commands.extend(self.due_stop_commands(now));
         self.due_polls(now, &mut commands);
         commands
     }
 
-    /// When the next order falls due without news.
+    /// Returns when the next command is due if nothing changes.
     pub fn next_due(&self, now: Moment) -> Moment {
         let poll = self.poll_queue.peek().map_or(Moment::MAX, |Reverse((at, _))| *at);
-        let full = self.changed.iter().filter_map(|service| self.next_placement.get(service));
-        let pass = full.min().copied().unwrap_or(Moment::MAX);
-        poll.min(pass).min(now + REPLAN_INTERVAL)
+        let postponed =
+            self.changed_services.iter().filter_map(|service| self.next_placement.get(service));
+        let next_pass = postponed.min().copied().unwrap_or(Moment::MAX);
+        poll.min(next_pass).min(now + REPLAN_INTERVAL)
     }
 
     fn due_polls(&mut self, now: Moment, commands: &mut Vec<Command>) {
@@ -79,7 +81,7 @@
                 due.push(Reverse((at, worker)));
             }
         }
-        // A look stays due until it is on its way.
+        // A poll stays due until it is sent.
         self.poll_queue.extend(due);
         let is_polled = |commands: &[Command], slot: WorkerSlot| {
             commands
@@ -100,46 +102,46 @@
         }
         sort(&mut eligible_steps, now);
         let mut candidates = self.candidates(service, now);
-        let mut reserved = 0;
+        let mut reserved_count = 0;
         let mut unplaced = UnplaceableRequirements::default();
         for waiting_step in &eligible_steps {
             if candidates.is_empty() {
                 break;
             }
             let waited = now.saturating_sub(waiting_step.ready_since);
-            let may_reserve =
-                reserved < RESERVED_MAX && (waiting_step.long_running || waited >= RESERVE_AFTER);
-            let plain = self.plain_requirements(waiting_step.step);
-            if !may_reserve && plain.is_some_and(|plain| unplaced.covers(&plain)) {
+            let may_reserve = reserved_count < RESERVATIONS_MAX
+                && (waiting_step.long_running || waited >= RESERVE_AFTER);
+            let simple = self.simple_requirements(waiting_step.step);
+            if !may_reserve && simple.is_some_and(|simple| unplaced.covers(&simple)) {
                 continue;
             }
-            let open = self.place_step(waiting_step.step, &mut candidates, now, commands);
-            let Some(requirements) = open else { continue };
-            if plain.is_some() {
+            let unmet = self.place_step(waiting_step.step, &mut candidates, now, commands);
+            let Some(requirements) = unmet else { continue };
+            if simple.is_some() {
                 unplaced.record(&requirements);
             }
             if may_reserve {
-                let kept = choose_reservation(&requirements, &candidates);
-                reserved += usize::from(kept.is_some());
-                candidates.retain(|candidate| Some(candidate.slot) != kept);
+                let reserved_slot = choose_reservation(&requirements, &candidates);
+                reserved_count += usize::from(reserved_slot.is_some());
+                candidates.retain(|candidate| Some(candidate.slot) != reserved_slot);
             }
         }
         if !unplaced.is_empty() {
-            self.next_placement.insert(service.into(), now + FULL_INTERVAL);
+            self.next_placement.insert(service.into(), now + PLACEMENT_RETRY_INTERVAL);
         }
     }
 
-    /// Steps of a service with tasks that may start now.
+    /// Returns the steps of a service with tasks that may start now.
     fn eligible_steps(&mut self, service: &str, now: Moment) -> Vec<WaitingStep> {
         let are_inherited_runs_known = self.are_inherited_runs_known(service, now);
         let mut eligible_steps = Vec::new();
-        let mut settled = Vec::new();
+        let mut without_waiting = Vec::new();
         for id in self.waiting_steps.of(service) {
             let Some(job) = self.jobs.get(&id.job) else { continue };
             let Some(step) = job.step(id) else { continue };
             let mut waiting = step.tasks.iter().filter(|task| task.is_waiting()).peekable();
             if waiting.peek().is_none() {
-                settled.push(id);
+                without_waiting.push(id);
             } else if (are_inherited_runs_known || job.has_no_prior_runs)
                 && !job.awaits_start_write()
                 && waiting.any(|task| task.earliest_start <= now)
@@ -147,33 +149,35 @@
                 eligible_steps.extend(self.waiting_step(job, id));
             }
         }
-        for id in settled {
+        for id in without_waiting {
             self.waiting_steps.remove(service, id);
         }
         eligible_steps
     }
 
-    /// What a task of a step takes, if it may run on any worker with room.
-    fn plain_requirements(&self, step: StepId) -> Option<Resources> {
+    /// Returns the resources that a task of a step takes; `None` for a gang or a step that is
+    /// subject to a placement policy.
+    fn simple_requirements(&self, step: StepId) -> Option<Resources> {
         let spec = self.spec(step)?;
-        let is_plain = !spec.gang && self.placement_policy(step).is_none();
-        is_plain.then(|| spec.reserved())
+        let is_simple = !spec.gang && self.placement_policy(step).is_none();
+        is_simple.then(|| spec.reserved())
     }
 
-    /// Whether no earlier owner can have started anything of a step's job.
+    /// Returns whether no previous owner can have started any task of a step's job.
     pub(super) fn has_no_prior_runs(&self, step: StepId) -> bool {
         let job = self.jobs.get(&step.job);
         job.is_some_and(|job| job.has_no_prior_runs)
     }
 
-    /// Whether tasks of a job may start: the store says so, or is about to be told.
+    /// Returns whether tasks of a step's job may start: only once the start of the job is stored.
+    /// Requests the write if needed.
     pub(super) fn ensure_start_stored(&mut self, step: StepId) -> bool {
         let Some(job) = self.jobs.get_mut(&step.job) else { return false };
         let is_start_stored = job.is_start_stored;
         if !is_start_stored && job.state == JobState::Queued {
             job.state = JobState::Running;
             self.mark_unwritten(step.job);
-            self.raise_urgency(WriteUrgency::High);
+            self.raise_write_urgency(WriteUrgency::High);
         }
         is_start_stored
     }
@@ -195,7 +199,7 @@
         })
     }
 
-    /// When a repetition of a job stops being worth its full value.
+    /// Returns the latest completion time at which a repetition of a job has its full value.
     pub(super) fn objective(&self, job: &Job, occurrence: &Occurrence) -> Moment {
         let queue = self.config.queues.get(&job.record.queue);
         let critical_path_factor = queue.map_or(1.0, |queue| queue.critical_path_factor.max(1.0));
@@ -204,10 +208,10 @@
     }
 
     pub(super) fn candidates(&self, service: &str, now: Moment) -> Vec<Candidate> {
-        let of_service =
+        let workers_of_service =
             self.service_slots(service).iter().map(|slot| (*slot, &self.workers[*slot]));
-        let usable = of_service.filter(|(_, worker)| {
-            worker.is_usable(now) && !self.evacuated.contains(&worker.entry.zone)
+        let usable = workers_of_service.filter(|(_, worker)| {
+            worker.is_usable(now) && !self.evacuated_zones.contains(&worker.entry.zone)
         });
         usable
             .map(|(slot, worker)| Candidate {
@@ -229,7 +233,8 @@
         self.jobs.get(&step.job).and_then(|job| job.spec(step.step))
     }
 
-    /// Starts what fits of a step; returns what it asks for if tasks are left over.
+    /// Starts as many tasks of a step as fit; returns the requirements of a task if some did not
+    /// fit.
     fn place_step(
         &mut self,
         id: StepId,
@@ -249,11 +254,11 @@
             opportunistic: spec.opportunistic,
         };
         self.count_same_step(id, spec, candidates);
-        let asks = self.placement_policy(id).is_some();
-        if asks {
+        let has_policy = self.placement_policy(id).is_some();
+        if has_policy {
             self.query_policy(id, candidates, now, commands);
         }
-        let tickets = asks.then(|| self.valid_tickets(id, now));
+        let tickets = has_policy.then(|| self.valid_tickets(id, now));
         if spec.gang {
             return self.place_gang(
                 id,
@@ -280,7 +285,7 @@
                 return None;
             }
             let ticket = tickets.as_ref().and_then(|tickets| tickets.get(&slot).cloned());
-            let run = self.next_run(task);
+            let run = self.next_run_number(task);
             self.command_start(task, run, slot, spec, ticket, now, commands);
             deduct_task(candidates, slot, &requirements);
         }
@@ -297,7 +302,7 @@
         waiting.filter_map(|(index, _)| u32::try_from(index).ok()).collect()
     }
 
-    /// The worker for a task, among those that it may use.
+    /// Chooses the worker for a task among the candidates that it may use.
     pub(super) fn choose_worker_for(
         &self,
         task: TaskId,
@@ -342,12 +347,12 @@
         limits.admits(&used, task_resources)
     }
 
-    pub(super) fn next_run(&self, task: TaskId) -> u32 {
+    pub(super) fn next_run_number(&self, task: TaskId) -> u32 {
         let entry = self.jobs.get(&task.step.job).and_then(|job| job.task(task));
         entry.map_or(0, |entry| entry.last_run) + 1
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the parts of one order")]
+    #[expect(clippy::too_many_arguments, reason = "the parts of one command")]
     pub(super) fn command_start(
         &mut self,
         task: TaskId,
@@ -363,7 +368,7 @@
         entry.last_run = run;
         entry.active_runs.push(slot);
         self.adjust_team_usage(task.step.job, &spec.task_resources, true);
-        let ordered = Run {
+        let new_run = Run {
             number: run,
             phase: RunPhase::Starting,
             since: now,
@@ -378,12 +383,12 @@
             load_metric: 0,
             speed_percent: 100,
         };
-        self.workers[slot].add(task, ordered);
+        self.workers[slot].add(task, new_run);
         commands.push(Command::Start { worker: slot, task, run, ticket });
     }
 }
 
-/// Takes the room of a placed task from a candidate.
+/// Deducts a placed task from the free resources of a candidate.
 pub(super) fn deduct_task(
     candidates: &mut [Candidate],
     slot: WorkerSlot,
@@ -399,12 +404,12 @@
     chosen.opportunistic += u32::from(requirements.opportunistic);
 }
 
-/// Whether runs of several jobs have failed on a worker lately, and most of them.
+/// Returns whether at least half of the recent runs on a worker failed, from several jobs.
 fn is_suspect(recent_ends: &[(u64, bool)]) -> bool {
-    let mut failed: Vec<u64> =
-        recent_ends.iter().filter(|(_, failed)| *failed).map(|(job, _)| *job).collect();
-    let failures = failed.len();
-    failed.sort_unstable();
-    failed.dedup();
-    failed.len() >= SUSPECT_JOBS && 2 * failures >= recent_ends.len()
+    let mut failed_jobs: Vec<u64> =
+        recent_ends.iter().filter(|(_, has_failed)| *has_failed).map(|(job, _)| *job).collect();
+    let failures = failed_jobs.len();
+    failed_jobs.sort_unstable();
+    failed_jobs.dedup();
+    failed_jobs.len() >= SUSPECT_JOBS_MIN && 2 * failures >= recent_ends.len()
 }
--- a/crates/jobs/src/scheduler/policy_queries.rs
+++ b/crates/jobs/src/scheduler/policy_queries.rs
@@ -1,4 +1,4 @@
-//! Tickets of the placement policy.
+//! Queries to the placement policy and the tickets that it grants.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -13,31 +13,31 @@
 use crate::placement::Candidate;
 use crate::spec::StepId;
 
-/// Workers in one question.
-const WORKERS_MAX: usize = 12;
-/// Questions that are open at once; the policy answers one at a time.
+/// Maximum number of workers in one query.
+const QUERY_WORKERS_MAX: usize = 12;
+/// Maximum number of open queries; the policy processes one at a time.
 const OPEN_QUERIES_MAX: usize = 2;
-/// A ticket is not used this shortly before it expires.
+/// A ticket is not used within this time before it expires.
 const TICKET_MARGIN: Duration = Duration::from_millis(250);
-/// Time after an unanswered question until the next one about the same step.
-const QUERY_RETRY: Duration = Duration::from_millis(200);
+/// Delay before the next query about a step after one without a response.
+const QUERY_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A question to the placement policy.
+/// A query to the placement policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PolicyQuery {
     /// The step.
     pub step: StepId,
-    /// Workers that it is about.
+    /// Workers to check.
     pub workers: Vec<WorkerId>,
 }
 
-/// What is known about the workers that may run a step.
+/// Tickets and refusals that the placement policy has returned for a step.
 #[derive(Debug, Default)]
 pub(super) struct StepTickets {
     tickets: HashMap<WorkerSlot, (Arc<str>, Moment)>,
     refused: HashSet<WorkerSlot>,
-    is_asking: bool,
-    next_ask: Moment,
+    is_query_open: bool,
+    next_query: Moment,
 }
 
 impl Scheduler {
@@ -46,14 +46,15 @@
         self.config.queues.get(&job.record.queue)?.placement_policy
     }
 
-    /// Tickets of a step that can be used now.
+    /// Returns the tickets of a step that are valid now.
     pub(super) fn valid_tickets(&self, step: StepId, now: Moment) -> HashMap<WorkerSlot, Arc<str>> {
-        let known = self.tickets.get(&step).map(|known| &known.tickets);
-        let valid = known.into_iter().flatten().filter(|(_, (_, until))| now < *until);
+        let tickets = self.step_tickets.get(&step).map(|step_tickets| &step_tickets.tickets);
+        let valid = tickets.into_iter().flatten().filter(|(_, (_, until))| now < *until);
         valid.map(|(slot, (proof, _))| (*slot, proof.clone())).collect()
     }
 
-    /// Asks about a step, if more tickets could help it.
+    /// Queries the placement policy about the candidates that have neither a valid ticket nor a
+    /// refusal.
     pub(super) fn query_policy(
         &mut self,
         step: StepId,
@@ -64,29 +65,33 @@
         if self.open_queries >= OPEN_QUERIES_MAX {
             return;
         }
-        let known = self.tickets.entry(step).or_default();
-        if known.is_asking || now < known.next_ask {
+        let step_tickets = self.step_tickets.entry(step).or_default();
+        if step_tickets.is_query_open || now < step_tickets.next_query {
             return;
         }
-        let mut open: Vec<&Candidate> = candidates
+        let mut undecided: Vec<&Candidate> = candidates
             .iter()
             .filter(|candidate| {
-                let valid = known.tickets.get(&candidate.slot).is_some_and(|(_, at)| now < *at);
-                !valid && !known.refused.contains(&candidate.slot)
+                let is_valid =
+                    step_tickets.tickets.get(&candidate.slot).is_some_and(|(_, at)| now < *at);
+                !is_valid && !step_tickets.refused.contains(&candidate.slot)
             })
             .collect();
-        if open.is_empty() {
+        if undecided.is_empty() {
             return;
         }
-        open.sort_by_key(|candidate| std::cmp::Reverse(candidate.free.processors_milli));
-        open.truncate(WORKERS_MAX);
-        known.is_asking = true;
+        undecided.sort_by_key(|candidate| std::cmp::Reverse(candidate.free.processors_milli));
+        undecided.truncate(QUERY_WORKERS_MAX);
+        step_tickets.is_query_open = true;
         self.open_queries += 1;
-        let workers = open.iter().map(|one| self.workers[one.slot].entry.id.clone()).collect();
+        let workers = undecided
+            .iter()
+            .map(|candidate| self.workers[candidate.slot].entry.id.clone())
+            .collect();
         commands.push(Command::QueryPolicy(PolicyQuery { step, workers }));
     }
 
-    /// Takes in the answer to a question that was sent at `sent`.
+    /// Handles the response to a query that was sent at `sent`.
     pub fn handle_policy_response(
         &mut self,
         query: &PolicyQuery,
@@ -97,10 +102,10 @@
         self.open_queries = self.open_queries.saturating_sub(1);
         self.mark_job_service_changed(query.step.job);
         let current_slots = &self.current_slots;
-        let Some(known) = self.tickets.get_mut(&query.step) else { return };
-        known.is_asking = false;
+        let Some(step_tickets) = self.step_tickets.get_mut(&query.step) else { return };
+        step_tickets.is_query_open = false;
         let Some(response) = response else {
-            known.next_ask = now + QUERY_RETRY;
+            step_tickets.next_query = now + QUERY_RETRY_DELAY;
             return;
         };
         let until = sent + response.valid_for.saturating_sub(TICKET_MARGIN);
@@ -108,19 +113,19 @@
             let Some(slot) = current_slots.get(id).copied() else { continue };
             match response.tickets.iter().find(|ticket| ticket.worker == *id) {
                 Some(ticket) => {
-                    known.tickets.insert(slot, (ticket.proof.clone(), until));
+                    step_tickets.tickets.insert(slot, (ticket.proof.clone(), until));
                 }
                 None => {
-                    known.refused.insert(slot);
+                    step_tickets.refused.insert(slot);
                 }
             }
         }
     }
 
-    /// Forgets a ticket that a worker did not take.
+    /// Removes a ticket that a worker refused.
     pub(super) fn discard_ticket(&mut self, step: StepId, slot: WorkerSlot) {
-        if let Some(known) = self.tickets.get_mut(&step) {
-            known.tickets.remove(&slot);
+        if let Some(step_tickets) = self.step_tickets.get_mut(&step) {
+            step_tickets.tickets.remove(&slot);
         }
     }
 }
--- a/crates/jobs/src/scheduler/polls.rs
+++ b/crates/jobs/src/scheduler/polls.rs
@@ -1,4 +1,4 @@
-//! What a look at a worker changes.
+//! Polls of workers and the changes that their responses cause.
 
 use std::cmp::Reverse;
 use std::collections::HashSet;
@@ -14,26 +14,27 @@
 use crate::spec::TaskId;
 use crate::worker::{PollPhase, Run, RunKind, RunPhase};
 
-/// How long a worker with work waits for an end before it answers a look.
-const WAIT_BUSY: Duration = Duration::from_millis(1_000);
-/// How long a worker without work waits before it answers a look.
-const WAIT_IDLE: Duration = Duration::from_millis(2_000);
-/// Time between an answer without ends and the next look.
-const POLL_GAP: Duration = Duration::from_millis(15);
-/// Shortest time between an answer with ends and the next look. Until they are stored and
-/// acknowledged, the worker would answer at once and show them again; meanwhile others gather.
-const ENDS_GAP: Duration = Duration::from_millis(40);
-/// Looks a second, at all workers, that may show ends again that are not stored.
+/// How long a worker with runs may hold a poll open for a run to end.
+const POLL_WAIT_BUSY: Duration = Duration::from_millis(1_000);
+/// How long a worker without runs may hold a poll open.
+const POLL_WAIT_IDLE: Duration = Duration::from_millis(2_000);
+/// Delay between a response without run ends and the next poll.
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
+/// Minimum delay between a response with run ends and the next poll. Until the ends are stored and
+/// acknowledged, the worker would respond immediately and report them again; the delay also lets
+/// further ends accumulate.
+const ENDS_POLL_INTERVAL_MIN: Duration = Duration::from_millis(40);
+/// Maximum number of polls per second, over all workers, that may report unstored run ends again.
 const REPEATED_POLLS_PER_S: f64 = 1_500.0;
-/// Time between a failed look and the next one.
-const RETRY_GAP: Duration = Duration::from_millis(200);
-/// Failed looks after which a worker that is not listed counts as lost once its lease is over.
+/// Delay between a failed poll and the next one.
+const POLL_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Failed polls after which an unlisted worker counts as lost once its lease has expired.
 const FAILED_POLLS_MAX: u32 = 2;
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::looks";
 
 impl Scheduler {
-    /// The look that is due at a worker. It extends the lease of what runs there.
+    /// Returns the poll that is due for a worker. It extends the lease of all runs there.
     pub fn poll_request(
         &mut self,
         slot: WorkerSlot,
@@ -51,49 +52,50 @@
         let wait = match (worker.is_confirmed, worker.runs.is_empty()) {
             (false, _) => Duration::ZERO,
             _ if is_out_of_band => Duration::ZERO,
-            (true, true) => WAIT_IDLE,
-            (true, false) => WAIT_BUSY,
+            (true, true) => POLL_WAIT_IDLE,
+            (true, false) => POLL_WAIT_BUSY,
         };
-        // Before its life is known again, nothing may be acknowledged to the worker: it may be a
-        // new life, whose ends have the same numbers.
+        // Nothing may be acknowledged while the worker's incarnation is unconfirmed: a new one
+        // would use the same numbers for its run ends.
         let acknowledged = if worker.is_confirmed { worker.last_end_stored } else { 0 };
         PollRequest { token, acknowledged, lease_until, wait }
     }
 
-    /// Takes in what a look showed, that was sent at `sent` and answered at `now`.
+    /// Handles the response to a poll that was sent at `sent` and received at `now`.
     ///
-    /// A look that was sent before one that has been taken in shows ends alone: what it says of
-    /// runs may be older.
+    /// If a later poll has been handled already, only the run ends are used: the list of running
+    /// tasks may be outdated.
     pub fn handle_poll_response(
         &mut self,
         slot: WorkerSlot,
         is_out_of_band: bool,
         sent: Moment,
         now: Moment,
-        poll: PollResponse,
+        response: PollResponse,
     ) {
         let worker = &mut self.workers[slot];
         if worker.is_gone {
             return;
         }
-        let (known, seen) = (worker.entry.started_unix, poll.started_unix);
-        if known.is_some() && seen.is_some() && known != seen {
-            self.start_incarnation(slot, seen, now);
+        let (known_start, reported_start) = (worker.entry.started_unix, response.started_unix);
+        if known_start.is_some() && reported_start.is_some() && known_start != reported_start {
+            self.start_incarnation(slot, reported_start, now);
         }
-        let ends_gap = ends_gap(self.workers_with_unstored_ends);
+        let ends_poll_interval = ends_poll_interval(self.workers_with_unstored_ends);
         let worker = &mut self.workers[slot];
-        worker.entry.started_unix = worker.entry.started_unix.or(seen);
-        worker.set_clock(poll.clock, now);
-        let first = !worker.is_confirmed;
+        worker.entry.started_unix = worker.entry.started_unix.or(reported_start);
+        worker.set_clock(response.clock, now);
+        let is_first = !worker.is_confirmed;
         worker.is_confirmed = true;
         worker.unresponsive_since = None;
         worker.was_confirmed = true;
         worker.failed_polls = 0;
-        // A worker that was lost from sight may hold runs whose lease is about to end.
-        let next = match (first, poll.ended.is_empty()) {
+        // A worker that did not respond may have runs whose lease is about to expire, so it is
+        // polled again immediately.
+        let next = match (is_first, response.ended.is_empty()) {
             (true, _) => now,
-            (false, true) => now + POLL_GAP,
-            (false, false) => now + ends_gap,
+            (false, true) => now + POLL_INTERVAL,
+            (false, false) => now + ends_poll_interval,
         };
         if !is_out_of_band {
             worker.poll = PollPhase::DueAt(next);
@@ -101,86 +103,90 @@
         }
         let is_latest = sent >= worker.poll_sent;
         worker.poll_sent = worker.poll_sent.max(sent);
-        if first {
+        if is_first {
             self.mark_worker_service_changed(slot);
         }
-        let mut shown: HashSet<TaskId> = HashSet::with_capacity(poll.running.len());
-        for row in poll.ended {
-            self.note_end(slot, row, now);
+        let mut reported: HashSet<TaskId> = HashSet::with_capacity(response.running.len());
+        for ended_run in response.ended {
+            self.receive_run_end(slot, ended_run, now);
         }
         if !is_latest {
             return;
         }
-        for row in poll.running {
-            shown.insert(row.task);
-            self.note_running(slot, row, now);
+        for running_run in response.running {
+            reported.insert(running_run.task);
+            self.receive_running_run(slot, running_run, now);
         }
-        self.drop_vanished(slot, &shown, sent, now);
-        self.stop_unbegun(slot, &shown, sent, now);
+        self.release_missing_runs(slot, &reported, sent, now);
+        self.stop_unstarted_runs(slot, &reported, sent, now);
     }
 
-    /// Has a worker looked at, all of whose ends have come into the store: until then it showed
-    /// them again.
+    /// Brings forward the poll of a worker whose run ends are all stored, to acknowledge them.
+    /// Until then the worker reports them again.
     pub(super) fn schedule_ack_poll(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &mut self.workers[slot];
-        let due = now.max(worker.last_answered.unwrap_or(now) + ENDS_GAP);
+        let due = now.max(worker.last_answered.unwrap_or(now) + ENDS_POLL_INTERVAL_MIN);
         if matches!(worker.poll, PollPhase::DueAt(at) if at > due) && worker.is_confirmed {
             worker.poll = PollPhase::DueAt(due);
             self.poll_queue.push(Reverse((due, slot)));
         }
     }
 
-    /// Whether a look shows ends, but none that has not been taken in.
-    pub fn has_only_known_ends(&self, slot: WorkerSlot, poll: &PollResponse) -> bool {
-        let seen = self.workers[slot].last_end_seen;
-        !poll.ended.is_empty() && poll.ended.iter().all(|row| row.number <= seen)
+    /// Returns whether a poll response contains run ends, but only ones that were received before.
+    pub fn has_only_known_ends(&self, slot: WorkerSlot, response: &PollResponse) -> bool {
+        let last_seen = self.workers[slot].last_end_seen;
+        !response.ended.is_empty()
+            && response.ended.iter().all(|ended_run| ended_run.number <= last_seen)
     }
 
-    fn note_end(&mut self, slot: WorkerSlot, row: EndedRun, now: Moment) {
+    /// Counts and handles a run end, unless it was received before.
+    fn receive_run_end(&mut self, slot: WorkerSlot, ended_run: EndedRun, now: Moment) {
         let worker = &mut self.workers[slot];
-        if row.number <= worker.last_end_seen {
+        if ended_run.number <= worker.last_end_seen {
             return;
         }
-        worker.last_end_seen = row.number;
+        worker.last_end_seen = ended_run.number;
         self.run_ends_received += 1;
         self.workers_with_unstored_ends += usize::from(worker.ends_unstored.is_empty());
-        worker.ends_unstored.push_back((row.number, self.run_ends_received));
-        if row.end == RunEnd::Done {
-            self.raise_urgency(WriteUrgency::Normal);
+        worker.ends_unstored.push_back((ended_run.number, self.run_ends_received));
+        if ended_run.end == RunEnd::Done {
+            self.raise_write_urgency(WriteUrgency::Normal);
         }
-        self.ensure_occurrence_started(row.task.step, now);
-        self.handle_run_end(slot, &row, now);
+        self.ensure_occurrence_started(ended_run.task.step, now);
+        self.handle_run_end(slot, &ended_run, now);
     }
 
-    fn note_running(&mut self, slot: WorkerSlot, row: RunningRun, now: Moment) {
+    /// Updates a run that a worker reports as running, or adopts it.
+    fn receive_running_run(&mut self, slot: WorkerSlot, running_run: RunningRun, now: Moment) {
         let token = self.term.token;
         let worker = &mut self.workers[slot];
-        if let Some(run) = worker.runs.get_mut(&row.task)
-            && run.number == row.run
+        if let Some(run) = worker.runs.get_mut(&running_run.task)
+            && run.number == running_run.run
         {
             if run.phase == RunPhase::Starting {
                 run.phase = RunPhase::Running;
             }
             run.confirmed = run.confirmed.or(Some(now));
-            if run.percent != row.percent {
-                run.percent = row.percent;
+            if run.percent != running_run.percent {
+                run.percent = running_run.percent;
                 run.last_progress = now;
             }
-            run.load_metric = row.load_metric;
-            self.mark_job_started(slot, row.task, now);
-            self.note_checkpoint(row.task, row.checkpoint);
+            run.load_metric = running_run.load_metric;
+            self.mark_job_started(slot, running_run.task, now);
+            self.set_checkpoint(running_run.task, running_run.checkpoint);
             return;
         }
-        if worker.runs.contains_key(&row.task) {
-            // An older run of a task that was ordered here again: the worker refuses one of them.
+        if worker.runs.contains_key(&running_run.task) {
+            // An older run of a task that was started here again: the worker refuses one of them.
             return;
         }
-        self.adopt(slot, row, token, now);
+        self.adopt_run(slot, running_run, token, now);
     }
 
-    /// Takes over a run that was not ordered by this owner, or lets it end where it must not be.
-    fn adopt(&mut self, slot: WorkerSlot, row: RunningRun, token: u64, now: Moment) {
-        let id = row.task;
+    /// Adopts a run that this owner did not start; stops it if the task must not run on this
+    /// worker.
+    fn adopt_run(&mut self, slot: WorkerSlot, running_run: RunningRun, token: u64, now: Moment) {
+        let id = running_run.task;
         self.ensure_occurrence_started(id.step, now);
         let job = self.jobs.get_mut(&id.step.job);
         let spec = job.as_ref().and_then(|job| job.spec(id.step.step)).cloned();
@@ -189,18 +195,18 @@
         let (quota_usage, reserved) =
             spec.as_ref().map(|spec| (spec.task_resources, spec.reserved())).unwrap_or_default();
         let kind = spec.as_ref().map(RunKind::from).unwrap_or_default();
-        let mut is_wanted = false;
+        let mut should_run = false;
         if let Some(job) = job {
             job.has_started = true;
             if let Some(task) = job.task_mut(id) {
-                task.last_run = task.last_run.max(row.run);
-                is_wanted =
+                task.last_run = task.last_run.max(running_run.run);
+                should_run =
                     is_live && !task.is_done && (speculative || task.active_runs.is_empty());
                 task.active_runs.push(slot);
             }
         }
         let run = Run {
-            number: row.run,
+            number: running_run.run,
             phase: RunPhase::Running,
             since: now,
             start_unanswered_at: None,
@@ -209,9 +215,9 @@
             kind,
             reserved,
             quota_usage,
-            percent: row.percent,
+            percent: running_run.percent,
             last_progress: now,
-            load_metric: row.load_metric,
+            load_metric: running_run.load_metric,
             speed_percent: 100,
         };
         self.adjust_team_usage(id.step.job, &run.quota_usage, true);
@@ -221,18 +227,18 @@
             target: LOG_TARGET,
             JobsEvent::RunAdopted,
             task = id,
-            run = row.run,
+            run = running_run.run,
             worker = worker.entry.id,
             token = token,
-            wanted = is_wanted
+            wanted = should_run
         );
-        self.note_checkpoint(id, row.checkpoint);
-        if !is_wanted {
+        self.set_checkpoint(id, running_run.checkpoint);
+        if !should_run {
             self.stop_run(slot, id, now);
         }
     }
 
-    fn note_checkpoint(&mut self, task: TaskId, checkpoint: Option<std::sync::Arc<str>>) {
+    fn set_checkpoint(&mut self, task: TaskId, checkpoint: Option<std::sync::Arc<str>>) {
         let Some(checkpoint) = checkpoint else { return };
         let job = self.jobs.get_mut(&task.step.job);
         let Some(task) = job.and_then(|job| job.task_mut(task)) else { return };
@@ -241,29 +247,29 @@
         }
     }
 
-    /// Ends the runs that a look, sent after their last news, does not show.
-    fn drop_vanished(
+    /// Removes the runs that are missing from a poll sent after they were last confirmed.
+    fn release_missing_runs(
         &mut self,
         slot: WorkerSlot,
-        shown: &HashSet<TaskId>,
+        reported: &HashSet<TaskId>,
         sent: Moment,
         now: Moment,
     ) {
         let worker = &self.workers[slot];
-        let vanished: Vec<TaskId> = worker
+        let missing: Vec<TaskId> = worker
             .runs
             .iter()
             .filter(|(task, run)| {
-                let settled = match run.phase {
+                let confirmed_at = match run.phase {
                     RunPhase::Starting => None,
                     RunPhase::Running => run.confirmed,
                     RunPhase::Stopping { confirmed, .. } => confirmed,
                 };
-                !shown.contains(*task) && settled.is_some_and(|at| at < sent)
+                !reported.contains(*task) && confirmed_at.is_some_and(|at| at < sent)
             })
             .map(|(task, _)| *task)
             .collect();
-        for task in vanished {
+        for task in missing {
             emit!(
                 target: LOG_TARGET,
                 JobsEvent::RunVanished,
@@ -274,28 +280,28 @@
         }
     }
 
-    /// Orders runs to end whose start was not answered and that a later look does not show: they
-    /// might begin late.
-    fn stop_unbegun(
+    /// Stops the runs whose start command got no response and that a later poll does not report:
+    /// they might still start.
+    fn stop_unstarted_runs(
         &mut self,
         slot: WorkerSlot,
-        shown: &HashSet<TaskId>,
+        reported: &HashSet<TaskId>,
         sent: Moment,
         now: Moment,
     ) {
         let runs = self.workers[slot].runs.iter();
-        let unbegun = runs.filter(|(task, run)| {
+        let unstarted = runs.filter(|(task, run)| {
             run.phase == RunPhase::Starting
                 && run.start_unanswered_at.is_some_and(|at| at < sent)
-                && !shown.contains(*task)
+                && !reported.contains(*task)
         });
-        let unbegun: Vec<TaskId> = unbegun.map(|(task, _)| *task).collect();
-        for task in unbegun {
+        let unstarted: Vec<TaskId> = unstarted.map(|(task, _)| *task).collect();
+        for task in unstarted {
             self.stop_run(slot, task, now);
         }
     }
 
-    /// Takes in that a look brought nothing.
+    /// Handles a failed poll.
     pub fn handle_poll_failure(
         &mut self,
         slot: WorkerSlot,
@@ -305,11 +311,11 @@
     ) {
         let worker = &mut self.workers[slot];
         if is_out_of_band {
-            // The look that waits tells whether the worker is lost.
+            // The pending long poll decides whether the worker is lost.
             return;
         }
-        worker.poll = PollPhase::DueAt(now + RETRY_GAP);
-        self.poll_queue.push(Reverse((now + RETRY_GAP, slot)));
+        worker.poll = PollPhase::DueAt(now + POLL_RETRY_DELAY);
+        self.poll_queue.push(Reverse((now + POLL_RETRY_DELAY, slot)));
         if worker.is_gone {
             return;
         }
@@ -331,7 +337,7 @@
         self.expire_lease(slot, now);
     }
 
-    /// Gives up the runs of a worker that does not answer, once their lease is over.
+    /// Removes the runs of a worker that does not respond once their lease has expired.
     pub(super) fn expire_lease(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &self.workers[slot];
         if worker.is_confirmed || now < worker.lease_expires {
@@ -353,11 +359,13 @@
     }
 }
 
-/// Time between an answer with ends and the next look, while ends of some workers are not stored.
+/// Returns the delay between a response with run ends and the next poll, given the number of
+/// workers whose run ends are not stored.
 ///
-/// Answers the load pattern of ends that come faster than they are stored: looks in vain at many
-/// workers must not take the time in which the ends would be stored.
-fn ends_gap(workers_with_unstored_ends: usize) -> Duration {
-    let spread = Duration::from_secs_f64(workers_with_unstored_ends as f64 / REPEATED_POLLS_PER_S);
-    ENDS_GAP.max(spread)
+/// It grows when ends arrive faster than they are stored: polls that only report known ends must
+/// not take the processor time that storing them needs.
+fn ends_poll_interval(workers_with_unstored_ends: usize) -> Duration {
+    let min_interval =
+        Duration::from_secs_f64(workers_with_unstored_ends as f64 / REPEATED_POLLS_PER_S);
+    ENDS_POLL_INTERVAL_MIN.max(min_interval)
 }
--- a/crates/jobs/src/scheduler/run_commands.rs
+++ b/crates/jobs/src/scheduler/run_commands.rs
@@ -1,4 +1,4 @@
-//! Orders to workers and what their outcomes change.
+//! Start and stop commands to workers, and the changes that their outcomes cause.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 use crate::spec::{RunNumber, TaskId};
 use crate::worker::RunPhase;
 
-/// How long a worker that had no room or was unwell gets no more work.
-const BLOCKED: Duration = Duration::from_millis(300);
-/// Time between two orders to stop the same run.
-const STOP_RETRY: Duration = Duration::from_millis(120);
-/// Added to a run number that a worker has called outdated.
-const RUN_STEP: RunNumber = 8;
+/// How long a worker that was full or unhealthy gets no new tasks.
+const BLOCK_DURATION: Duration = Duration::from_millis(300);
+/// Delay before a stop command that was not confirmed is sent again.
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(120);
+/// Added to a run number that a worker refused as outdated.
+const RUN_NUMBER_INCREMENT: RunNumber = 8;
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::orders";
 
 impl Scheduler {
-    /// The order that starts a run; `None` when there is nothing to start any more.
+    /// Returns the request that starts a run; `None` if the run is no longer to be started.
     pub fn start_request(
         &mut self,
         slot: WorkerSlot,
@@ -33,23 +33,23 @@
     ) -> Option<StartRequest> {
         let lease_max = self.settings.lease_max;
         let token = self.term.token;
-        let ordered = self.workers[slot].runs.get(&task)?;
-        if ordered.number != run || ordered.phase != RunPhase::Starting {
+        let known_run = self.workers[slot].runs.get(&task)?;
+        if known_run.number != run || known_run.phase != RunPhase::Starting {
             return None;
         }
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.spec(task.step.step)?;
-        let saved = match spec.gang {
+        let saved_checkpoint = match spec.gang {
             true => job.task(TaskId { index: 0, ..task })?.checkpoint.clone(),
             false => job.task(task)?.checkpoint.clone(),
         };
         let payload = job.record.spec.payload.clone();
-        let checkpoint = saved.filter(|_| spec.checkpoints);
+        let checkpoint = saved_checkpoint.filter(|_| spec.checkpoints);
         let lease_until = self.workers[slot].extend_lease(lease_max, now)?;
         Some(StartRequest { token, task, run, payload, checkpoint, lease_until, ticket })
     }
 
-    /// Takes in the outcome of an order to start a run.
+    /// Handles the outcome of a start command.
     pub fn handle_start_outcome(
         &mut self,
         slot: WorkerSlot,
@@ -59,34 +59,34 @@
         now: Moment,
     ) {
         let worker = &mut self.workers[slot];
-        let id = worker.entry.id.clone();
-        let ordered = worker.runs.get_mut(&task);
-        let Some(ordered) = ordered.filter(|ordered| ordered.number == run) else { return };
+        let worker_id = worker.entry.id.clone();
+        let known_run = worker.runs.get_mut(&task);
+        let Some(known_run) = known_run.filter(|known_run| known_run.number == run) else { return };
         if outcome != CommandOutcome::Accepted {
             emit!(
                 target: LOG_TARGET,
                 JobsEvent::StartNotAccepted,
                 task = task,
                 run = run,
-                worker = id,
+                worker = worker_id,
                 outcome = format_args!("{outcome:?}")
             );
         }
         match outcome {
             CommandOutcome::Accepted => {
-                if ordered.phase == RunPhase::Starting {
-                    ordered.phase = RunPhase::Running;
+                if known_run.phase == RunPhase::Starting {
+                    known_run.phase = RunPhase::Running;
                 }
-                ordered.confirmed = ordered.confirmed.or(Some(now));
+                known_run.confirmed = known_run.confirmed.or(Some(now));
                 self.mark_job_started(slot, task, now);
             }
-            CommandOutcome::Unknown => self.start_unanswered(slot, task, now),
-            CommandOutcome::NotSent => self.start_failed(slot, task, now),
-            CommandOutcome::Refused(refusal) => self.start_refused(slot, task, refusal, now),
+            CommandOutcome::Unknown => self.handle_unanswered_start(slot, task, now),
+            CommandOutcome::NotSent => self.cancel_start(slot, task, now),
+            CommandOutcome::Refused(refusal) => self.handle_refused_start(slot, task, refusal, now),
         }
     }
 
-    /// Notes that a task of a job has begun, which counts as waiting no more.
+    /// Marks a job as started, so that it no longer counts as waiting.
     pub(super) fn mark_job_started(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         if std::mem::replace(&mut job.has_started, true) {
@@ -101,9 +101,9 @@
         );
     }
 
-    /// A run of which it is unknown whether it began. It may be at work already, where this process
-    /// was late to read the answer; so a look decides whether it is stopped.
-    fn start_unanswered(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
+    /// Handles a start command without a response. The run may be active if this process was late
+    /// to read the response, so a poll decides whether it is stopped.
+    fn handle_unanswered_start(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         let worker = &mut self.workers[slot];
         if let Some(run) = worker.runs.get_mut(&task).filter(|run| run.phase == RunPhase::Starting)
         {
@@ -112,7 +112,13 @@
         }
     }
 
-    fn start_refused(&mut self, slot: WorkerSlot, task: TaskId, refusal: Refusal, now: Moment) {
+    fn handle_refused_start(
+        &mut self,
+        slot: WorkerSlot,
+        task: TaskId,
+        refusal: Refusal,
+        now: Moment,
+    ) {
         if refusal == Refusal::OtherLife {
             self.retire_worker(slot, now);
             return;
@@ -123,21 +129,22 @@
         if refusal == Refusal::Outdated {
             let job = self.jobs.get_mut(&task.step.job);
             if let Some(entry) = job.and_then(|job| job.task_mut(task)) {
-                entry.last_run += RUN_STEP;
+                entry.last_run += RUN_NUMBER_INCREMENT;
             }
         }
         if matches!(refusal, Refusal::NoRoom | Refusal::Unhealthy | Refusal::Malformed) {
-            self.workers[slot].blocked_until = now + BLOCKED;
+            self.workers[slot].blocked_until = now + BLOCK_DURATION;
         }
-        self.start_failed(slot, task, now);
+        self.cancel_start(slot, task, now);
     }
 
-    fn start_failed(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
+    fn cancel_start(&mut self, slot: WorkerSlot, task: TaskId, now: Moment) {
         self.release_run(slot, task, now);
-        self.workers[slot].blocked_until = self.workers[slot].blocked_until.max(now + BLOCKED);
+        self.workers[slot].blocked_until =
+            self.workers[slot].blocked_until.max(now + BLOCK_DURATION);
     }
 
-    /// Takes in the outcome of an order to stop a run.
+    /// Handles the outcome of a stop command.
     pub fn handle_stop_outcome(
         &mut self,
         slot: WorkerSlot,
@@ -150,18 +157,18 @@
             self.retire_worker(slot, now);
             return;
         }
-        let ordered = self.workers[slot].runs.get_mut(&task);
-        let Some(ordered) = ordered.filter(|ordered| ordered.number == run) else { return };
-        let RunPhase::Stopping { confirmed, .. } = &mut ordered.phase else { return };
+        let known_run = self.workers[slot].runs.get_mut(&task);
+        let Some(known_run) = known_run.filter(|known_run| known_run.number == run) else { return };
+        let RunPhase::Stopping { confirmed, .. } = &mut known_run.phase else { return };
         if outcome == CommandOutcome::Accepted && confirmed.is_none() {
             *confirmed = Some(now);
-            // A run that had never begun shows no end: the next look tells that it is not there.
+            // A run that never started reports no end: the next poll shows that it is absent.
             self.out_of_band_polls_due.push(slot);
         }
     }
 
-    /// Orders to stop that are due.
-    pub(super) fn due_stops(&mut self, now: Moment) -> Vec<super::Command> {
+    /// Returns the stop commands that are due.
+    pub(super) fn due_stop_commands(&mut self, now: Moment) -> Vec<super::Command> {
         let mut commands = Vec::new();
         let workers = &mut self.workers;
         self.stopping.retain(|(slot, task)| {
@@ -170,10 +177,10 @@
             if *next_try > now {
                 return true;
             }
-            // A confirmed stop is repeated only if its run goes on past all bounds.
+            // A confirmed stop is sent again only if its run continues for 20 retry intervals.
             *next_try = match confirmed {
-                Some(_) => now + STOP_RETRY * 20,
-                None => now + STOP_RETRY,
+                Some(_) => now + STOP_RETRY_INTERVAL * 20,
+                None => now + STOP_RETRY_INTERVAL,
             };
             commands.push(super::Command::Stop { worker: *slot, task: *task, run: run.number });
             true
--- a/crates/jobs/src/scheduler/throttle.rs
+++ b/crates/jobs/src/scheduler/throttle.rs
@@ -1,4 +1,4 @@
-//! Slows opportunistic tasks down where they disturb tasks that serve users.
+//! Throttles opportunistic tasks that slow down tasks that serve users.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use crate::throttle::next_speed_percent;
 use crate::worker::RunPhase;
 
-/// Time between two changes on one worker: a reading covers the half second before it.
+/// Time between two changes on one worker: a load metric covers the preceding half second.
 const THROTTLE_INTERVAL: Duration = Duration::from_millis(600);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::pace";
 
 impl Scheduler {
-    /// Orders the changes of pace that are due.
+    /// Issues the throttle commands that are due.
     pub(super) fn plan_throttling(&mut self, now: Moment, commands: &mut Vec<Command>) {
         for slot in 0..self.workers.len() {
             let worker = &self.workers[slot];
@@ -34,7 +34,7 @@
 
     fn throttle_worker(&mut self, slot: WorkerSlot, commands: &mut Vec<Command>) {
         let mut load = 0.0_f64;
-        let mut fillers: Vec<TaskId> = Vec::new();
+        let mut opportunistic_tasks: Vec<TaskId> = Vec::new();
         for (task, run) in &self.workers[slot].runs {
             let Some(spec) = self.spec(task.step) else { continue };
             if run.phase != RunPhase::Running {
@@ -45,10 +45,10 @@
                 load = load.max(f64::from(run.load_metric) / target_ms.max(1.0));
             }
             if spec.opportunistic {
-                fillers.push(*task);
+                opportunistic_tasks.push(*task);
             }
         }
-        for task in fillers {
+        for task in opportunistic_tasks {
             let worker = &mut self.workers[slot];
             let Some(run) = worker.runs.get_mut(&task) else { continue };
             let percent = next_speed_percent(run.speed_percent, load);
@@ -56,7 +56,7 @@
                 continue;
             }
             run.speed_percent = percent;
-            let number = run.number;
+            let run_number = run.number;
             emit!(
                 target: LOG_TARGET,
                 JobsEvent::PaceChanged,
@@ -65,7 +65,7 @@
                 load = format_args!("{load:.2}"),
                 percent = percent
             );
-            commands.push(Command::Throttle { worker: slot, task, run: number, percent });
+            commands.push(Command::Throttle { worker: slot, task, run: run_number, percent });
         }
     }
 }
--- a/crates/jobs/src/scheduler/workers.rs
+++ b/crates/jobs/src/scheduler/workers.rs
@@ -1,4 +1,4 @@
-//! Workers as the platform lists them.
+//! Workers as listed by the platform, and their incarnations.
 
 use std::cmp::Reverse;
 use std::collections::HashSet;
@@ -17,25 +17,25 @@
 use crate::spec::Resources;
 use crate::worker::{PollPhase, Worker};
 
-/// A life that is over though it is still listed.
+/// An incarnation that has ended although it is still listed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndedIncarnation {
-    /// When it was found to be over.
-    at: Moment,
-    /// Its begin.
+    /// When the end was detected.
+    ended_at: Moment,
+    /// Unix time at which the incarnation started.
     started_unix: Option<Duration>,
 }
 
 impl Scheduler {
-    /// Adds the workers to which earlier owners gave tasks, listed or not.
+    /// Adds the workers to which previous owners assigned tasks, listed or not.
     pub(super) fn add_known_workers(&mut self, now: Moment) {
-        for known in self.term.known_workers.clone() {
+        for record in self.term.known_workers.clone() {
             let entry = WorkerEntry {
-                id: known.id,
+                id: record.id,
                 started_unix: None,
-                service: known.service,
-                address: known.address,
-                zone: known.zone,
+                service: record.service,
+                address: record.address,
+                zone: record.zone,
                 labels: Arc::default(),
                 capacity: Resources::default(),
                 is_draining: false,
@@ -56,18 +56,18 @@
         slot
     }
 
-    /// Notes that the store does not name a worker yet, which therefore gets no work.
+    /// Requests the write that records a worker; it gets no tasks before that.
     fn mark_unrecorded(&mut self, slot: WorkerSlot) {
         self.stale_shards.insert(self.workers[slot].shard);
-        self.raise_urgency(WriteUrgency::High);
+        self.raise_write_urgency(WriteUrgency::High);
     }
 
-    /// Takes over the list of workers.
+    /// Replaces the list of workers.
     pub fn set_workers(&mut self, entries: Vec<WorkerEntry>, now: Moment) {
         let listed: HashSet<WorkerId> = entries.iter().map(|entry| entry.id.clone()).collect();
         self.ended_incarnations.retain(|id, _| listed.contains(id));
         for entry in entries {
-            self.note_entry(entry, now);
+            self.update_worker(entry, now);
         }
         for slot in 0..self.workers.len() {
             let worker = &mut self.workers[slot];
@@ -79,7 +79,7 @@
         }
     }
 
-    fn note_entry(&mut self, entry: WorkerEntry, now: Moment) {
+    fn update_worker(&mut self, entry: WorkerEntry, now: Moment) {
         let Some(slot) = self.current_slots.get(&entry.id).copied() else {
             if self.is_ended_incarnation(&entry) {
                 return;
@@ -91,53 +91,53 @@
             return;
         };
         let worker = &mut self.workers[slot];
-        let same_place = worker.entry.address == entry.address
+        let is_same_place = worker.entry.address == entry.address
             && (worker.entry.service == entry.service || !worker.is_listed);
-        if worker.is_gone || !same_place {
+        if worker.is_gone || !is_same_place {
             self.retire_worker(slot, now);
             let slot = self.add_worker(entry, now);
             self.mark_unrecorded(slot);
             return;
         }
-        let born = worker.entry.started_unix;
-        // A report may be older than the last look.
-        if born.is_some() && entry.started_unix > born {
+        let started_unix = worker.entry.started_unix;
+        // A list entry may be older than the last poll.
+        if started_unix.is_some() && entry.started_unix > started_unix {
             self.start_incarnation(slot, entry.started_unix, now);
-            self.await_first_look(slot, now);
+            self.await_first_poll(slot, now);
         }
         let worker = &mut self.workers[slot];
-        let born = worker.entry.started_unix;
-        let changed = !worker.is_listed || worker.entry != entry;
-        let drains = entry.is_draining && !worker.entry.is_draining;
+        let started_unix = worker.entry.started_unix;
+        let has_changed = !worker.is_listed || worker.entry != entry;
+        let starts_draining = entry.is_draining && !worker.entry.is_draining;
         worker.is_listed = true;
-        let former = std::mem::replace(
+        let previous = std::mem::replace(
             &mut worker.entry,
-            WorkerEntry { started_unix: born.or(entry.started_unix), ..entry },
+            WorkerEntry { started_unix: started_unix.or(entry.started_unix), ..entry },
         );
-        if former.service != worker.entry.service {
+        if previous.service != worker.entry.service {
             let service = worker.entry.service.clone();
-            self.leave_service(&former.service, slot);
+            self.remove_from_service(&previous.service, slot);
             self.slots_by_service.entry(service).or_default().push(slot);
         }
         let worker = &self.workers[slot];
-        if drains {
+        if starts_draining {
             emit!(JobsEvent::WorkerDraining, worker = worker.entry.id, runs = worker.runs.len());
         }
-        if changed {
+        if has_changed {
             self.mark_worker_service_changed(slot);
         }
     }
 
-    /// Whether a report is the last one of a life that is over.
+    /// Returns whether a list entry describes an incarnation that has ended.
     fn is_ended_incarnation(&self, entry: &WorkerEntry) -> bool {
         let Some(ended) = self.ended_incarnations.get(&entry.id) else { return false };
-        // A list of machines that was asked for since may show that the worker lives.
-        let is_seen_up = self.machines_listed.is_some_and(|at| at > ended.at)
+        // A list of machines that was requested later may show that the worker is up.
+        let is_seen_up = self.machines_listed_at.is_some_and(|at| at > ended.ended_at)
             && self.machines.has_running_worker(&entry.id);
         !is_seen_up && entry.started_unix == ended.started_unix
     }
 
-    /// Ends a worker's life: everything that ran there is over.
+    /// Ends the incarnation of a worker and removes its runs.
     pub(super) fn retire_worker(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &mut self.workers[slot];
         if worker.is_gone {
@@ -148,42 +148,42 @@
         self.stale_shards.insert(worker.shard);
         let id = worker.entry.id.clone();
         self.retired_addresses.push(worker.address.clone());
-        let ended = EndedIncarnation { at: now, started_unix: worker.entry.started_unix };
+        let ended = EndedIncarnation { ended_at: now, started_unix: worker.entry.started_unix };
         self.ended_incarnations.insert(id.clone(), ended);
         let worker = &self.workers[slot];
         emit!(JobsEvent::WorkerLost, worker = id, runs = worker.runs.len());
         self.release_all_runs(slot, now);
         let service = self.workers[slot].entry.service.clone();
-        self.leave_service(&service, slot);
+        self.remove_from_service(&service, slot);
         if self.current_slots.get(&id) == Some(&slot) {
             self.current_slots.remove(&id);
         }
     }
 
-    /// Begins a new life of a worker that has started anew under its id.
+    /// Starts a new incarnation of a worker that has restarted under its id.
     ///
-    /// What was ordered before the former life last showed itself ran there, and is over. Later
-    /// orders may have reached the new life: a look decides about them.
+    /// Runs that were started before the last poll of the previous incarnation ran there and have
+    /// ended. Later commands may have reached the new incarnation: a poll decides about their runs.
     pub(super) fn start_incarnation(
         &mut self,
         slot: WorkerSlot,
-        born: Option<Duration>,
+        started_unix: Option<Duration>,
         now: Moment,
     ) {
         let worker = &self.workers[slot];
         emit!(JobsEvent::WorkerReborn, worker = worker.entry.id);
-        let last_seen = worker.poll_sent;
-        self.release_runs_if(slot, now, |run| run.since <= last_seen);
-        let lease = self.lease_max();
+        let last_poll_sent = worker.poll_sent;
+        self.release_runs_if(slot, now, |run| run.since <= last_poll_sent);
+        let lease_max = self.lease_max_with_skew();
         let worker = &mut self.workers[slot];
-        worker.start_incarnation(born, now);
+        worker.start_incarnation(started_unix, now);
         if !worker.runs.is_empty() {
-            worker.lease_expires = now + lease;
+            worker.lease_expires = now + lease_max;
         }
     }
 
-    /// Gives a worker no work until a look has shown its new life.
-    fn await_first_look(&mut self, slot: WorkerSlot, now: Moment) {
+    /// Withholds new tasks from a worker until a poll has confirmed its new incarnation.
+    fn await_first_poll(&mut self, slot: WorkerSlot, now: Moment) {
         let worker = &mut self.workers[slot];
         worker.is_confirmed = false;
         worker.was_confirmed = false;
@@ -191,18 +191,18 @@
         self.poll_queue.push(Reverse((now, slot)));
     }
 
-    fn leave_service(&mut self, service: &str, slot: WorkerSlot) {
+    fn remove_from_service(&mut self, service: &str, slot: WorkerSlot) {
         if let Some(slots) = self.slots_by_service.get_mut(service) {
             slots.retain(|other| *other != slot);
         }
     }
 
-    /// Lives of a service's workers that are not over.
+    /// Returns the active incarnations of a service's workers.
     pub(super) fn service_slots(&self, service: &str) -> &[WorkerSlot] {
         self.slots_by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether runs of an earlier owner are known for all workers of a service.
+    /// Returns whether the runs of previous owners are known for all workers of a service.
     pub(super) fn are_inherited_runs_known(&self, service: &str, now: Moment) -> bool {
         now >= self.inherited_runs_expire
             || self.service_slots(service).iter().all(|slot| {
@@ -211,22 +211,22 @@
             })
     }
 
-    /// Addresses of the lives that were found over since the last call.
+    /// Returns the addresses of the incarnations that have ended since the last call.
     pub fn take_retired_addresses(&mut self) -> Vec<WorkerAddress> {
         std::mem::take(&mut self.retired_addresses)
     }
 
-    /// Addresses of the lives that are not over.
+    /// Returns the addresses of the active incarnations.
     pub fn active_addresses(&self) -> impl Iterator<Item = &WorkerAddress> {
         self.active_slots().map(|slot| &self.workers[slot].address)
     }
 
-    /// Lives that are not over, in no particular order.
+    /// Returns the active incarnations in no particular order.
     pub(super) fn active_slots(&self) -> impl Iterator<Item = WorkerSlot> {
         self.current_slots.values().copied()
     }
 
-    /// Workers of a part, as they are to be named in the store.
+    /// Returns the workers of a shard, as they are to be stored.
     pub(super) fn shard_members(&self, shard: WorkerShard) -> Vec<WorkerSlot> {
         let mut slots: Vec<WorkerSlot> =
             self.active_slots().filter(|slot| self.workers[*slot].shard == shard).collect();
--- a/crates/jobs/src/scheduler/write_batch.rs
+++ b/crates/jobs/src/scheduler/write_batch.rs
@@ -1,4 +1,4 @@
-//! What the owner writes to the store, and what may be said once it is written.
+//! Batches of the owner's writes to the store, and what follows once they are committed.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -18,110 +18,110 @@
 };
 use crate::spec::JobId;
 
-/// Entries of a write that are left beside two conditions and the sequence: the store takes 32.
+/// Entries of a write beside its two conditions and the sequence key: the store accepts 32.
 const ENTRIES_MAX: usize = 29;
-/// States of jobs that wait until a write is urgent.
-const STATES_MANY: usize = 16;
-/// Parts of the workers in one write.
+/// Number of waiting job states from which on a write is urgent.
+const URGENT_STATES_MIN: usize = 16;
+/// Maximum number of worker shards in one write.
 const SHARDS_MAX: usize = 12;
-/// Lists in one write: of waves, of ordered machines and of waiting jobs.
+/// Lists in one write: of waves, of commanded machines and of waiting jobs.
 const LISTS_MAX: usize = 3;
-/// Statuses of waves in one write.
+/// Maximum number of wave statuses in one write.
 const WAVES_MAX: usize = 3;
-/// Ended jobs that are removed in one write of the first chain.
-const REMOVALS_MAX: usize = 1;
-/// Ended jobs whose removal counts as waiting.
-const REMOVALS_COUNTED_MAX: usize = 200;
-/// Entries that remove an ended job: it, its cancel and its state.
-const REMOVAL_ENTRIES: usize = 3;
-/// Time between two writes of the number of waiting jobs.
+/// Maximum number of ended jobs that one write of the first chain deletes.
+const DELETED_JOBS_MAX: usize = 1;
+/// Maximum number of ended jobs whose deletion counts as waiting.
+const DELETIONS_COUNTED_MAX: usize = 200;
+/// Entries that delete an ended job: the job, its cancel and its state.
+const DELETION_ENTRIES: usize = 3;
+/// Minimum time between two writes of the number of waiting jobs.
 const WAITING_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which that number is written again though it has not changed, so that readers can
-/// tell that an owner counts.
+/// Time after which the number of waiting jobs is written again even if unchanged, so that readers
+/// can detect that no owner updates it.
 const WAITING_REFRESH: Duration = Duration::from_millis(1_000);
 
-/// States in one write that are chosen for the ends that wait longest, so that none stays
-/// unacknowledged.
-const OLDEST_STATES: usize = 6;
+/// States in one write that are chosen by the age of their run ends, so that every end is
+/// acknowledged eventually.
+const OLDEST_STATES_MAX: usize = 6;
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::scheduler::flush";
 
-/// How soon something should be written.
+/// How soon a change should be written to the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteUrgency {
-    /// Nobody waits for it.
+    /// Nothing waits for it.
     #[default]
     Low,
-    /// Workers keep ends until they are acknowledged.
+    /// Workers keep run ends until they are acknowledged.
     Normal,
-    /// Starts or callers wait for it.
+    /// Task starts or callers wait for it.
     High,
 }
 
-/// One write of the owner, and what follows from it.
+/// One write of the owner, with the changes to apply once it is committed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// The chain of writes to which it belongs.
+    /// The write chain to which it belongs.
     pub chain: ChainNumber,
     /// Values to store.
     pub puts: Vec<(Arc<str>, Vec<u8>)>,
-    /// Keys to remove.
+    /// Keys to delete.
     pub deletions: Vec<Arc<str>>,
-    /// Waves whose status is to be stored, with whether they are complete.
+    /// Waves whose status is to be stored, and whether they are complete.
     pub waves: Vec<(WaveNumber, bool)>,
-    recorded: Vec<WorkerSlot>,
-    removed: Vec<JobId>,
+    recorded_workers: Vec<WorkerSlot>,
+    deleted_jobs: Vec<JobId>,
     states: Vec<JobId>,
     commanded_machines: CommandedMachinesRecord,
 }
 
 impl WriteBatch {
-    /// Number of states of jobs in it.
+    /// Returns the number of job states in the write.
     pub fn states(&self) -> usize {
         self.states.len()
     }
 }
 
 impl Scheduler {
-    /// How soon the next write should be.
+    /// Returns how soon the next write should start.
     pub fn write_urgency(&self) -> WriteUrgency {
-        match self.machine_leases.is_write_wanted() || self.states_waiting() >= STATES_MANY {
+        match self.machine_leases.needs_write() || self.states_waiting() >= URGENT_STATES_MIN {
             true => WriteUrgency::High,
             false => self.write_urgency,
         }
     }
 
-    /// States that are behind in the store and in no write that is under way.
+    /// Returns the number of outdated states that are in no write in flight.
     fn states_waiting(&self) -> usize {
         self.unwritten_states.keys().filter(|id| !self.in_flight_writes.contains(**id)).count()
     }
 
-    pub(super) fn raise_urgency(&mut self, urgency: WriteUrgency) {
+    pub(super) fn raise_write_urgency(&mut self, urgency: WriteUrgency) {
         self.write_urgency = self.write_urgency.max(urgency);
     }
 
-    /// Whether a write may begin, if there is anything to write.
+    /// Returns whether a write may start, if there is anything to write.
     pub fn may_write(&self, now: Moment) -> bool {
         self.next_write_chain(now).is_some()
     }
 
     fn next_write_chain(&self, now: Moment) -> Option<ChainNumber> {
-        self.in_flight_writes.next_write_chain(|| self.states_waiting() + self.removals_due(now))
+        self.in_flight_writes.next_write_chain(|| self.states_waiting() + self.deletions_due(now))
     }
 
-    /// Ended jobs that have been kept for their time, as far as they are counted.
-    fn removals_due(&self, now: Moment) -> usize {
-        let due = self.ended.iter().take_while(|(_, since)| self.is_removal_due(*since, now));
-        due.take(REMOVALS_COUNTED_MAX).count()
+    /// Returns the number of ended jobs that are due for deletion, up to the counted maximum.
+    fn deletions_due(&self, now: Moment) -> usize {
+        let due = self.ended_jobs.iter().take_while(|(_, since)| self.is_deletion_due(*since, now));
+        due.take(DELETIONS_COUNTED_MAX).count()
     }
 
-    fn is_removal_due(&self, ended: Moment, now: Moment) -> bool {
+    fn is_deletion_due(&self, ended: Moment, now: Moment) -> bool {
         now.saturating_sub(ended) > self.settings.status_retention
     }
 
-    /// The next write; `None` when the store is up to date, or enough writes are under way.
+    /// Returns the next write; `None` if the store is up to date or enough writes are in flight.
     ///
-    /// Each write that is taken must be given back by [`Self::handle_write_committed`].
+    /// Each write must be confirmed by [`Self::handle_write_committed`].
     pub fn next_write_batch(&mut self, now: Moment) -> Option<WriteBatch> {
         let chain = self.next_write_chain(now)?;
         let mut batch = WriteBatch { chain, ..WriteBatch::default() };
@@ -129,77 +129,79 @@
             FIRST_WRITE_CHAIN => self.collect_all(now, &mut batch),
             _ => {
                 self.collect_states(ENTRIES_MAX, &mut batch);
-                let left = ENTRIES_MAX - batch.puts.len();
-                self.collect_removals(left / REMOVAL_ENTRIES, now, &mut batch);
+                let remaining = ENTRIES_MAX - batch.puts.len();
+                self.collect_deletions(remaining / DELETION_ENTRIES, now, &mut batch);
             }
         }
-        let writes =
+        let has_entries =
             !batch.puts.is_empty() || !batch.deletions.is_empty() || !batch.waves.is_empty();
-        if !writes {
-            // Ends that changed no job may be acknowledged at once.
+        if !has_entries {
+            // Run ends that changed no job can be acknowledged immediately.
             self.mark_ends_stored(now);
             return None;
         }
-        self.in_flight_writes.begin(chain);
+        self.in_flight_writes.start(chain);
         Some(batch)
     }
 
     fn collect_all(&mut self, now: Moment, batch: &mut WriteBatch) {
         self.write_urgency = WriteUrgency::Low;
         self.collect_workers(batch);
-        let others = LISTS_MAX + WAVES_MAX + REMOVALS_MAX * REMOVAL_ENTRIES;
-        self.collect_states(ENTRIES_MAX - others - batch.puts.len(), batch);
+        let other_entries = LISTS_MAX + WAVES_MAX + DELETED_JOBS_MAX * DELETION_ENTRIES;
+        self.collect_states(ENTRIES_MAX - other_entries - batch.puts.len(), batch);
         self.collect_waves(batch);
         self.collect_commanded_machines(now, batch);
         self.collect_waiting(now, batch);
-        self.collect_removals(REMOVALS_MAX, now, batch);
+        self.collect_deletions(DELETED_JOBS_MAX, now, batch);
         batch.waves = self.wave_statuses();
         batch.waves.truncate(WAVES_MAX);
     }
 
-    /// Lets ends be acknowledged whose effects are in the store.
+    /// Marks the run ends whose effects are stored, so that they are acknowledged.
     fn mark_ends_stored(&mut self, now: Moment) {
-        let unwritten_states = self.unwritten_states.values().min().copied();
-        let open_since =
-            unwritten_states.into_iter().chain(self.in_flight_writes.first_end()).min();
-        let open_since = open_since.unwrap_or(u64::MAX);
-        let mut settled = Vec::new();
+        let first_unwritten = self.unwritten_states.values().min().copied();
+        let first_unstored =
+            first_unwritten.into_iter().chain(self.in_flight_writes.first_end()).min();
+        let first_unstored = first_unstored.unwrap_or(u64::MAX);
+        let mut fully_stored = Vec::new();
         self.workers_with_unstored_ends = 0;
         for slot in self.current_slots.values().copied() {
             let worker = &mut self.workers[slot];
-            let had_open = !worker.ends_unstored.is_empty();
-            worker.mark_ends_stored(open_since);
+            let had_unstored = !worker.ends_unstored.is_empty();
+            worker.mark_ends_stored(first_unstored);
             match worker.ends_unstored.is_empty() {
-                true if had_open => settled.push(slot),
+                true if had_unstored => fully_stored.push(slot),
                 true => {}
                 false => self.workers_with_unstored_ends += 1,
             }
         }
-        for slot in settled {
+        for slot in fully_stored {
             self.schedule_ack_poll(slot, now);
         }
     }
 
-    /// Jobs whose states are written next, and how soon the others should be.
+    /// Returns the jobs whose states are written next, and the urgency of the remaining ones.
     ///
-    /// Answers the load pattern of hundreds of jobs whose tasks end all the time: states for which
-    /// starts or callers wait do not queue behind the progress of others.
+    /// With hundreds of jobs whose tasks end continuously, states that starts or callers wait for
+    /// must not queue behind mere progress of other jobs.
     fn next_unwritten(&self, count_max: usize) -> (Vec<JobId>, WriteUrgency) {
-        let waiting =
+        let unwritten =
             self.unwritten_states.iter().filter(|(id, _)| !self.in_flight_writes.contains(**id));
-        let mut ids: Vec<(u64, JobId)> = waiting.map(|(id, behind)| (*behind, *id)).collect();
-        ids.sort_unstable();
-        let rest = ids.split_off(ids.len().min(OLDEST_STATES));
-        let mut rest: Vec<(WriteUrgency, JobId)> =
-            rest.into_iter().map(|(_, id)| (self.state_urgency(id), id)).collect();
-        rest.sort_by_key(|(urgency, _)| Reverse(*urgency));
-        let left = rest.split_off(rest.len().min(count_max - ids.len()));
-        let left = left.first().map_or(WriteUrgency::Low, |(urgency, _)| *urgency);
-        let chosen = ids.into_iter().map(|(_, id)| id).chain(rest.into_iter().map(|(_, id)| id));
-        (chosen.collect(), left)
+        let mut oldest: Vec<(u64, JobId)> =
+            unwritten.map(|(id, first_end)| (*first_end, *id)).collect();
+        oldest.sort_unstable();
+        let others = oldest.split_off(oldest.len().min(OLDEST_STATES_MAX));
+        let mut others: Vec<(WriteUrgency, JobId)> =
+            others.into_iter().map(|(_, id)| (self.state_urgency(id), id)).collect();
+        others.sort_by_key(|(urgency, _)| Reverse(*urgency));
+        let remaining = others.split_off(others.len().min(count_max - oldest.len()));
+        let remaining = remaining.first().map_or(WriteUrgency::Low, |(urgency, _)| *urgency);
+        let chosen =
+            oldest.into_iter().map(|(_, id)| id).chain(others.into_iter().map(|(_, id)| id));
+        (chosen.collect(), remaining)
     }
 
-    /// How soon the state of a job that has changed should be written.
+    /// Returns how soon the changed state of a job should be written.
     fn state_urgency(&self, id: JobId) -> WriteUrgency {
         let Some(job) = self.jobs.get(&id) else { return WriteUrgency::Low };
         match job.awaits_start_write() || !job.is_live() {
@@ -209,8 +211,8 @@
     }
 
     fn collect_states(&mut self, count_max: usize, batch: &mut WriteBatch) {
-        let (ids, left) = self.next_unwritten(count_max);
-        self.raise_urgency(left);
+        let (ids, remaining_urgency) = self.next_unwritten(count_max);
+        self.raise_write_urgency(remaining_urgency);
         for id in ids {
             let first_end = self.unwritten_states.remove(&id).unwrap_or_default();
             let Some(job) = self.jobs.get(&id) else { continue };
@@ -220,27 +222,27 @@
                     batch.states.push(id);
                     self.in_flight_writes.add(id, first_end);
                 }
-                Err(error) => report(id, &error),
+                Err(error) => log_encode_error(id, &error),
             }
         }
     }
 
-    /// Answers the load pattern of machines that move by the dozen each second: a worker that
-    /// comes or goes rewrites a part of the workers, not all.
+    /// Adds the outdated worker shards. Dozens of machines may move each second, so a worker that
+    /// joins or leaves rewrites one shard and not the list of all workers.
     fn collect_workers(&mut self, batch: &mut WriteBatch) {
         let shards: Vec<WorkerShard> = self.stale_shards.iter().copied().take(SHARDS_MAX).collect();
         for shard in shards {
             self.stale_shards.remove(&shard);
             let members = self.shard_members(shard);
-            let named = members.iter().map(|slot| WorkerRecord::from(&self.workers[*slot].entry));
-            match encode_workers(&named.collect::<Vec<_>>()) {
+            let records = members.iter().map(|slot| WorkerRecord::from(&self.workers[*slot].entry));
+            match encode_workers(&records.collect::<Vec<_>>()) {
                 Ok(bytes) => batch.puts.push((workers_key(shard), bytes)),
-                Err(error) => return report(0, &error),
+                Err(error) => return log_encode_error(0, &error),
             }
-            batch.recorded.extend(members);
+            batch.recorded_workers.extend(members);
         }
         if !self.stale_shards.is_empty() {
-            self.raise_urgency(WriteUrgency::High);
+            self.raise_write_urgency(WriteUrgency::High);
         }
     }
 
@@ -251,7 +253,7 @@
         }
         match serde_json::to_vec(&waves) {
             Ok(bytes) => batch.puts.push((WAVES_KEY.into(), bytes)),
-            Err(error) => return report(0, &error.into()),
+            Err(error) => return log_encode_error(0, &error.into()),
         }
         self.waves_written = waves;
     }
@@ -260,68 +262,68 @@
         let Some(commanded_machines) = self.machine_leases.take_record(now) else { return };
         match serde_json::to_vec(&commanded_machines) {
             Ok(bytes) => batch.puts.push((COMMANDED_MACHINES_KEY.into(), bytes)),
-            Err(error) => return report(0, &error.into()),
+            Err(error) => return log_encode_error(0, &error.into()),
         }
         batch.commanded_machines = commanded_machines;
     }
 
     fn collect_waiting(&mut self, now: Moment, batch: &mut WriteBatch) {
-        let last = self.waiting_written.as_ref();
+        let last = self.last_waiting_record.as_ref();
         if last.is_some_and(|(at, _)| now.saturating_sub(*at) < WAITING_INTERVAL) {
             return;
         }
-        let waiting = self.waiting();
+        let record = self.waiting_record();
         let is_recent = |at: Moment| now.saturating_sub(at) < WAITING_REFRESH;
-        if last.is_some_and(|(at, written)| written.jobs == waiting.jobs && is_recent(*at)) {
+        if last.is_some_and(|(at, written)| written.jobs == record.jobs && is_recent(*at)) {
             return;
         }
-        match serde_json::to_vec(&waiting) {
+        match serde_json::to_vec(&record) {
             Ok(bytes) => batch.puts.push((WAITING_KEY.into(), bytes)),
-            Err(error) => return report(0, &error.into()),
+            Err(error) => return log_encode_error(0, &error.into()),
         }
-        self.waiting_written = Some((now, waiting));
+        self.last_waiting_record = Some((now, record));
     }
 
-    /// Accepted jobs of which no task has started, by queue.
-    fn waiting(&self) -> WaitingRecord {
-        let counted_unix_ms = u64::try_from(self.unix.as_millis()).unwrap_or(u64::MAX);
-        let mut waiting = WaitingRecord { counted_unix_ms, ..WaitingRecord::default() };
+    /// Counts the accepted jobs of which no task has started, by queue.
+    fn waiting_record(&self) -> WaitingRecord {
+        let counted_unix_ms = u64::try_from(self.last_plan_unix.as_millis()).unwrap_or(u64::MAX);
+        let mut record = WaitingRecord { counted_unix_ms, ..WaitingRecord::default() };
         let jobs = self.jobs.values().filter(|job| job.is_live() && !job.has_started);
         for job in jobs {
-            *waiting.jobs.entry(job.record.queue.clone()).or_default() += 1;
+            *record.jobs.entry(job.record.queue.clone()).or_default() += 1;
         }
-        waiting
+        record
     }
 
-    fn collect_removals(&mut self, count_max: usize, now: Moment, batch: &mut WriteBatch) {
-        while batch.removed.len() < count_max
-            && let Some((id, since)) = self.ended.front().copied()
-            && self.is_removal_due(since, now)
+    fn collect_deletions(&mut self, count_max: usize, now: Moment, batch: &mut WriteBatch) {
+        while batch.deleted_jobs.len() < count_max
+            && let Some((id, since)) = self.ended_jobs.front().copied()
+            && self.is_deletion_due(since, now)
             && !self.unwritten_states.contains_key(&id)
             && !self.in_flight_writes.contains(id)
         {
-            self.ended.pop_front();
+            self.ended_jobs.pop_front();
             batch.deletions.extend([job_key(id), cancel_key(id), state_key(id)]);
-            batch.removed.push(id);
+            batch.deleted_jobs.push(id);
         }
     }
 
-    /// Takes in that a write has taken effect.
+    /// Applies the effects of a committed write.
     pub fn handle_write_committed(&mut self, batch: &WriteBatch, now: Moment) {
-        self.in_flight_writes.end(batch.chain);
-        for slot in &batch.recorded {
+        self.in_flight_writes.finish(batch.chain);
+        for slot in &batch.recorded_workers {
             self.workers[*slot].is_recorded = true;
             self.mark_worker_service_changed(*slot);
         }
-        for id in &batch.removed {
+        for id in &batch.deleted_jobs {
             self.jobs.remove(id);
         }
         for id in &batch.states {
             self.in_flight_writes.remove(*id);
             self.mark_start_stored(*id);
         }
-        self.machine_leases.note_stored(&batch.commanded_machines);
-        self.note_wave_statuses(&batch.waves);
+        self.machine_leases.mark_stored(&batch.commanded_machines);
+        self.mark_wave_statuses_stored(&batch.waves);
         self.mark_ends_stored(now);
     }
 
@@ -329,21 +331,21 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state != JobState::Queued && !job.is_start_stored {
             job.is_start_stored = true;
-            self.changed.insert(job.record.service.clone());
+            self.changed_services.insert(job.record.service.clone());
         }
     }
 
-    /// Counts of jobs by what they have come to, for metrics.
+    /// Returns the number of jobs in a state, for metrics.
     pub fn count_jobs(&self, state: JobState) -> usize {
         self.jobs.values().filter(|job| job.state == state).count()
     }
 }
 
-fn encode_workers(known: &[WorkerRecord]) -> Result<Vec<u8>, RecordError> {
-    Ok(serde_json::to_vec(known)?)
+fn encode_workers(workers: &[WorkerRecord]) -> Result<Vec<u8>, RecordError> {
+    Ok(serde_json::to_vec(workers)?)
 }
 
-fn report(id: JobId, error: &RecordError) {
+fn log_encode_error(id: JobId, error: &RecordError) {
     emit!(
         target: LOG_TARGET,
         JobsEvent::RecordNotEncoded,
