--- a/crates/cassiafold/src/serve.rs
+++ b/crates/cassiafold/src/serve.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use cassiafold_adapter::settings::PlatformSettings;
-use cassiafold_adapter::{PlatformSite, callers, read_settings, settings_path};
+use cassiafold_adapter::{HttpPlatformClients, caller_api, read_settings, settings_path};
 use cassiafold_event::emit;
 use cassiafold_jobs::api::JobApi;
 use cassiafold_jobs::coalescing::WakeupCoalescing;
@@ -56,7 +56,7 @@
 /// Pause after a connection could not be accepted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-type PlatformDesk = Arc<JobApi<PlatformSite>>;
+type PlatformDesk = Arc<JobApi<HttpPlatformClients>>;
 
 /// Runs an entry instance until SIGTERM.
 pub fn run() -> Result<ExitCode> {
@@ -73,14 +73,14 @@
 async fn serve(settings: PlatformSettings, coalescing: WakeupCoalescing) -> Result<ExitCode> {
     let mut terminate = signal(SignalKind::terminate())?;
     let reload = signal(SignalKind::hangup())?;
-    let callers = TcpListener::bind(settings.callers_address).await?;
+    let callers = TcpListener::bind(settings.caller_api_address).await?;
     let readiness = TcpListener::bind(settings.ready_address).await?;
     let mut registry = Registry::with_prefix("cassiafold");
     let store_metrics = StoreMetrics::default();
     store_metrics.register(&mut registry);
     let metrics = JobsMetrics::default();
     metrics.register(&mut registry);
-    let site = PlatformSite::new(&settings, store_metrics);
+    let site = HttpPlatformClients::new(&settings, store_metrics);
     let (sender, desired_states) = DesiredStateSender::new();
     let api = Arc::new(JobApi::new(
         site.clone(),
@@ -164,7 +164,7 @@
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
         let api = api.clone();
-        async move { Ok::<_, Infallible>(callers::answer(&api, request).await) }
+        async move { Ok::<_, Infallible>(caller_api::handle_request(&api, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/jobs/tests/site/mod.rs
+++ b/crates/jobs/tests/clients/mod.rs
@@ -30,7 +30,7 @@
 const TASK_TIME: Duration = Duration::from_millis(40);
 
 #[derive(Debug, Clone)]
-pub struct TestSite {
+pub struct TestClients {
     pub store: MemoryStore,
     pub workers: TestWorkers,
 }
@@ -41,16 +41,16 @@
     jobs: Arc<Mutex<BTreeMap<JobId, JobRecord>>>,
     pub starts: Arc<Mutex<Vec<(TaskId, RunNumber)>>>,
     /// Workers whose connections were given up.
-    pub forgotten: Arc<Mutex<BTreeSet<WorkerId>>>,
+    pub disconnected: Arc<Mutex<BTreeSet<WorkerId>>>,
 }
 
 #[derive(Debug, Clone)]
 pub struct TestFormats;
 
 #[derive(Debug, Clone)]
-pub struct Nothing;
+pub struct NullClient;
 
-impl TestSite {
+impl TestClients {
     pub fn new(workers: usize) -> Self {
         let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
         let list = (0..workers).map(|number| EmulatedWorker::new(number, capacity)).collect();
@@ -58,7 +58,7 @@
             list: Arc::new(Mutex::new(list)),
             jobs: Arc::default(),
             starts: Arc::default(),
-            forgotten: Arc::default(),
+            disconnected: Arc::default(),
         };
         Self { store: MemoryStore::default(), workers }
     }
@@ -79,7 +79,7 @@
         self.store.write(write).await.expect("store");
     }
 
-    pub async fn list_workers(&self) {
+    pub async fn register_workers(&self) {
         let ids: Vec<WorkerId> = {
             let list = self.workers.list.lock().expect("lock");
             list.iter().map(|worker| worker.id.clone()).collect()
@@ -92,7 +92,7 @@
     }
 
     /// Lets a worker go for good: it answers no more, and its report is removed.
-    pub async fn lose_worker(&self, id: &str) {
+    pub async fn remove_worker(&self, id: &str) {
         self.workers.with(id, EmulatedWorker::crash);
         let key = format!("{}{id}", TestFormats::WORKERS_PREFIX);
         self.store.commit(Transaction::default().delete(key)).await.expect("store");
@@ -105,12 +105,12 @@
     }
 
     /// Starts an owner, which stops with the token.
-    pub fn owner(&self, instance: &str) -> CancellationToken {
-        self.weak_owner(instance, ms(0))
+    pub fn start_owner(&self, instance: &str) -> CancellationToken {
+        self.start_delayed_owner(instance, ms(0))
     }
 
     /// Starts an owner that claims after a delay.
-    pub fn weak_owner(&self, instance: &str, claim_delay: Duration) -> CancellationToken {
+    pub fn start_delayed_owner(&self, instance: &str, claim_delay: Duration) -> CancellationToken {
         let stop = CancellationToken::new();
         let (sender, desired_states): (DesiredStateSender, watch::Receiver<Arc<DesiredState>>) =
             DesiredStateSender::new();
@@ -187,7 +187,7 @@
     }
 
     fn forget(&self, worker: &WorkerAddress) {
-        self.forgotten.lock().expect("lock").insert(worker.id.clone());
+        self.disconnected.lock().expect("lock").insert(worker.id.clone());
     }
 }
 
@@ -208,7 +208,7 @@
     }
 
     /// Tells the workers what the tasks of a job need.
-    pub fn know(&self, id: JobId, record: JobRecord) {
+    pub fn add_job(&self, id: JobId, record: JobRecord) {
         self.jobs.lock().expect("lock").insert(id, record);
     }
 }
@@ -242,7 +242,7 @@
     }
 }
 
-impl MachineClient for Nothing {
+impl MachineClient for NullClient {
     async fn list(&self) -> Option<Vec<Machine>> {
         None
     }
@@ -256,17 +256,17 @@
     }
 }
 
-impl PolicyClient for Nothing {
+impl PolicyClient for NullClient {
     async fn request_tickets(&self, _: StepId, _: Vec<WorkerId>) -> Option<PolicyResponse> {
         None
     }
 }
 
-impl PlatformClients for TestSite {
+impl PlatformClients for TestClients {
     type Store = MemoryStore;
     type WorkerClient = TestWorkers;
-    type MachineClient = Nothing;
-    type PolicyClient = Nothing;
+    type MachineClient = NullClient;
+    type PolicyClient = NullClient;
     type Formats = TestFormats;
 
     fn store(&self) -> &MemoryStore {
@@ -277,12 +277,12 @@
         &self.workers
     }
 
-    fn machines(&self) -> &Nothing {
-        &Nothing
+    fn machines(&self) -> &NullClient {
+        &NullClient
     }
 
-    fn policy(&self) -> &Nothing {
-        &Nothing
+    fn policy(&self) -> &NullClient {
+        &NullClient
     }
 
     fn formats(&self) -> &TestFormats {
--- a/crates/jobs/tests/emulator/checks.rs
+++ b/crates/jobs/tests/emulator/checks.rs
@@ -6,7 +6,7 @@
 
 impl Emulator {
     /// An end that was acknowledged must be in the store.
-    pub(super) fn note_acknowledged(&mut self, task: TaskId) {
+    pub(super) fn check_acknowledged(&mut self, task: TaskId) {
         let state = self.states.get(&task.step.job);
         let stored = state.is_some_and(|state| {
             state.state.is_final()
@@ -16,7 +16,7 @@
                     .any(|row| row.done && row.step == task.step.step && row.index == task.index)
         });
         if !stored {
-            self.broken.push(format!("{task}: its end was acknowledged but not stored"));
+            self.violations.push(format!("{task}: its end was acknowledged but not stored"));
         }
         self.done.insert(task);
     }
@@ -26,10 +26,10 @@
             *number != worker && other.is_up && other.runs.contains_key(&task)
         });
         if others.count() > 0 {
-            self.broken.push(format!("{task}: two runs at once"));
+            self.violations.push(format!("{task}: two runs at once"));
         }
         if self.done.contains(&task) {
-            self.broken.push(format!("{task}: started though its end was acknowledged"));
+            self.violations.push(format!("{task}: started though its end was acknowledged"));
         }
         let spec = &self.jobs[&task.step.job].spec;
         for earlier in &spec.steps[usize::from(task.step.step)].after {
@@ -37,14 +37,14 @@
             let tasks = 0..spec.steps[usize::from(*earlier)].tasks;
             let all_done = tasks.map(|index| TaskId { step, index }).all(|one| self.has_ended(one));
             if !all_done {
-                self.broken.push(format!("{task}: started before step {earlier} was done"));
+                self.violations.push(format!("{task}: started before step {earlier} was done"));
             }
         }
         if self.failed.get(&task).copied().unwrap_or(0) >= 3 {
-            self.broken.push(format!("{task}: started after three failures"));
+            self.violations.push(format!("{task}: started after three failures"));
         }
         if !self.workers[worker].reserved().fits(&self.workers[worker].capacity) {
-            self.broken.push(format!("{task}: worker over its room"));
+            self.violations.push(format!("{task}: worker over its room"));
         }
         let used = self
             .workers
@@ -52,13 +52,13 @@
             .filter(|one| one.is_up)
             .fold(Resources::default(), |sum, one| sum.plus(&one.reserved()));
         if self.limit.processors_milli > 0 && used.processors_milli > self.limit.processors_milli {
-            self.broken.push(format!("{task}: team over its limit"));
+            self.violations.push(format!("{task}: team over its limit"));
         }
     }
 
     fn has_ended(&self, task: TaskId) -> bool {
         self.done.contains(&task)
-            || self.workers.iter().any(|worker| worker.has_done(task))
+            || self.workers.iter().any(|worker| worker.has_completed(task))
             || self.states.get(&task.step.job).is_some_and(|state| {
                 state
                     .tasks
--- a/crates/jobs/tests/emulator/event.rs
+++ b/crates/jobs/tests/emulator/event.rs
@@ -11,13 +11,13 @@
 
 /// The life of a worker that has received an order; what it carries out late dies with it.
 #[derive(Debug, Clone, Copy)]
-pub struct Life {
+pub struct Incarnation {
     pub worker: usize,
-    pub born: Duration,
+    pub started_at: Duration,
 }
 
 /// A look on its way to a worker.
-pub struct SentLook {
+pub struct SentPoll {
     pub owner: u64,
     pub slot: usize,
     pub is_out_of_band: bool,
@@ -28,8 +28,8 @@
 
 /// Something that happens at a moment.
 pub enum Event {
-    Poll(SentLook),
-    LookDone {
+    Poll(SentPoll),
+    PollDone {
         owner: u64,
         slot: usize,
         is_out_of_band: bool,
@@ -39,9 +39,9 @@
     Start {
         owner: u64,
         slot: usize,
-        to: Life,
+        to: Incarnation,
         request: StartRequest,
-        answers: bool,
+        responds: bool,
     },
     StartDone {
         owner: u64,
@@ -53,10 +53,10 @@
     Stop {
         owner: u64,
         slot: usize,
-        to: Life,
+        to: Incarnation,
         task: TaskId,
         run: RunNumber,
-        answers: bool,
+        responds: bool,
     },
     StopDone {
         owner: u64,
@@ -69,7 +69,7 @@
         owner: u64,
         flush: WriteBatch,
     },
-    RunEnds {
+    RunFinished {
         worker: usize,
         task: TaskId,
         run: RunNumber,
@@ -80,8 +80,8 @@
     Restart {
         worker: usize,
     },
-    OwnerDies,
-    OwnerComes,
+    OwnerCrash,
+    OwnerStart,
     Tick,
 }
 
--- a/crates/jobs/tests/emulator/mod.rs
+++ b/crates/jobs/tests/emulator/mod.rs
@@ -25,7 +25,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use self::event::{Event, Life, Scheduled, SentLook};
+use self::event::{Event, Incarnation, Scheduled, SentPoll};
 use self::faults::Faults;
 use self::worker::EmulatedWorker;
 
@@ -37,11 +37,11 @@
 /// Time between two lists of workers, which therefore lag behind their lives.
 const LIST_INTERVAL: Duration = Duration::from_millis(900);
 /// Longest lease that workers grant.
-pub const HOLD: Duration = Duration::from_millis(6_000);
+pub const LEASE_MAX: Duration = Duration::from_millis(6_000);
 
 pub fn settings() -> SchedulerSettings {
     SchedulerSettings {
-        lease_max: HOLD,
+        lease_max: LEASE_MAX,
         stop_grace_period: Duration::from_millis(900),
         machine_commands_per_s: 64.0,
         machine_lease: Duration::from_millis(3_000),
@@ -109,14 +109,14 @@
     pub jobs: BTreeMap<JobId, JobRecord>,
     pub states: HashMap<JobId, StateRecord>,
     /// Breaks of promises, in the order in which they were seen.
-    pub broken: Vec<String>,
-    pub starts: usize,
+    pub violations: Vec<String>,
+    pub start_count: usize,
     /// Looks that showed ends, none of which was new.
-    pub repeated_looks: usize,
+    pub redundant_polls: usize,
     /// The highest end that each life of a worker has shown.
     shown: HashMap<(usize, Duration), u64>,
     /// How long a write takes.
-    pub write_time: Duration,
+    pub write_latency: Duration,
     faults: Faults,
     known: BTreeMap<Arc<str>, Vec<WorkerRecord>>,
     listed: Duration,
@@ -140,11 +140,11 @@
             workers: (0..workers).map(make).collect(),
             jobs: BTreeMap::new(),
             states: HashMap::new(),
-            broken: Vec::new(),
-            starts: 0,
-            repeated_looks: 0,
+            violations: Vec::new(),
+            start_count: 0,
+            redundant_polls: 0,
             shown: HashMap::new(),
-            write_time: ms(5),
+            write_latency: ms(5),
             faults,
             known: BTreeMap::new(),
             listed: Duration::ZERO,
@@ -158,7 +158,7 @@
             failed: HashMap::new(),
             limit,
         };
-        emulator.begin_tenure();
+        emulator.start_owner();
         emulator.at(Duration::ZERO, Event::Tick);
         emulator
     }
@@ -177,8 +177,8 @@
 
     /// Lets the owner die after `delay`, and another one come.
     pub fn replace_owner(&mut self, delay: Duration, gap: Duration) {
-        self.at(delay, Event::OwnerDies);
-        self.at(delay + gap, Event::OwnerComes);
+        self.at(delay, Event::OwnerCrash);
+        self.at(delay + gap, Event::OwnerStart);
     }
 
     pub fn submit(&mut self, id: JobId, record: JobRecord) {
@@ -193,7 +193,7 @@
         self.workers.iter().filter(|worker| worker.is_up).map(EmulatedWorker::entry).collect()
     }
 
-    fn begin_tenure(&mut self) {
+    fn start_owner(&mut self) {
         let term = OwnerTerm {
             token: self.owner,
             run_number_base: u32::try_from(self.owner - 1).unwrap_or(0) * 1_000,
@@ -243,12 +243,12 @@
         let Some(mut scheduler) = self.scheduler.take() else { return };
         let orders = scheduler.plan(UNIX_START + self.now, self.now);
         for order in orders {
-            self.carry_out(&mut scheduler, order);
+            self.execute(&mut scheduler, order);
         }
         while let Some(flush) = scheduler.next_write_batch(self.now) {
             self.store(&flush);
             let owner = self.owner;
-            self.at(self.write_time, Event::Flushed { owner, flush });
+            self.at(self.write_latency, Event::Flushed { owner, flush });
         }
         self.scheduler = Some(scheduler);
     }
@@ -269,29 +269,29 @@
         self.workers.iter().position(|worker| *worker.id == *id).expect("known worker")
     }
 
-    fn incarnation(&self, id: &str) -> Life {
+    fn incarnation(&self, id: &str) -> Incarnation {
         let worker = self.worker_number(id);
-        Life { worker, born: self.workers[worker].born }
+        Incarnation { worker, started_at: self.workers[worker].started_at }
     }
 
     /// Whether a life goes on that has received an order.
-    fn lives(&self, incarnation: Life) -> bool {
+    fn lives(&self, incarnation: Incarnation) -> bool {
         self.workers[incarnation.worker].is_up
-            && self.workers[incarnation.worker].born == incarnation.born
+            && self.workers[incarnation.worker].started_at == incarnation.started_at
     }
 
     fn latency(&mut self) -> Duration {
         Duration::from_micros(self.random.random_range(300..3_000))
     }
 
-    fn carry_out(&mut self, scheduler: &mut Scheduler, order: Command) {
+    fn execute(&mut self, scheduler: &mut Scheduler, order: Command) {
         let (owner, latency) = (self.owner, self.latency());
         match order {
             Command::Poll { worker: slot, is_out_of_band } => {
                 let request = scheduler.poll_request(slot, is_out_of_band, self.now);
                 let worker = self.worker_number(&scheduler.worker(slot).entry.id);
                 let sent = self.now;
-                let poll = SentLook { owner, slot, is_out_of_band, worker, request, sent };
+                let poll = SentPoll { owner, slot, is_out_of_band, worker, request, sent };
                 self.at(latency, Event::Poll(poll));
             }
             Command::Start { worker: slot, task, run, ticket } => {
@@ -307,19 +307,19 @@
                     return;
                 };
                 let to = self.incarnation(&scheduler.worker(slot).entry.id);
-                let (delay, answers) = self.faults.order(&mut self.random, latency);
-                let start = Event::Start { owner, slot, to, request, answers };
+                let (delay, responds) = self.faults.order(&mut self.random, latency);
+                let start = Event::Start { owner, slot, to, request, responds };
                 self.at(delay, start);
-                if !answers {
+                if !responds {
                     let outcome = CommandOutcome::Unknown;
                     self.at(ms(800), Event::StartDone { owner, slot, task, run, outcome });
                 }
             }
             Command::Stop { worker: slot, task, run } => {
                 let to = self.incarnation(&scheduler.worker(slot).entry.id);
-                let (delay, answers) = self.faults.order(&mut self.random, latency);
-                self.at(delay, Event::Stop { owner, slot, to, task, run, answers });
-                if !answers {
+                let (delay, responds) = self.faults.order(&mut self.random, latency);
+                self.at(delay, Event::Stop { owner, slot, to, task, run, responds });
+                if !responds {
                     let outcome = CommandOutcome::Unknown;
                     self.at(ms(800), Event::StopDone { owner, slot, task, run, outcome });
                 }
@@ -344,7 +344,7 @@
                 self.at(ms(20), Event::Tick);
             }
             Event::Poll(poll) => self.poll(poll),
-            Event::LookDone { owner: from, slot, is_out_of_band, sent, result }
+            Event::PollDone { owner: from, slot, is_out_of_band, sent, result }
                 if from == owner =>
             {
                 let Some(scheduler) = &mut self.scheduler else { return };
@@ -355,20 +355,20 @@
                     Err(error) => scheduler.handle_poll_failure(slot, false, &error, now),
                 }
             }
-            Event::Start { owner, slot, to, request, answers } => {
-                self.start(owner, slot, to, request, answers);
+            Event::Start { owner, slot, to, request, responds } => {
+                self.start(owner, slot, to, request, responds);
             }
             Event::StartDone { owner: from, slot, task, run, outcome } if from == owner => {
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.handle_start_outcome(slot, task, run, outcome, now);
                 }
             }
-            Event::Stop { owner, slot, to, task, run, answers } => {
+            Event::Stop { owner, slot, to, task, run, responds } => {
                 let outcome = match self.lives(to) {
                     true => self.workers[to.worker].stop(task, run, owner, now),
                     false => CommandOutcome::NotSent,
                 };
-                if answers {
+                if responds {
                     let latency = self.latency();
                     self.at(latency, Event::StopDone { owner, slot, task, run, outcome });
                 }
@@ -383,27 +383,27 @@
                     scheduler.handle_write_committed(&flush, now);
                 }
             }
-            Event::RunEnds { worker, task, run } => self.end_run(worker, task, run),
+            Event::RunFinished { worker, task, run } => self.end_run(worker, task, run),
             Event::Crash { worker } => self.workers[worker].crash(),
             Event::Restart { worker } => self.workers[worker].restart(now),
-            Event::OwnerDies => self.scheduler = None,
-            Event::OwnerComes => {
+            Event::OwnerCrash => self.scheduler = None,
+            Event::OwnerStart => {
                 self.owner += 1;
-                self.begin_tenure();
+                self.start_owner();
             }
             // Answers to an owner that is gone.
-            Event::LookDone { .. }
+            Event::PollDone { .. }
             | Event::StartDone { .. }
             | Event::StopDone { .. }
             | Event::Flushed { .. } => {}
         }
     }
 
-    fn poll(&mut self, poll: SentLook) {
-        let SentLook { owner, slot, is_out_of_band, worker, request, sent } = poll;
-        let (delay, answers) = self.faults.poll(&mut self.random);
+    fn poll(&mut self, poll: SentPoll) {
+        let SentPoll { owner, slot, is_out_of_band, worker, request, sent } = poll;
+        let (delay, responds) = self.faults.poll(&mut self.random);
         let now = self.now;
-        let result = match answers {
+        let result = match responds {
             true => self.workers[worker].poll(request, now),
             false => Err(PollError::NoAnswer("lost".into())),
         };
@@ -411,24 +411,31 @@
             self.count_repeated(worker, poll);
             for row in &poll.ended {
                 if row.number <= request.acknowledged {
-                    self.broken.push(format!("{}: listed an acknowledged end", row.task));
+                    self.violations.push(format!("{}: listed an acknowledged end", row.task));
                 }
             }
         }
         for end in self.workers[worker].take_acknowledged() {
-            self.note_acknowledged(end);
+            self.check_acknowledged(end);
         }
-        self.at(delay, Event::LookDone { owner, slot, is_out_of_band, sent, result });
+        self.at(delay, Event::PollDone { owner, slot, is_out_of_band, sent, result });
     }
 
     fn count_repeated(&mut self, worker: usize, poll: &PollResponse) {
         let Some(last) = poll.ended.last().map(|row| row.number) else { return };
-        let shown = self.shown.entry((worker, self.workers[worker].born)).or_default();
-        self.repeated_looks += usize::from(last <= *shown);
+        let shown = self.shown.entry((worker, self.workers[worker].started_at)).or_default();
+        self.redundant_polls += usize::from(last <= *shown);
         *shown = last.max(*shown);
     }
 
-    fn start(&mut self, owner: u64, slot: usize, to: Life, request: StartRequest, answers: bool) {
+    fn start(
+        &mut self,
+        owner: u64,
+        slot: usize,
+        to: Incarnation,
+        request: StartRequest,
+        responds: bool,
+    ) {
         let (task, run, now) = (request.task, request.run, self.now);
         let worker = to.worker;
         let outcome = match self.lives(to) {
@@ -436,22 +443,22 @@
             false => CommandOutcome::NotSent,
         };
         if outcome == CommandOutcome::Accepted && self.workers[worker].is_new(task, run, now) {
-            self.starts += 1;
+            self.start_count += 1;
             self.check_start(worker, task);
             let spec = &self.jobs[&task.step.job].spec;
             if !spec.steps[usize::from(task.step.step)].long_running {
                 let length = ms(self.random.random_range(200..1_500));
-                self.at(length, Event::RunEnds { worker, task, run });
+                self.at(length, Event::RunFinished { worker, task, run });
             }
         }
-        if answers {
+        if responds {
             let latency = self.latency();
             self.at(latency, Event::StartDone { owner, slot, task, run, outcome });
         }
     }
 
     fn end_run(&mut self, worker: usize, task: TaskId, run: RunNumber) {
-        let fails = self.random.random_bool(self.faults.failing);
+        let fails = self.random.random_bool(self.faults.run_failed);
         if self.workers[worker].finish(task, run, fails, self.now) && fails {
             *self.failed.entry(task).or_default() += 1;
         }
--- a/crates/jobs/tests/emulator/worker.rs
+++ b/crates/jobs/tests/emulator/worker.rs
@@ -12,7 +12,7 @@
 use cassiafold_jobs::record::JobRecord;
 use cassiafold_jobs::spec::{JobId, Resources, RunNumber, TaskId};
 
-use super::{HOLD, SERVICE};
+use super::{LEASE_MAX, SERVICE};
 
 /// A run on an emulated worker.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
     pub capacity: Resources,
     pub is_up: bool,
     pub runs: BTreeMap<TaskId, EmulatedRun>,
-    pub born: Duration,
+    pub started_at: Duration,
     token: u64,
     ended: Vec<EndedRun>,
     next_number: u64,
@@ -45,7 +45,7 @@
             capacity,
             is_up: true,
             runs: BTreeMap::new(),
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             token: 0,
             ended: Vec::new(),
             next_number: 1,
@@ -58,7 +58,7 @@
     pub fn entry(&self) -> WorkerEntry {
         WorkerEntry {
             id: self.id.clone(),
-            started_unix: Some(self.born),
+            started_unix: Some(self.started_at),
             service: SERVICE.into(),
             address: "127.0.0.1:1".parse().expect("address"),
             zone: "z".into(),
@@ -69,7 +69,7 @@
     }
 
     fn clock(&self, now: Duration) -> Duration {
-        now - self.born
+        now - self.started_at
     }
 
     pub fn reserved(&self) -> Resources {
@@ -88,7 +88,7 @@
 
     pub fn restart(&mut self, now: Duration) {
         self.is_up = true;
-        self.born = now;
+        self.started_at = now;
     }
 
     pub fn poll(&mut self, request: PollRequest, now: Duration) -> Result<PollResponse, PollError> {
@@ -114,7 +114,7 @@
         });
         Ok(PollResponse {
             clock: self.clock(now),
-            started_unix: Some(self.born),
+            started_unix: Some(self.started_at),
             running: running.collect(),
             ended: self.ended.clone(),
         })
@@ -126,7 +126,7 @@
 
     fn extend(&mut self, until: Option<Duration>, now: Duration) {
         let Some(until) = until else { return };
-        let latest = self.clock(now) + HOLD;
+        let latest = self.clock(now) + LEASE_MAX;
         self.lease_until = self.lease_until.max(until.min(latest));
     }
 
@@ -218,7 +218,7 @@
         }
     }
 
-    pub fn has_done(&self, task: TaskId) -> bool {
+    pub fn has_completed(&self, task: TaskId) -> bool {
         self.ended.iter().any(|row| row.task == task && row.end == RunEnd::Done)
     }
 }
--- a/crates/jobs/tests/desk/mod.rs
+++ b/crates/jobs/tests/harness/mod.rs
@@ -17,27 +17,27 @@
 use crate::emulator::{SERVICE, config, cores, job, ms, settings, step};
 
 /// Revision of jobs that were accepted after the owner had begun.
-pub const LATE: u64 = u64::MAX;
+pub const REVISION_AFTER_TAKEOVER: u64 = u64::MAX;
 
 /// A scheduler with workers that carry out what they are told at once.
-pub struct Desk {
+pub struct SchedulerHarness {
     pub scheduler: Scheduler,
     pub now: Duration,
     pub running: HashMap<WorkerSlot, Vec<(TaskId, u32)>>,
     pub machine_orders: Vec<MachineCommand>,
-    pub listed: Vec<Machine>,
+    pub listed_machines: Vec<Machine>,
 }
 
-impl Desk {
+impl SchedulerHarness {
     /// A scheduler with workers that have been looked at.
     pub fn new(workers: usize, term: OwnerTerm) -> Self {
-        let mut desk = Self::begin(workers, term);
-        desk.pass(ms(3_500));
-        desk
+        let mut harness = Self::at_term_start(workers, term);
+        harness.run_for(ms(3_500));
+        harness
     }
 
     /// A scheduler at the begin of its tenure.
-    pub fn begin(workers: usize, term: OwnerTerm) -> Self {
+    pub fn at_term_start(workers: usize, term: OwnerTerm) -> Self {
         let now = ms(100_000);
         let mut scheduler = Scheduler::new(settings(), term, now);
         let mut config = (*config(Resources::default())).clone();
@@ -47,13 +47,13 @@
         let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
         let make = |number| EmulatedWorker::new(number, capacity).entry();
         scheduler.set_workers((0..workers).map(make).collect(), now);
-        Self::of(scheduler, now)
+        Self::from_scheduler(scheduler, now)
     }
 
     /// A desk around a scheduler.
-    pub fn of(scheduler: Scheduler, now: Duration) -> Self {
+    pub fn from_scheduler(scheduler: Scheduler, now: Duration) -> Self {
         let running = HashMap::new();
-        Self { scheduler, now, running, machine_orders: Vec::new(), listed: Vec::new() }
+        Self { scheduler, now, running, machine_orders: Vec::new(), listed_machines: Vec::new() }
     }
 
     pub fn machines(count: usize, state: MachineState) -> Vec<Machine> {
@@ -75,21 +75,21 @@
         Self::machines(count, MachineState::Up).into_iter().map(spare).collect()
     }
 
-    pub fn list(&mut self, machines: Vec<Machine>) {
-        self.listed = machines.clone();
+    pub fn set_machines(&mut self, machines: Vec<Machine>) {
+        self.listed_machines = machines.clone();
         self.scheduler.set_machines(machines, self.now, self.now);
     }
 
     pub fn submit(&mut self, id: JobId, steps: Vec<StepSpec>) {
-        self.scheduler.add_job(id, job(steps), LATE, None, self.now);
+        self.scheduler.add_job(id, job(steps), REVISION_AFTER_TAKEOVER, None, self.now);
     }
 
     /// Lets time pass in which each order is carried out.
-    pub fn pass(&mut self, length: Duration) {
+    pub fn run_for(&mut self, length: Duration) {
         let end = self.now + length;
         while self.now < end {
             for order in self.scheduler.plan(Duration::ZERO, self.now) {
-                self.carry_out(order);
+                self.execute(order);
             }
             self.write();
             self.now += ms(10);
@@ -97,7 +97,7 @@
     }
 
     /// Lets time pass in which no worker answers.
-    pub fn pass_silently(&mut self, length: Duration) {
+    pub fn run_without_responses(&mut self, length: Duration) {
         let error = PollError::NoAnswer("timeout".into());
         let end = self.now + length;
         while self.now < end {
@@ -107,7 +107,7 @@
                         let _ = self.scheduler.poll_request(worker, false, self.now);
                         self.scheduler.handle_poll_failure(worker, false, &error, self.now);
                     }
-                    order => self.carry_out(order),
+                    order => self.execute(order),
                 }
             }
             self.write();
@@ -121,7 +121,7 @@
         }
     }
 
-    pub fn carry_out(&mut self, order: Command) {
+    pub fn execute(&mut self, order: Command) {
         match order {
             Command::Poll { worker, is_out_of_band } => {
                 let _ = self.scheduler.poll_request(worker, is_out_of_band, self.now);
@@ -172,7 +172,7 @@
         self.running.values().map(Vec::len).sum()
     }
 
-    pub fn wave_of(&mut self, machines: &[usize], concurrent_max: usize) {
+    pub fn set_wave(&mut self, machines: &[usize], concurrent_max: usize) {
         let machines = machines.iter().map(|number| format!("m{number}").into()).collect();
         let wave = Wave { number: 1, machines, time_limit: ms(20_000), concurrent_max };
         self.scheduler.set_waves(&[wave], self.now);
@@ -184,6 +184,6 @@
 }
 
 /// The stored state of a job that an earlier owner was about to start, with what it says of tasks.
-pub fn touched(tasks: Vec<TaskRecord>) -> StateRecord {
+pub fn state_from_previous_owner(tasks: Vec<TaskRecord>) -> StateRecord {
     StateRecord { state: JobState::Running, team: None, ended: Vec::new(), tasks }
 }
--- a/crates/jobs/tests/overload.rs
+++ b/crates/jobs/tests/overload.rs
@@ -30,12 +30,12 @@
 #[test]
 fn a_backlog_of_accepted_jobs_has_started_two_seconds_later() {
     let mut emulator = deployment();
-    emulator.write_time = ms(BUSY_WRITE_MS);
+    emulator.write_latency = ms(BUSY_WRITE_MS);
     submit_backlog(&mut emulator);
     emulator.run(ms(2_000));
-    let waiting = BACKLOG as usize * TASKS_EACH as usize - emulator.starts;
+    let waiting = BACKLOG as usize * TASKS_EACH as usize - emulator.start_count;
     assert_eq!(waiting, 0, "tasks that have not begun");
-    assert_eq!(emulator.broken, Vec::<String>::new());
+    assert_eq!(emulator.violations, Vec::<String>::new());
 }
 
 /// Guards against the class of SHORT: the ended jobs of a busy hour stayed in the store.
@@ -49,7 +49,7 @@
     }
     emulator.run(ended_within);
     assert_eq!(emulator.ended_jobs(), BACKLOG as usize / 2);
-    emulator.write_time = ms(BUSY_WRITE_MS);
+    emulator.write_latency = ms(BUSY_WRITE_MS);
     emulator.run(settings().status_retention);
     assert_eq!(emulator.ended_jobs(), 0, "ended jobs that are kept too long");
 }
@@ -58,7 +58,7 @@
 #[test]
 fn a_new_owner_may_use_all_workers_within_300_ms() {
     let mut emulator = Emulator::new(1, WORKERS, Resources::default(), Faults::none());
-    emulator.write_time = ms(BUSY_WRITE_MS);
+    emulator.write_latency = ms(BUSY_WRITE_MS);
     emulator.run(ms(300));
     assert_eq!(emulator.usable_workers(), WORKERS);
 }
@@ -71,11 +71,11 @@
     let mut emulator = deployment();
     submit_backlog(&mut emulator);
     emulator.run(ms(1_000));
-    emulator.write_time = ms(1_000_000);
+    emulator.write_latency = ms(1_000_000);
     // All that runs has ended by then, and been shown once.
     emulator.run(ms(3_000));
-    let before = emulator.repeated_looks;
+    let before = emulator.redundant_polls;
     emulator.run(ms(4_000));
-    let looks_per_s = (emulator.repeated_looks - before) / 4;
+    let looks_per_s = (emulator.redundant_polls - before) / 4;
     assert!(looks_per_s <= REPEATED_POLLS_PER_S, "{looks_per_s} looks a second");
 }
--- a/crates/jobs/tests/scheduler.rs
+++ b/crates/jobs/tests/scheduler.rs
@@ -1,8 +1,8 @@
 //! Single situations of jobs and workers that the scheduler has to get right. Each was a fault
 //! once.
 
-mod desk;
 mod emulator;
+mod harness;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,39 +15,52 @@
 use cassiafold_jobs::scheduler::{Command, OwnerTerm, Scheduler};
 use cassiafold_jobs::spec::{Resources, Schedule, StepId, StepSpec, TaskId};
 
-use self::desk::{Desk, long_running, touched};
 use self::emulator::worker::EmulatedWorker;
 use self::emulator::{config, cores, job, ms, settings, step};
+use self::harness::{SchedulerHarness, long_running, state_from_previous_owner};
 
 #[test]
 fn a_cancel_that_comes_before_its_job_ends_it() {
-    let mut desk = Desk::new(2, OwnerTerm::default());
-    desk.scheduler.cancel(7, desk.now);
-    desk.submit(7, vec![step(2, 1, &[])]);
-    desk.pass(ms(200));
-    assert_eq!(desk.running(), 0);
-    assert_eq!(desk.scheduler.job(7).map(|job| job.state), Some(JobState::Cancelled));
+    let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
+    harness.scheduler.cancel(7, harness.now);
+    harness.submit(7, vec![step(2, 1, &[])]);
+    harness.run_for(ms(200));
+    assert_eq!(harness.running(), 0);
+    assert_eq!(harness.scheduler.job(7).map(|job| job.state), Some(JobState::Cancelled));
 }
 
 #[test]
 fn nothing_starts_before_the_store_says_that_it_may_have() {
-    let mut desk = Desk::new(1, OwnerTerm::default());
-    desk.submit(1, vec![step(1, 1, &[])]);
+    let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
+    harness.submit(1, vec![step(1, 1, &[])]);
     let is_start = |order: &Command| matches!(order, Command::Start { .. });
-    assert!(!desk.scheduler.plan(Duration::ZERO, desk.now).iter().any(is_start));
-    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    assert!(!desk.scheduler.plan(Duration::ZERO, desk.now).iter().any(is_start));
-    desk.scheduler.handle_write_committed(&flush, desk.now);
-    assert!(desk.scheduler.plan(Duration::ZERO, desk.now).iter().any(is_start));
+    assert!(!harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_start));
+    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    assert!(!harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_start));
+    harness.scheduler.handle_write_committed(&flush, harness.now);
+    assert!(harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_start));
 }
 
 #[test]
 fn a_job_that_an_earlier_owner_touched_and_did_not_start_counts_as_waiting() {
-    let mut desk = Desk::begin(0, OwnerTerm { token: 50, ..OwnerTerm::default() });
+    let mut harness =
+        SchedulerHarness::at_term_start(0, OwnerTerm { token: 50, ..OwnerTerm::default() });
     let done = vec![TaskRecord { done: true, last_run: 1, ..TaskRecord::default() }];
-    desk.scheduler.add_job(1, job(vec![step(2, 1, &[])]), 40, Some(&touched(vec![])), desk.now);
-    desk.scheduler.add_job(2, job(vec![step(2, 1, &[])]), 41, Some(&touched(done)), desk.now);
-    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
+    harness.scheduler.add_job(
+        1,
+        job(vec![step(2, 1, &[])]),
+        40,
+        Some(&state_from_previous_owner(vec![])),
+        harness.now,
+    );
+    harness.scheduler.add_job(
+        2,
+        job(vec![step(2, 1, &[])]),
+        41,
+        Some(&state_from_previous_owner(done)),
+        harness.now,
+    );
+    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
     let waiting = flush.puts.iter().find(|(key, _)| &**key == WAITING_KEY).expect("a count");
     let waiting: WaitingRecord = serde_json::from_slice(&waiting.1).expect("a record");
     assert_eq!(waiting.jobs.values().copied().collect::<Vec<_>>(), [1]);
@@ -55,29 +68,29 @@
 
 #[test]
 fn after_a_failed_look_nothing_is_acknowledged_until_the_life_is_known_again() {
-    let mut desk = Desk::new(1, OwnerTerm::default());
-    desk.submit(1, vec![step(1, 1, &[])]);
-    desk.pass(ms(100));
-    let (task, run) = desk.running[&0][0];
+    let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
+    harness.submit(1, vec![step(1, 1, &[])]);
+    harness.run_for(ms(100));
+    let (task, run) = harness.running[&0][0];
     let end = RunEnd::Done;
     let ended = vec![EndedRun { number: 7, task, run, end, checkpoint: None }];
-    desk.running.clear();
-    let poll = PollResponse { clock: desk.now, ended, ..PollResponse::default() };
-    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, poll);
-    desk.pass(ms(100));
-    assert_eq!(desk.scheduler.poll_request(0, false, desk.now).acknowledged, 7);
+    harness.running.clear();
+    let poll = PollResponse { clock: harness.now, ended, ..PollResponse::default() };
+    harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, poll);
+    harness.run_for(ms(100));
+    assert_eq!(harness.scheduler.poll_request(0, false, harness.now).acknowledged, 7);
     let error = PollError::NoAnswer("reset".into());
-    desk.scheduler.handle_poll_failure(0, false, &error, desk.now);
-    let request = desk.scheduler.poll_request(0, false, desk.now);
+    harness.scheduler.handle_poll_failure(0, false, &error, harness.now);
+    let request = harness.scheduler.poll_request(0, false, harness.now);
     assert_eq!((request.acknowledged, request.lease_until), (0, None));
 }
 
 #[test]
 fn ends_of_a_new_life_count_though_their_numbers_start_anew() {
-    let mut desk = Desk::new(1, OwnerTerm::default());
-    desk.submit(1, vec![step(2, 1, &[])]);
-    desk.pass(ms(100));
-    let runs = desk.running[&0].clone();
+    let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
+    harness.submit(1, vec![step(2, 1, &[])]);
+    harness.run_for(ms(100));
+    let runs = harness.running[&0].clone();
     let row = |number, (task, run): (TaskId, u32)| EndedRun {
         number,
         task,
@@ -91,150 +104,165 @@
         ..PollResponse::default()
     };
     let first = PollResponse { ended: vec![row(5, runs[0])], ..incarnation(1_000) };
-    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, first);
+    harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, first);
     let second = PollResponse { ended: vec![row(1, runs[1])], ..incarnation(2_000) };
-    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, second);
-    assert_eq!(desk.scheduler.job(1).map(|job| job.state), Some(JobState::Completed));
+    harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, second);
+    assert_eq!(harness.scheduler.job(1).map(|job| job.state), Some(JobState::Completed));
 }
 
 #[test]
 fn runs_of_a_repetition_that_an_earlier_owner_began_are_taken_over() {
-    let mut desk =
-        Desk::new(1, OwnerTerm { token: 50, run_number_base: 1_000, ..OwnerTerm::default() });
+    let mut harness = SchedulerHarness::new(
+        1,
+        OwnerTerm { token: 50, run_number_base: 1_000, ..OwnerTerm::default() },
+    );
     let mut record = job(vec![step(2, 1, &[])]);
     let first_unix = Duration::from_secs(500);
     record.spec.schedule =
         Some(Schedule { first_unix, interval: Duration::from_secs(1), occurrences: 2 });
-    let touched = touched(Vec::new());
-    desk.scheduler.add_job(1, record, 40, Some(&touched), desk.now);
+    let stored = state_from_previous_owner(Vec::new());
+    harness.scheduler.add_job(1, record, 40, Some(&stored), harness.now);
     let task = |index| TaskId { step: StepId { job: 1, occurrence: 0, step: 0 }, index };
     let end = RunEnd::Done;
     let ended = vec![EndedRun { number: 1, task: task(0), run: 3, end, checkpoint: None }];
     let running =
         vec![RunningRun { task: task(1), run: 4, checkpoint: None, percent: 50, load_metric: 0 }];
-    let poll = PollResponse { clock: desk.now, running, ended, ..PollResponse::default() };
-    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, poll);
-    desk.running.insert(0, vec![(task(1), 4)]);
-    desk.pass(ms(300));
-    assert_eq!(desk.running[&0], vec![(task(1), 4)], "neither stopped nor started again");
-    let known = desk.scheduler.job(1).and_then(|job| job.task(task(0))).map(|task| task.is_done);
+    let poll = PollResponse { clock: harness.now, running, ended, ..PollResponse::default() };
+    harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, poll);
+    harness.running.insert(0, vec![(task(1), 4)]);
+    harness.run_for(ms(300));
+    assert_eq!(harness.running[&0], vec![(task(1), 4)], "neither stopped nor started again");
+    let known = harness.scheduler.job(1).and_then(|job| job.task(task(0))).map(|task| task.is_done);
     assert_eq!(known, Some(true));
 }
 
 #[test]
 fn a_write_never_has_more_entries_than_the_store_takes() {
-    let mut desk = Desk::new(1, OwnerTerm::default());
+    let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     for id in 1..200 {
-        desk.submit(id, vec![step(1, 1, &[])]);
-        desk.scheduler.cancel(id, desk.now);
+        harness.submit(id, vec![step(1, 1, &[])]);
+        harness.scheduler.cancel(id, harness.now);
     }
     let wave = |number| Wave { number, machines: Vec::new(), time_limit: ms(1), concurrent_max: 1 };
     let waves: Vec<Wave> = (1..20).map(wave).collect();
-    desk.scheduler.set_waves(&waves, desk.now);
+    harness.scheduler.set_waves(&waves, harness.now);
     let conditions_and_sequence = 3;
     for _ in 0..30 {
-        let Some(flush) = desk.scheduler.next_write_batch(desk.now) else { break };
+        let Some(flush) = harness.scheduler.next_write_batch(harness.now) else { break };
         let entries = flush.puts.len() + flush.deletions.len() + flush.waves.len();
         assert!(conditions_and_sequence + entries <= 32, "{entries}");
-        desk.scheduler.handle_write_committed(&flush, desk.now);
-        desk.now += Duration::from_secs(60);
+        harness.scheduler.handle_write_committed(&flush, harness.now);
+        harness.now += Duration::from_secs(60);
     }
 }
 
 #[test]
 fn ends_are_acknowledged_though_new_ones_keep_coming() {
-    let mut desk = Desk::new(1, OwnerTerm::default());
-    desk.submit(1, vec![step(300, 0, &[])]);
-    desk.pass(ms(200));
-    let runs = desk.running.remove(&0).expect("all run");
+    let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
+    harness.submit(1, vec![step(300, 0, &[])]);
+    harness.run_for(ms(200));
+    let runs = harness.running.remove(&0).expect("all run");
     for (number, (task, run)) in (1..).zip(runs) {
         let row = EndedRun { number, task, run, end: RunEnd::Done, checkpoint: None };
-        let poll = PollResponse { clock: desk.now, ended: vec![row], ..PollResponse::default() };
-        desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, poll);
+        let poll = PollResponse { clock: harness.now, ended: vec![row], ..PollResponse::default() };
+        harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, poll);
         // More jobs change between two writes than one write takes.
         for other in 0..30 {
-            desk.submit(number * 1_000 + other, vec![step(1, 1, &[])]);
-            desk.scheduler.cancel(number * 1_000 + other, desk.now);
+            harness.submit(number * 1_000 + other, vec![step(1, 1, &[])]);
+            harness.scheduler.cancel(number * 1_000 + other, harness.now);
         }
-        let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
-        desk.scheduler.handle_write_committed(&flush, desk.now);
+        let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
+        harness.scheduler.handle_write_committed(&flush, harness.now);
     }
-    let acknowledged = desk.scheduler.poll_request(0, false, desk.now).acknowledged;
+    let acknowledged = harness.scheduler.poll_request(0, false, harness.now).acknowledged;
     assert!(acknowledged > 0, "none of 300 ends");
 }
 
 #[test]
 fn an_order_on_its_way_to_a_new_life_is_not_given_elsewhere() {
-    let mut desk = Desk::new(2, OwnerTerm::default());
+    let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
     let incarnation = |born| PollResponse {
         clock: ms(1),
         started_unix: Some(ms(born)),
         ..PollResponse::default()
     };
     for slot in 0..2 {
-        desk.scheduler.handle_poll_response(slot, false, desk.now, desk.now, incarnation(1_000));
+        harness.scheduler.handle_poll_response(
+            slot,
+            false,
+            harness.now,
+            harness.now,
+            incarnation(1_000),
+        );
     }
-    desk.submit(1, vec![step(1, 1, &[])]);
+    harness.submit(1, vec![step(1, 1, &[])]);
     let mut starts = Vec::new();
     for _ in 0..3 {
-        desk.now += ms(10);
-        for order in desk.scheduler.plan(Duration::ZERO, desk.now) {
+        harness.now += ms(10);
+        for order in harness.scheduler.plan(Duration::ZERO, harness.now) {
             if let Command::Start { worker, .. } = order {
                 starts.push(worker);
             }
         }
-        if let Some(flush) = desk.scheduler.next_write_batch(desk.now) {
-            desk.scheduler.handle_write_committed(&flush, desk.now);
+        if let Some(flush) = harness.scheduler.next_write_batch(harness.now) {
+            harness.scheduler.handle_write_committed(&flush, harness.now);
         }
     }
     assert_eq!(starts.len(), 1);
     let slot = starts[0];
     let error = PollError::NoAnswer("reset".into());
-    desk.scheduler.handle_poll_failure(slot, false, &error, desk.now);
-    desk.scheduler.handle_poll_response(slot, false, desk.now, desk.now, incarnation(2_000));
-    desk.now += ms(100);
-    let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
+    harness.scheduler.handle_poll_failure(slot, false, &error, harness.now);
+    harness.scheduler.handle_poll_response(
+        slot,
+        false,
+        harness.now,
+        harness.now,
+        incarnation(2_000),
+    );
+    harness.now += ms(100);
+    let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
     let again = orders.iter().filter(|order| matches!(order, Command::Start { .. })).count();
     assert_eq!(again, 0);
 }
 
 #[test]
 fn a_job_waits_until_a_worker_has_begun_one_of_its_tasks() {
-    let mut desk = Desk::new(1, OwnerTerm::default());
-    desk.submit(1, vec![step(1, 1, &[])]);
-    let _ = desk.scheduler.plan(Duration::ZERO, desk.now);
-    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    desk.scheduler.handle_write_committed(&flush, desk.now);
-    let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
+    let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
+    harness.submit(1, vec![step(1, 1, &[])]);
+    let _ = harness.scheduler.plan(Duration::ZERO, harness.now);
+    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    harness.scheduler.handle_write_committed(&flush, harness.now);
+    let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
     let start = orders.into_iter().find(|order| matches!(order, Command::Start { .. }));
-    let has_started = |desk: &Desk| desk.scheduler.job(1).map(|job| job.has_started);
-    assert_eq!(has_started(&desk), Some(false), "the order is on its way");
-    desk.carry_out(start.expect("a start"));
-    assert_eq!(has_started(&desk), Some(true));
+    let has_started =
+        |harness: &SchedulerHarness| harness.scheduler.job(1).map(|job| job.has_started);
+    assert_eq!(has_started(&harness), Some(false), "the order is on its way");
+    harness.execute(start.expect("a start"));
+    assert_eq!(has_started(&harness), Some(true));
 }
 
 /// Starts a task whose order gets no answer in time; then its worker is looked at.
 fn look_after_an_unanswered_start(spec: StepSpec, is_there: bool) -> Vec<Command> {
-    let mut desk = Desk::new(1, OwnerTerm::default());
-    desk.submit(1, vec![spec]);
-    let _ = desk.scheduler.plan(Duration::ZERO, desk.now);
-    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    desk.scheduler.handle_write_committed(&flush, desk.now);
-    let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
+    let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
+    harness.submit(1, vec![spec]);
+    let _ = harness.scheduler.plan(Duration::ZERO, harness.now);
+    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    harness.scheduler.handle_write_committed(&flush, harness.now);
+    let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
     let start = orders.into_iter().find_map(|order| match order {
         Command::Start { worker, task, run, .. } => Some((worker, task, run)),
         _ => None,
     });
     let (worker, task, run) = start.expect("a start");
-    desk.scheduler.handle_start_outcome(worker, task, run, CommandOutcome::Unknown, desk.now);
-    let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
+    harness.scheduler.handle_start_outcome(worker, task, run, CommandOutcome::Unknown, harness.now);
+    let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
     assert!(orders.contains(&Command::Poll { worker, is_out_of_band: true }), "{orders:?}");
-    let sent = desk.now + ms(1);
+    let sent = harness.now + ms(1);
     let row = RunningRun { task, run, checkpoint: None, percent: 100, load_metric: 0 };
     let running = if is_there { vec![row] } else { Vec::new() };
     let poll = PollResponse { clock: sent, running, ..PollResponse::default() };
-    desk.scheduler.handle_poll_response(worker, true, sent, sent, poll);
-    desk.scheduler.plan(Duration::ZERO, sent + ms(60))
+    harness.scheduler.handle_poll_response(worker, true, sent, sent, poll);
+    harness.scheduler.plan(Duration::ZERO, sent + ms(60))
 }
 
 macro_rules! unanswered_starts {
@@ -262,10 +290,10 @@
 
 #[test]
 fn short_tasks_fill_the_fullest_worker_first() {
-    let mut desk = Desk::new(4, OwnerTerm::default());
-    desk.submit(1, vec![step(8, 2, &[])]);
-    desk.pass(ms(100));
-    let used = desk.running.values().filter(|runs| !runs.is_empty()).count();
+    let mut harness = SchedulerHarness::new(4, OwnerTerm::default());
+    harness.submit(1, vec![step(8, 2, &[])]);
+    harness.run_for(ms(100));
+    let used = harness.running.values().filter(|runs| !runs.is_empty()).count();
     assert_eq!(used, 1);
 }
 
@@ -279,32 +307,32 @@
     scheduler.set_config(config(Resources::default()));
     let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
     scheduler.set_workers(vec![EmulatedWorker::new(0, capacity).entry()], now);
-    let touched = touched(Vec::new());
-    scheduler.add_job(1, job(vec![step(1, 1, &[])]), 40, Some(&touched), now);
+    let stored = state_from_previous_owner(Vec::new());
+    scheduler.add_job(1, job(vec![step(1, 1, &[])]), 40, Some(&stored), now);
     scheduler.add_job(2, job(vec![step(1, 1, &[])]), 60, None, now);
     scheduler.add_job(3, job(vec![step(1, 1, &[])]), 41, None, now);
-    let mut desk = Desk::of(scheduler, now);
+    let mut harness = SchedulerHarness::from_scheduler(scheduler, now);
     let error = PollError::NoAnswer("timeout".into());
-    let silent = (0..2).find(|slot| *desk.scheduler.worker(*slot).entry.id == *known.id);
+    let silent = (0..2).find(|slot| *harness.scheduler.worker(*slot).entry.id == *known.id);
     let silent = silent.expect("the known worker");
     let mut began = HashMap::new();
-    while desk.now < now + ms(6_500) {
-        for order in desk.scheduler.plan(Duration::ZERO, desk.now) {
+    while harness.now < now + ms(6_500) {
+        for order in harness.scheduler.plan(Duration::ZERO, harness.now) {
             if let Command::Start { task, .. } = &order {
-                began.insert(task.step.job, desk.now - now);
+                began.insert(task.step.job, harness.now - now);
             }
             match order {
                 Command::Poll { worker, .. } if worker == silent => {
-                    let _ = desk.scheduler.poll_request(worker, false, desk.now);
-                    desk.scheduler.handle_poll_failure(worker, false, &error, desk.now);
+                    let _ = harness.scheduler.poll_request(worker, false, harness.now);
+                    harness.scheduler.handle_poll_failure(worker, false, &error, harness.now);
                 }
-                order => desk.carry_out(order),
+                order => harness.execute(order),
             }
         }
-        if let Some(flush) = desk.scheduler.next_write_batch(desk.now) {
-            desk.scheduler.handle_write_committed(&flush, desk.now);
+        if let Some(flush) = harness.scheduler.next_write_batch(harness.now) {
+            harness.scheduler.handle_write_committed(&flush, harness.now);
         }
-        desk.now += ms(10);
+        harness.now += ms(10);
     }
     assert!(began[&2] < ms(200), "a job that came later starts at once: {:?}", began[&2]);
     assert!(began[&3] < ms(200), "so does one that nobody has touched: {:?}", began[&3]);
@@ -313,79 +341,80 @@
 
 /// A desk whose first worker has been given a task since it last showed itself, and has started
 /// anew in between.
-fn reborn() -> (Desk, Vec<WorkerEntry>) {
-    let mut desk = Desk::new(2, OwnerTerm::default());
-    desk.submit(1, vec![step(1, 16, &[])]);
-    let _ = desk.scheduler.plan(Duration::ZERO, desk.now);
-    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    desk.scheduler.handle_write_committed(&flush, desk.now);
-    desk.now += ms(1);
-    for order in desk.scheduler.plan(Duration::ZERO, desk.now) {
+fn reborn() -> (SchedulerHarness, Vec<WorkerEntry>) {
+    let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
+    harness.submit(1, vec![step(1, 16, &[])]);
+    let _ = harness.scheduler.plan(Duration::ZERO, harness.now);
+    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    harness.scheduler.handle_write_committed(&flush, harness.now);
+    harness.now += ms(1);
+    for order in harness.scheduler.plan(Duration::ZERO, harness.now) {
         if matches!(order, Command::Start { .. }) {
-            desk.carry_out(order);
+            harness.execute(order);
         }
     }
-    let slot = *desk.running.keys().next().expect("a run");
-    let entry = |slot: usize| desk.scheduler.worker(slot).entry.clone();
+    let slot = *harness.running.keys().next().expect("a run");
+    let entry = |slot: usize| harness.scheduler.worker(slot).entry.clone();
     let started_unix = entry(slot).started_unix.map(|born| born + ms(500));
     let reborn = WorkerEntry { started_unix, ..entry(slot) };
     let entries = vec![reborn, entry(1 - slot)];
-    desk.scheduler.set_workers(entries.clone(), desk.now);
-    (desk, entries)
+    harness.scheduler.set_workers(entries.clone(), harness.now);
+    (harness, entries)
 }
 
 #[test]
 fn a_run_that_a_new_life_may_have_begun_is_started_nowhere_else() {
-    let (mut desk, _) = reborn();
-    desk.pass(ms(1_000));
-    assert_eq!(desk.running(), 1);
+    let (mut harness, _) = reborn();
+    harness.run_for(ms(1_000));
+    assert_eq!(harness.running(), 1);
 }
 
 #[test]
 fn a_run_that_a_new_life_does_not_show_is_started_again() {
-    let (mut desk, _) = reborn();
-    desk.running.clear();
-    desk.pass(ms(1_000));
-    assert_eq!(desk.running(), 1);
+    let (mut harness, _) = reborn();
+    harness.running.clear();
+    harness.run_for(ms(1_000));
+    assert_eq!(harness.running(), 1);
 }
 
 #[test]
 fn a_report_that_is_older_than_the_life_seen_ends_nothing() {
-    let (mut desk, mut entries) = reborn();
-    desk.pass(ms(1_000));
+    let (mut harness, mut entries) = reborn();
+    harness.run_for(ms(1_000));
     entries[0].started_unix = entries[0].started_unix.map(|born| born - ms(400));
-    desk.scheduler.set_workers(entries, desk.now);
-    desk.pass(ms(1_000));
-    assert_eq!(desk.running(), 1);
-    assert!(!desk.scheduler.worker(0).is_gone && !desk.scheduler.worker(1).is_gone);
+    harness.scheduler.set_workers(entries, harness.now);
+    harness.run_for(ms(1_000));
+    assert_eq!(harness.running(), 1);
+    assert!(!harness.scheduler.worker(0).is_gone && !harness.scheduler.worker(1).is_gone);
 }
 
 #[test]
 fn a_run_of_a_job_that_had_ended_before_counts_until_it_is_over() {
-    let mut desk = Desk::begin(1, OwnerTerm { token: 50, ..OwnerTerm::default() });
-    let ended = StateRecord { state: JobState::Cancelled, ..touched(Vec::new()) };
-    desk.scheduler.add_job(1, job(vec![step(1, 16, &[])]), 40, Some(&ended), desk.now);
+    let mut harness =
+        SchedulerHarness::at_term_start(1, OwnerTerm { token: 50, ..OwnerTerm::default() });
+    let ended = StateRecord { state: JobState::Cancelled, ..state_from_previous_owner(Vec::new()) };
+    harness.scheduler.add_job(1, job(vec![step(1, 16, &[])]), 40, Some(&ended), harness.now);
     let task = TaskId { step: StepId { job: 1, occurrence: 0, step: 0 }, index: 0 };
     let row = RunningRun { task, run: 1, checkpoint: None, percent: 50, load_metric: 0 };
-    let poll = PollResponse { clock: desk.now, running: vec![row], ..PollResponse::default() };
-    desk.scheduler.handle_poll_response(0, false, desk.now, desk.now, poll);
-    desk.submit(2, vec![step(1, 1, &[])]);
+    let poll = PollResponse { clock: harness.now, running: vec![row], ..PollResponse::default() };
+    harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, poll);
+    harness.submit(2, vec![step(1, 1, &[])]);
     for _ in 0..3 {
-        let orders = desk.scheduler.plan(Duration::ZERO, desk.now);
+        let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
         assert!(!orders.iter().any(|order| matches!(order, Command::Start { .. })), "{orders:?}");
-        if let Some(flush) = desk.scheduler.next_write_batch(desk.now) {
-            desk.scheduler.handle_write_committed(&flush, desk.now);
+        if let Some(flush) = harness.scheduler.next_write_batch(harness.now) {
+            harness.scheduler.handle_write_committed(&flush, harness.now);
         }
-        desk.now += ms(20);
+        harness.now += ms(20);
     }
 }
 
 #[test]
 fn a_job_that_had_ended_before_is_not_run_again() {
-    let mut desk = Desk::new(1, OwnerTerm { token: 50, ..OwnerTerm::default() });
-    let ended = StateRecord { state: JobState::Completed, ..touched(Vec::new()) };
-    desk.scheduler.add_job(1, job(vec![step(1, 1, &[])]), 40, Some(&ended), desk.now);
-    desk.submit(1, vec![step(1, 1, &[])]);
-    desk.pass(ms(500));
-    assert_eq!(desk.running(), 0);
+    let mut harness = SchedulerHarness::new(1, OwnerTerm { token: 50, ..OwnerTerm::default() });
+    let ended = StateRecord { state: JobState::Completed, ..state_from_previous_owner(Vec::new()) };
+    harness.scheduler.add_job(1, job(vec![step(1, 1, &[])]), 40, Some(&ended), harness.now);
+    harness.submit(1, vec![step(1, 1, &[])]);
+    harness.run_for(ms(500));
+    assert_eq!(harness.running(), 0);
 }
--- a/crates/jobs/tests/service.rs
+++ b/crates/jobs/tests/service.rs
@@ -1,7 +1,7 @@
 //! Desk, store and owner together, on stand-ins and in real time.
 
+mod clients;
 mod emulator;
-mod site;
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 use cassiafold_platform::{Compare, Store, Transaction, TransactionalStore, Write};
 use cassiafold_standin::{Partition, WriteFault};
 
+use self::clients::{TestClients, call};
 use self::emulator::{job, ms, step};
-use self::site::{TestSite, call};
 
 const KEY: Option<&str> = Some("k1");
 
@@ -30,14 +30,14 @@
     panic!("not within 8 s: {what}");
 }
 
-async fn site(workers: usize) -> TestSite {
-    let site = TestSite::new(workers);
-    site.configure(1, &["k1"]).await;
-    site.list_workers().await;
-    site
+async fn platform_with_workers(workers: usize) -> TestClients {
+    let platform = TestClients::new(workers);
+    platform.configure(1, &["k1"]).await;
+    platform.register_workers().await;
+    platform
 }
 
-async fn ready(api: &JobApi<TestSite>) {
+async fn ready(api: &JobApi<TestClients>) {
     until("ready", async || api.is_ready(Duration::from_secs(60)).then_some(())).await;
 }
 
@@ -45,13 +45,13 @@
     format!("/q/{id:016x}")
 }
 
-async fn submit(site: &TestSite, api: &JobApi<TestSite>, id: JobId) -> SubmitResponse {
+async fn submit(platform: &TestClients, api: &JobApi<TestClients>, id: JobId) -> SubmitResponse {
     let record = job(vec![step(3, 1, &[]), step(2, 1, &[0])]);
-    site.workers.know(id, record.clone());
+    platform.workers.add_job(id, record.clone());
     api.submit(&call(&path(id), KEY), record.spec).await
 }
 
-async fn completed(api: &JobApi<TestSite>, id: JobId) {
+async fn completed(api: &JobApi<TestClients>, id: JobId) {
     let done = JobStateResponse::State(JobState::Completed);
     until("completed", async || (api.job_state(&call(&path(id), KEY)).await == done).then_some(()))
         .await;
@@ -59,94 +59,94 @@
 
 #[tokio::test]
 async fn an_accepted_job_is_done_and_shown_as_completed() {
-    let site = site(2).await;
-    let api = site.api();
+    let platform = platform_with_workers(2).await;
+    let api = platform.api();
     ready(&api).await;
-    let _owner = site.owner("one");
-    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
-    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    let _owner = platform.start_owner("one");
+    assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
+    assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
     completed(&api, 1).await;
-    assert_eq!(site.workers.starts.lock().expect("lock").len(), 5);
+    assert_eq!(platform.workers.starts.lock().expect("lock").len(), 5);
 }
 
 #[tokio::test]
 async fn another_instance_goes_on_when_the_owner_stops() {
-    let site = site(2).await;
-    let api = site.api();
+    let platform = platform_with_workers(2).await;
+    let api = platform.api();
     ready(&api).await;
-    let first = site.client("one").owner("one");
-    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    let first = platform.client("one").start_owner("one");
+    assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
     completed(&api, 1).await;
-    let _second = site.client("two").owner("two");
+    let _second = platform.client("two").start_owner("two");
     first.cancel();
-    assert_eq!(submit(&site, &api, 2).await, SubmitResponse::Accepted);
+    assert_eq!(submit(&platform, &api, 2).await, SubmitResponse::Accepted);
     completed(&api, 2).await;
-    let starts = site.workers.starts.lock().expect("lock").clone();
+    let starts = platform.workers.starts.lock().expect("lock").clone();
     assert_eq!(starts.iter().filter(|(task, _)| task.step.job == 1).count(), 5);
 }
 
 #[tokio::test]
 async fn a_weak_instance_leaves_an_ownership_that_was_free_from_the_start_to_a_stronger_one() {
-    let site = site(1).await;
-    let _weak = site.client("weak").weak_owner("weak", ms(400));
+    let platform = platform_with_workers(1).await;
+    let _weak = platform.client("weak").start_delayed_owner("weak", ms(400));
     tokio::time::sleep(ms(100)).await;
-    let _strong = site.client("strong").owner("strong");
+    let _strong = platform.client("strong").start_owner("strong");
     tokio::time::sleep(ms(600)).await;
-    let held = site.store.get(OWNER_KEY).await.expect("store").expect("an owner");
+    let held = platform.store.get(OWNER_KEY).await.expect("store").expect("an owner");
     assert!(held.value.starts_with(b"strong "), "{:?}", held.value);
 }
 
 #[tokio::test]
 async fn a_weak_instance_leaves_an_ownership_that_became_free_in_an_outage_to_a_stronger_one() {
-    let site = site(1).await;
+    let platform = platform_with_workers(1).await;
     let held = Transaction::default().put(OWNER_KEY, "former 1", None);
-    site.store.commit(held).await.expect("held");
-    let weak = site.client("weak");
-    let _weak = weak.weak_owner("weak", ms(400));
+    platform.store.commit(held).await.expect("held");
+    let weak = platform.client("weak");
+    let _weak = weak.start_delayed_owner("weak", ms(400));
     tokio::time::sleep(ms(500)).await;
     weak.store.faults().cut_off("weak", Partition::Requests);
-    site.store.commit(Transaction::default().delete(OWNER_KEY)).await.expect("free");
-    site.store.faults().compact();
+    platform.store.commit(Transaction::default().delete(OWNER_KEY)).await.expect("free");
+    platform.store.faults().compact();
     weak.store.faults().reconnect("weak");
     tokio::time::sleep(ms(200)).await;
-    let _strong = site.client("strong").owner("strong");
+    let _strong = platform.client("strong").start_owner("strong");
     tokio::time::sleep(ms(600)).await;
-    let held = site.store.get(OWNER_KEY).await.expect("store").expect("an owner");
+    let held = platform.store.get(OWNER_KEY).await.expect("store").expect("an owner");
     assert!(held.value.starts_with(b"strong "), "{:?}", held.value);
 }
 
 #[tokio::test]
 async fn a_lost_answer_to_an_accepted_job_is_settled() {
-    let site = site(1).await;
-    let api = site.client("front").api();
+    let platform = platform_with_workers(1).await;
+    let api = platform.client("front").api();
     ready(&api).await;
-    site.client("front").store.faults().fail_writes(1, WriteFault::LostAnswer);
-    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    platform.client("front").store.faults().fail_writes(1, WriteFault::LostAnswer);
+    assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
 }
 
 #[tokio::test]
 async fn a_job_whose_write_comes_late_is_not_called_refused() {
-    let site = site(1).await;
-    let api = site.client("front").api();
+    let platform = platform_with_workers(1).await;
+    let api = platform.client("front").api();
     ready(&api).await;
     let late = WriteFault::Late(ms(300));
-    site.client("front").store.faults().fail_writes(3, late);
-    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Unknown);
-    let stored = || async { site.store.get(&job_key(1)).await.expect("store") };
+    platform.client("front").store.faults().fail_writes(3, late);
+    assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Unknown);
+    let stored = || async { platform.store.get(&job_key(1)).await.expect("store") };
     until("stored", async || stored().await.map(drop)).await;
 }
 
 #[tokio::test]
 async fn late_writes_of_the_owner_do_not_bring_back_old_states() {
-    let site = site(2).await;
-    let api = site.api();
+    let platform = platform_with_workers(2).await;
+    let api = platform.api();
     ready(&api).await;
-    let owned = site.client("one");
-    let _owner = owned.owner("one");
-    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    let owned = platform.client("one");
+    let _owner = owned.start_owner("one");
+    assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
     completed(&api, 1).await;
     for id in 2..8 {
-        assert_eq!(submit(&site, &api, id).await, SubmitResponse::Accepted);
+        assert_eq!(submit(&platform, &api, id).await, SubmitResponse::Accepted);
         owned.store.faults().fail_writes(1, WriteFault::Late(ms(400)));
         tokio::time::sleep(ms(30)).await;
     }
@@ -154,7 +154,7 @@
         completed(&api, id).await;
     }
     tokio::time::sleep(ms(600)).await;
-    for record in site.store.list(STATE_PREFIX).await.expect("store").records {
+    for record in platform.store.list(STATE_PREFIX).await.expect("store").records {
         let text = String::from_utf8_lossy(&record.value).into_owned();
         assert!(text.contains("completed"), "{text}");
     }
@@ -165,15 +165,15 @@
 
 #[tokio::test]
 async fn writes_side_by_side_keep_their_promises_though_answers_are_lost_and_late() {
-    let site = site(40).await;
-    let api = site.api();
+    let platform = platform_with_workers(40).await;
+    let api = platform.api();
     ready(&api).await;
-    let owned = site.client("one");
-    let _owner = owned.owner("one");
+    let owned = platform.client("one");
+    let _owner = owned.start_owner("one");
     tokio::time::sleep(ms(300)).await;
     owned.store.faults().cut_off("one", Partition::Requests);
     for id in 1..=MANY_JOBS {
-        assert_eq!(submit(&site, &api, id).await, SubmitResponse::Accepted);
+        assert_eq!(submit(&platform, &api, id).await, SubmitResponse::Accepted);
     }
     let faults = [WriteFault::LostAnswer, WriteFault::Late(ms(300))];
     owned.store.faults().plan_writes(faults.into_iter().cycle().take(8).map(Some));
@@ -182,49 +182,49 @@
         completed(&api, id).await;
     }
     tokio::time::sleep(ms(600)).await;
-    for record in site.store.list(STATE_PREFIX).await.expect("store").records {
+    for record in platform.store.list(STATE_PREFIX).await.expect("store").records {
         let text = String::from_utf8_lossy(&record.value).into_owned();
         assert!(text.contains("completed"), "{text}");
     }
-    let second = site.store.get(&sequence_key(1)).await.expect("store").expect("a chain");
+    let second = platform.store.get(&sequence_key(1)).await.expect("store").expect("a chain");
     let second = String::from_utf8_lossy(&second.value).into_owned();
     assert!(!second.contains("\"number\":0"), "no write went beside another: {second}");
-    let starts = site.workers.starts.lock().expect("lock").clone();
+    let starts = platform.workers.starts.lock().expect("lock").clone();
     let tasks: std::collections::HashSet<_> = starts.iter().map(|(task, _)| *task).collect();
     assert_eq!((starts.len(), tasks.len()), (5 * MANY_JOBS as usize, 5 * MANY_JOBS as usize));
 }
 
 #[tokio::test]
 async fn a_withdrawn_key_is_refused_though_the_instance_has_not_heard_of_it() {
-    let site = site(1).await;
+    let platform = platform_with_workers(1).await;
     let (sender, desired_states) = cassiafold_jobs::desired_state::DesiredStateSender::new();
     let metrics = cassiafold_jobs::metrics::JobsMetrics::default();
-    let api = JobApi::new(site.clone(), desired_states, sender.clone(), metrics);
-    let follower = tokio::spawn(cassiafold_jobs::desired_state::follow(site.clone(), sender));
+    let api = JobApi::new(platform.clone(), desired_states, sender.clone(), metrics);
+    let follower = tokio::spawn(cassiafold_jobs::desired_state::follow(platform.clone(), sender));
     ready(&api).await;
     follower.abort();
-    site.configure(2, &["k2"]).await;
-    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Denied(Denial::UnknownKey));
-    assert_eq!(site.store.get(&job_key(1)).await.expect("store"), None);
+    platform.configure(2, &["k2"]).await;
+    assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Denied(Denial::UnknownKey));
+    assert_eq!(platform.store.get(&job_key(1)).await.expect("store"), None);
 }
 
 /// A desk whose watch of the operator's keys has fallen silent some seconds ago.
-async fn unwatched(site: &TestSite) -> JobApi<TestSite> {
+async fn unwatched(platform: &TestClients) -> JobApi<TestClients> {
     let (sender, desired_states) = cassiafold_jobs::desired_state::DesiredStateSender::new();
     let metrics = cassiafold_jobs::metrics::JobsMetrics::default();
-    let api = JobApi::new(site.clone(), desired_states, sender.clone(), metrics);
-    let follower = tokio::spawn(cassiafold_jobs::desired_state::follow(site.clone(), sender));
+    let api = JobApi::new(platform.clone(), desired_states, sender.clone(), metrics);
+    let follower = tokio::spawn(cassiafold_jobs::desired_state::follow(platform.clone(), sender));
     ready(&api).await;
     follower.abort();
-    site.configure(2, &["k2"]).await;
+    platform.configure(2, &["k2"]).await;
     tokio::time::sleep(ms(2_400)).await;
     api
 }
 
 #[tokio::test]
 async fn a_new_key_is_known_though_the_watch_is_silent() {
-    let site = site(1).await;
-    let api = unwatched(&site).await;
+    let platform = platform_with_workers(1).await;
+    let api = unwatched(&platform).await;
     assert_eq!(api.target(&call(&path(1), Some("k2"))).await, Ok(Target::Job(1)));
     assert_eq!(api.job_state(&call(&path(1), Some("k2"))).await, JobStateResponse::NoSuchJob);
     assert_eq!(
@@ -235,9 +235,9 @@
 
 #[tokio::test]
 async fn nothing_is_called_unknown_by_a_configuration_that_may_be_out_of_date() {
-    let site = site(1).await.client("front");
-    let api = unwatched(&site).await;
-    site.store.faults().cut_off("front", Partition::Requests);
+    let platform = platform_with_workers(1).await.client("front");
+    let api = unwatched(&platform).await;
+    platform.store.faults().cut_off("front", Partition::Requests);
     let outdated = Denial::Outdated;
     assert_eq!(api.target(&call(&path(1), Some("k2"))).await, Err(outdated));
     assert_eq!(
@@ -248,11 +248,11 @@
 
 #[tokio::test]
 async fn a_cancelled_job_ends_and_an_unknown_one_is_gone() {
-    let site = site(0).await;
-    let api = site.api();
+    let platform = platform_with_workers(0).await;
+    let api = platform.api();
     ready(&api).await;
-    let _owner = site.owner("one");
-    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    let _owner = platform.start_owner("one");
+    assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
     until("counted", async || {
         (api.waiting_jobs(&call("/q/", KEY)).await == CountResponse::Waiting(1)).then_some(())
     })
@@ -269,20 +269,20 @@
 
 #[tokio::test]
 async fn an_old_count_is_not_shown() {
-    let site = site(0).await;
-    let api = site.api();
+    let platform = platform_with_workers(0).await;
+    let api = platform.api();
     ready(&api).await;
     let old = r#"{"jobs":{"q":3},"counted_unix_ms":1000}"#;
     let write = Write::put(WAITING_KEY, Compare::Absent, old);
-    site.store.write(write).await.expect("store");
+    platform.store.write(write).await.expect("store");
     assert_eq!(api.waiting_jobs(&call("/q/", KEY)).await, CountResponse::Unknown);
 }
 
 macro_rules! denials {
     ($($name:ident: $path:expr, $key:expr => $denial:expr;)+) => {
         $(#[tokio::test] async fn $name() {
-            let site = site(0).await;
-            let api = site.api();
+            let platform = platform_with_workers(0).await;
+            let api = platform.api();
             ready(&api).await;
             let spec = job(vec![step(1, 1, &[])]).spec;
             let answer = api.submit(&call($path, $key), spec).await;
@@ -300,7 +300,7 @@
 
 #[tokio::test]
 async fn a_desk_without_configuration_denies_all() {
-    let api = TestSite::new(0).api();
+    let api = TestClients::new(0).api();
     let spec = job(vec![step(1, 1, &[])]).spec;
     let answer = api.submit(&call(&path(1), KEY), spec).await;
     assert_eq!(answer, SubmitResponse::Denied(Denial::NoConfig));
@@ -308,16 +308,16 @@
 
 #[tokio::test]
 async fn an_owner_keeps_no_connections_to_workers_that_are_gone_nor_after_its_tenure() {
-    let site = site(3).await;
-    let owner = site.owner("one");
-    let api = site.api();
+    let platform = platform_with_workers(3).await;
+    let owner = platform.start_owner("one");
+    let api = platform.api();
     ready(&api).await;
-    assert_eq!(submit(&site, &api, 1).await, SubmitResponse::Accepted);
+    assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
     completed(&api, 1).await;
-    let forgotten = || site.workers.forgotten.lock().expect("lock").len();
-    assert_eq!(forgotten(), 0);
-    site.lose_worker("w0").await;
-    until("the lost worker", async || (forgotten() == 1).then_some(())).await;
+    let disconnected = || platform.workers.disconnected.lock().expect("lock").len();
+    assert_eq!(disconnected(), 0);
+    platform.remove_worker("w0").await;
+    until("the lost worker", async || (disconnected() == 1).then_some(())).await;
     owner.cancel();
-    until("all workers", async || (forgotten() == 3).then_some(())).await;
+    until("all workers", async || (disconnected() == 3).then_some(())).await;
 }
