--- a/crates/event/src/code.rs
+++ b/crates/event/src/code.rs
@@ -5,9 +5,9 @@
 pub struct CodeRow {
     /// Unique number of the code.
     pub number: u16,
-    /// Name of the code as in the code base.
+    /// Name of the enum variant.
     pub name: &'static str,
-    /// HTTP status with which the code is answered.
+    /// HTTP status of a response with this code.
     pub http_status: u16,
     /// What the code means.
     pub meaning: &'static str,
@@ -28,7 +28,7 @@
         }
 
         impl $name {
-            /// Every code of this package, in order of number.
+            /// All codes of this enum, in the order of their numbers.
             pub const ROWS: &'static [$crate::CodeRow] = &[$($crate::CodeRow {
                 number: $number,
                 name: stringify!($variant),
--- a/crates/event/src/event.rs
+++ b/crates/event/src/event.rs
@@ -5,7 +5,7 @@
 pub struct EventRow {
     /// Unique number of the event.
     pub number: u16,
-    /// Name of the event as in the code.
+    /// Name of the enum variant.
     pub name: &'static str,
     /// Severity at which the event is logged.
     pub level: log::Level,
@@ -28,7 +28,7 @@
         }
 
         impl $name {
-            /// Every event of this package, in order of number.
+            /// All events of this enum, in the order of their numbers.
             pub const ROWS: &'static [$crate::EventRow] = &[$($crate::EventRow {
                 number: $number,
                 name: stringify!($variant),
--- a/crates/jobs/tests/arrivals.rs
+++ b/crates/jobs/tests/arrivals.rs
@@ -1,4 +1,4 @@
-//! Replays demand that rises and falls, and compares how machines are ordered for it.
+//! Replays rising and falling demand, and compares policies that request machines for it.
 
 use std::time::Duration;
 
@@ -7,32 +7,32 @@
 use cassiafold_jobs::balance::PeakNeed;
 use cassiafold_platform::Moment;
 
-/// Time from an order until a machine takes work.
+/// Time from a move command until the machine runs tasks.
 const LEAD: Duration = Duration::from_millis(2_000);
 const STEP: Duration = Duration::from_millis(50);
 const SERVICE: &str = "a";
 const TURN_S: f64 = 10.0;
-/// Cores that one job uses for a second.
+/// Cores that each job uses, for one second.
 const JOB_CORES: f64 = 10.0;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Jobs a second within a turn that rises from nothing to `peak` and falls again.
+/// Rate in jobs per second over time: half a sine wave with maximum `peak`, then zero.
 fn bump(peak: f64) -> impl Fn(f64) -> f64 {
     move |at_s| {
         if at_s < TURN_S { peak * (at_s / TURN_S * std::f64::consts::PI).sin() } else { 0.0 }
     }
 }
 
-/// What demand was, and what was wanted at each step.
+/// Cores demanded and cores requested in each step.
 struct Replay {
     demand: Vec<f64>,
     wanted: Vec<f64>,
 }
 
-/// Lets jobs arrive evenly at a rate of jobs a second, and notes what `want` asks for.
+/// Submits jobs at a given rate in jobs per second, and records the cores that `want` requests.
 fn replay(
     jobs_per_s: impl Fn(f64) -> f64,
     mut want: impl FnMut(&Arrivals, Moment) -> f64,
@@ -58,14 +58,14 @@
 }
 
 impl Replay {
-    /// Core-seconds that were asked for before the machines for them had come.
+    /// Core-seconds of demand that the machines requested `LEAD` earlier do not cover.
     fn missing(&self) -> f64 {
         let lag = (LEAD.as_millis() / STEP.as_millis()) as usize;
         let late = self.demand.iter().skip(lag).zip(&self.wanted);
         late.map(|(demand, wanted)| (demand - wanted).max(0.0) * STEP.as_secs_f64()).sum()
     }
 
-    /// Core-seconds that were kept beyond the demand.
+    /// Requested core-seconds in excess of the demand.
     fn idle(&self) -> f64 {
         let each = self.demand.iter().zip(&self.wanted);
         each.map(|(demand, kept)| (kept - demand).max(0.0) * STEP.as_secs_f64()).sum()
@@ -85,12 +85,13 @@
     let steady = |_: f64| 40.0;
     let by_rate = replay(steady, |arrivals, now| arrivals.rate(SERVICE, now));
     let ahead = replay(steady, |arrivals, now| arrivals.predicted_rate(SERVICE, LEAD, now));
-    // The begin of the demand is a rise.
+    // The start of the demand counts as a rise.
     let settled = 40;
     assert_eq!(by_rate.wanted[settled..], ahead.wanted[settled..]);
 }
 
-/// Cores kept for the needs that still count.
+/// Requests the peak of the recent need. With `sees_falls`, older needs are dropped while demand
+/// falls.
 fn kept(sees_falls: bool) -> Replay {
     let mut task_resources = PeakNeed::default();
     replay(bump(150.0), move |arrivals, now| {
@@ -109,7 +110,7 @@
 #[test]
 fn a_dip_that_chance_brings_is_no_fall() {
     let mut falls = 0;
-    // One job fewer in each other stretch of 750 ms.
+    // Every second interval of 750 ms has 2 jobs per second fewer.
     let dips = |at_s: f64| if ((at_s / 0.75) as u64).is_multiple_of(2) { 20.0 } else { 18.0 };
     replay(dips, |arrivals, now| {
         falls += usize::from(arrivals.is_falling(SERVICE, now));
--- a/crates/jobs/tests/clients/mod.rs
+++ b/crates/jobs/tests/clients/mod.rs
@@ -1,4 +1,4 @@
-//! A site of stand-ins: the in-memory store, and workers in this process.
+//! Platform clients for tests: the in-memory store, and emulated workers in this process.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
@@ -26,7 +26,7 @@
 use crate::emulator::worker::EmulatedWorker;
 use crate::emulator::{SERVICE, TEAM, config, cores, ms, settings};
 
-/// How long each task takes.
+/// Run time of each task.
 const TASK_TIME: Duration = Duration::from_millis(40);
 
 #[derive(Debug, Clone)]
@@ -40,7 +40,7 @@
     pub list: Arc<Mutex<Vec<EmulatedWorker>>>,
     jobs: Arc<Mutex<BTreeMap<JobId, JobRecord>>>,
     pub starts: Arc<Mutex<Vec<(TaskId, RunNumber)>>>,
-    /// Workers whose connections were given up.
+    /// Workers whose connections were closed.
     pub disconnected: Arc<Mutex<BTreeSet<WorkerId>>>,
 }
 
@@ -63,12 +63,12 @@
         Self { store: MemoryStore::default(), workers }
     }
 
-    /// The site as another instance sees it, whose calls to the store can be disturbed alone.
+    /// Returns clients for another instance; store faults can be injected for this instance alone.
     pub fn client(&self, name: &str) -> Self {
         Self { store: self.store.client(name).with_timeout(ms(150)), ..self.clone() }
     }
 
-    /// Writes a configuration of one queue and these keys.
+    /// Writes a configuration with one queue and these API keys.
     pub async fn configure(&self, version: u64, keys: &[&str]) {
         let held = self.store.get(TestFormats::CONFIG_KEY).await.expect("store");
         let compare = held.map_or(cassiafold_platform::Compare::Absent, |record| {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Lets a worker go for good: it answers no more, and its report is removed.
+    /// Crashes a worker for good and deletes its entry from the store.
     pub async fn remove_worker(&self, id: &str) {
         self.workers.with(id, EmulatedWorker::crash);
         let key = format!("{}{id}", TestFormats::WORKERS_PREFIX);
@@ -104,12 +104,12 @@
         JobApi::new(self.clone(), desired_states, sender, JobsMetrics::default())
     }
 
-    /// Starts an owner, which stops with the token.
+    /// Starts an owner. Cancelling the returned token stops it.
     pub fn start_owner(&self, instance: &str) -> CancellationToken {
         self.start_delayed_owner(instance, ms(0))
     }
 
-    /// Starts an owner that claims after a delay.
+    /// Starts an owner that claims ownership only after a delay.
     pub fn start_delayed_owner(&self, instance: &str, claim_delay: Duration) -> CancellationToken {
         let stop = CancellationToken::new();
         let (sender, desired_states): (DesiredStateSender, watch::Receiver<Arc<DesiredState>>) =
@@ -207,7 +207,7 @@
         outcome
     }
 
-    /// Tells the workers what the tasks of a job need.
+    /// Registers with the workers which resources the tasks of a job need.
     pub fn add_job(&self, id: JobId, record: JobRecord) {
         self.jobs.lock().expect("lock").insert(id, record);
     }
--- a/crates/jobs/tests/decisions.rs
+++ b/crates/jobs/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions as plain functions, each with the load pattern that it answers.
+//! Unit tests of the decision functions, each with the load pattern for which it was written.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/jobs/tests/emulator/checks.rs
+++ b/crates/jobs/tests/emulator/checks.rs
@@ -1,11 +1,11 @@
-//! What the emulator checks at the workers and in the store.
+//! Invariants that the emulator checks at the workers and in the store.
 
 use cassiafold_jobs::spec::{Resources, StepId, TaskId};
 
 use super::Emulator;
 
 impl Emulator {
-    /// An end that was acknowledged must be in the store.
+    /// Checks that a run end is stored when it is acknowledged to its worker.
     pub(super) fn check_acknowledged(&mut self, task: TaskId) {
         let state = self.states.get(&task.step.job);
         let stored = state.is_some_and(|state| {
--- a/crates/jobs/tests/emulator/event.rs
+++ b/crates/jobs/tests/emulator/event.rs
@@ -1,4 +1,4 @@
-//! What happens in the emulation, in order of time.
+//! Events of the emulation, ordered by time.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -9,14 +9,15 @@
 use cassiafold_jobs::scheduler::WriteBatch;
 use cassiafold_jobs::spec::{RunNumber, TaskId};
 
-/// The life of a worker that has received an order; what it carries out late dies with it.
+/// Incarnation of a worker to which a command was sent. A delayed command is dropped if the worker
+/// has restarted since.
 #[derive(Debug, Clone, Copy)]
 pub struct Incarnation {
     pub worker: usize,
     pub started_at: Duration,
 }
 
-/// A look on its way to a worker.
+/// A poll request in flight to a worker.
 pub struct SentPoll {
     pub owner: u64,
     pub slot: usize,
@@ -26,7 +27,7 @@
     pub sent: Duration,
 }
 
-/// Something that happens at a moment.
+/// An event of the emulation.
 pub enum Event {
     Poll(SentPoll),
     PollDone {
@@ -85,7 +86,7 @@
     Tick,
 }
 
-/// An event with its moment and its number, the earliest first.
+/// An event with its time and sequence number, which order the queue with the earliest first.
 pub struct Scheduled(pub Reverse<(Duration, u64)>, pub Event);
 
 impl PartialEq for Scheduled {
--- a/crates/jobs/tests/emulator/faults.rs
+++ b/crates/jobs/tests/emulator/faults.rs
@@ -1,26 +1,26 @@
-//! Which calls are lost and which come late.
+//! Random loss and delay of calls.
 
 use std::time::Duration;
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// Shares of calls and runs that go wrong.
+/// Probabilities of faults of calls and runs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Orders that are never carried out nor answered.
+    /// Commands that are neither executed nor get a response.
     pub order_lost: f64,
-    /// Orders that are carried out seconds later and not answered.
+    /// Commands that are executed seconds later and get no response.
     pub order_late: f64,
-    /// Orders that are carried out and not answered.
+    /// Commands that are executed in time but get no response.
     pub order_unanswered: f64,
-    /// Looks that are lost.
+    /// Polls that get no response.
     pub poll_lost: f64,
     /// Runs that fail.
     pub run_failed: f64,
 }
 
-/// An order that is never carried out is carried out after the end of every test.
+/// Delay of a command that is never executed: longer than every test.
 const NEVER: Duration = Duration::from_secs(100_000);
 
 impl Faults {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// When an order is carried out, and whether it is answered.
+    /// Delay until a command is executed, and whether it gets a response.
     pub fn order(&self, random: &mut StdRng, latency: Duration) -> (Duration, bool) {
         let roll: f64 = random.random();
         if roll < self.order_lost {
@@ -50,7 +50,7 @@
         (latency, roll >= self.order_lost + self.order_late + self.order_unanswered)
     }
 
-    /// How long a look takes, and whether it is answered.
+    /// Delay until the result of a poll arrives, and whether the poll gets a response.
     pub fn poll(&self, random: &mut StdRng) -> (Duration, bool) {
         let is_lost = random.random_bool(self.poll_lost);
         let millis = if is_lost { 800 } else { random.random_range(1..40) };
--- a/crates/jobs/tests/emulator/mod.rs
+++ b/crates/jobs/tests/emulator/mod.rs
@@ -1,7 +1,7 @@
-//! A small emulator of workers, of the store and of owners that come and go, in virtual time.
+//! Emulator of workers, the store and a succession of owners, in virtual time.
 //!
-//! It drives the scheduler as the owner's loop does, loses and delays calls by a seed, and checks
-//! at the workers what the scheduler has promised.
+//! It drives the scheduler as the owner's loop does, loses and delays calls by a seeded random
+//! generator, and checks the scheduler's invariants at the workers.
 
 #![allow(dead_code, reason = "each test file uses a part of the emulator")]
 
@@ -32,11 +32,11 @@
 pub const SERVICE: &str = "s";
 pub const QUEUE: &str = "q";
 pub const TEAM: &str = "t";
-/// Time of day at the begin of the emulation.
+/// Unix time at the start of the emulation.
 const UNIX_START: Duration = Duration::from_secs(1_000_000);
-/// Time between two lists of workers, which therefore lag behind their lives.
+/// Interval at which the scheduler receives the list of workers, so that it lags behind restarts.
 const LIST_INTERVAL: Duration = Duration::from_millis(900);
-/// Longest lease that workers grant.
+/// Longest lease that workers accept.
 pub const LEASE_MAX: Duration = Duration::from_millis(6_000);
 
 pub fn settings() -> SchedulerSettings {
@@ -58,7 +58,7 @@
     Resources { processors_milli: cores * 1_000, memory_bytes: 1 << 30, accelerators: 0 }
 }
 
-/// A step of equal tasks.
+/// A step whose tasks all need the same resources.
 pub fn step(tasks: u32, cores_each: u32, after: &[u16]) -> StepSpec {
     StepSpec {
         tasks,
@@ -108,14 +108,14 @@
     pub workers: Vec<EmulatedWorker>,
     pub jobs: BTreeMap<JobId, JobRecord>,
     pub states: HashMap<JobId, StateRecord>,
-    /// Breaks of promises, in the order in which they were seen.
+    /// Violated invariants, in the order of detection.
     pub violations: Vec<String>,
     pub start_count: usize,
-    /// Looks that showed ends, none of which was new.
+    /// Polls whose response listed run ends, all of which an earlier response had listed.
     pub redundant_polls: usize,
-    /// The highest end that each life of a worker has shown.
+    /// Highest number of a run end that each incarnation of a worker has reported.
     shown: HashMap<(usize, Duration), u64>,
-    /// How long a write takes.
+    /// Latency of a write to the store.
     pub write_latency: Duration,
     faults: Faults,
     known: BTreeMap<Arc<str>, Vec<WorkerRecord>>,
@@ -169,13 +169,13 @@
         self.events.push(Scheduled(key, event));
     }
 
-    /// Lets a worker crash after `delay` and come back with a new life.
+    /// Crashes a worker after `delay` and restarts it as a new incarnation after `down` more.
     pub fn crash(&mut self, worker: usize, delay: Duration, down: Duration) {
         self.at(delay, Event::Crash { worker });
         self.at(delay + down, Event::Restart { worker });
     }
 
-    /// Lets the owner die after `delay`, and another one come.
+    /// Ends the owner after `delay` and starts another one after `gap` more.
     pub fn replace_owner(&mut self, delay: Duration, gap: Duration) {
         self.at(delay, Event::OwnerCrash);
         self.at(delay + gap, Event::OwnerStart);
@@ -210,7 +210,7 @@
         self.scheduler = Some(scheduler);
     }
 
-    /// Plays until `end`, or until all jobs have ended and are stored.
+    /// Runs the emulation for `length` of virtual time.
     pub fn run(&mut self, length: Duration) {
         let end = self.now + length;
         let is_due = |next: &Scheduled| next.0.0.0 <= end;
@@ -227,13 +227,13 @@
         self.states.get(&id).map_or(JobState::Queued, |state| state.state)
     }
 
-    /// Workers that the owner may give work to.
+    /// Number of workers on which the owner may start tasks.
     pub fn usable_workers(&self) -> usize {
         let scheduler = self.scheduler.as_ref();
         scheduler.map_or(0, |scheduler| scheduler.backlog(self.now).workers_usable)
     }
 
-    /// Jobs that have ended and whose states are kept.
+    /// Number of completed jobs whose states are still kept.
     pub fn ended_jobs(&self) -> usize {
         let scheduler = self.scheduler.as_ref();
         scheduler.map_or(0, |scheduler| scheduler.count_jobs(JobState::Completed))
@@ -274,7 +274,7 @@
         Incarnation { worker, started_at: self.workers[worker].started_at }
     }
 
-    /// Whether a life goes on that has received an order.
+    /// Whether the incarnation to which a command was sent still runs.
     fn lives(&self, incarnation: Incarnation) -> bool {
         self.workers[incarnation.worker].is_up
             && self.workers[incarnation.worker].started_at == incarnation.started_at
@@ -391,7 +391,7 @@
                 self.owner += 1;
                 self.start_owner();
             }
-            // Answers to an owner that is gone.
+            // Responses to a previous owner.
             Event::PollDone { .. }
             | Event::StartDone { .. }
             | Event::StopDone { .. }
--- a/crates/jobs/tests/emulator/worker.rs
+++ b/crates/jobs/tests/emulator/worker.rs
@@ -1,4 +1,4 @@
-//! An emulated worker: fences, leases, runs and their ends.
+//! An emulated worker: fencing, leases, runs and their ends.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -162,7 +162,7 @@
         CommandOutcome::Accepted
     }
 
-    /// Whether a run began at this very moment.
+    /// Whether a run was started at the current time.
     pub fn is_new(&self, task: TaskId, run: RunNumber, now: Duration) -> bool {
         self.runs.get(&task).is_some_and(|one| one.number == run && one.began == now)
     }
@@ -198,7 +198,7 @@
         self.ended.push(EndedRun { number, task, run: run.number, end, checkpoint: None });
     }
 
-    /// Ends a run by itself; false if it is not there.
+    /// Ends a run as completed or failed; false if it is not running.
     pub fn finish(&mut self, task: TaskId, run: RunNumber, fails: bool, now: Duration) -> bool {
         let is_there = self.runs.get(&task).is_some_and(|one| one.number == run);
         if is_there {
--- a/crates/jobs/tests/harness/mod.rs
+++ b/crates/jobs/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler with workers that do what they are told, for single situations.
+//! Test harness of the scheduler, with workers that execute every command at once.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -16,10 +16,10 @@
 use crate::emulator::worker::EmulatedWorker;
 use crate::emulator::{SERVICE, config, cores, job, ms, settings, step};
 
-/// Revision of jobs that were accepted after the owner had begun.
+/// Store revision of jobs that were accepted after the owner's term started.
 pub const REVISION_AFTER_TAKEOVER: u64 = u64::MAX;
 
-/// A scheduler with workers that carry out what they are told at once.
+/// A scheduler and workers that execute its commands at once.
 pub struct SchedulerHarness {
     pub scheduler: Scheduler,
     pub now: Duration,
@@ -29,14 +29,14 @@
 }
 
 impl SchedulerHarness {
-    /// A scheduler with workers that have been looked at.
+    /// Creates a harness whose workers have been polled.
     pub fn new(workers: usize, term: OwnerTerm) -> Self {
         let mut harness = Self::at_term_start(workers, term);
         harness.run_for(ms(3_500));
         harness
     }
 
-    /// A scheduler at the begin of its tenure.
+    /// Creates a harness at the start of an owner's term.
     pub fn at_term_start(workers: usize, term: OwnerTerm) -> Self {
         let now = ms(100_000);
         let mut scheduler = Scheduler::new(settings(), term, now);
@@ -50,7 +50,7 @@
         Self::from_scheduler(scheduler, now)
     }
 
-    /// A desk around a scheduler.
+    /// Creates a harness for an existing scheduler.
     pub fn from_scheduler(scheduler: Scheduler, now: Duration) -> Self {
         let running = HashMap::new();
         Self { scheduler, now, running, machine_orders: Vec::new(), listed_machines: Vec::new() }
@@ -69,7 +69,7 @@
         (0..count).map(make).collect()
     }
 
-    /// Machines in the spare pool, which run no workers.
+    /// Machines of the spare pool, which run no workers.
     pub fn spare_machines(count: usize) -> Vec<Machine> {
         let spare = |machine| Machine { service: "spare".into(), worker: None, ..machine };
         Self::machines(count, MachineState::Up).into_iter().map(spare).collect()
@@ -84,7 +84,7 @@
         self.scheduler.add_job(id, job(steps), REVISION_AFTER_TAKEOVER, None, self.now);
     }
 
-    /// Lets time pass in which each order is carried out.
+    /// Advances the time by `length`, with every command executed at once.
     pub fn run_for(&mut self, length: Duration) {
         let end = self.now + length;
         while self.now < end {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Lets time pass in which no worker answers.
+    /// Advances the time by `length`, with no response to any poll.
     pub fn run_without_responses(&mut self, length: Duration) {
         let error = PollError::NoAnswer("timeout".into());
         let end = self.now + length;
@@ -183,7 +183,7 @@
     StepSpec { long_running: true, unavailable_max: Some(1), per_worker_max, ..step(tasks, 2, &[]) }
 }
 
-/// The stored state of a job that an earlier owner was about to start, with what it says of tasks.
+/// Stored state of a job that a previous owner may have started, with the records of its tasks.
 pub fn state_from_previous_owner(tasks: Vec<TaskRecord>) -> StateRecord {
     StateRecord { state: JobState::Running, team: None, ended: Vec::new(), tasks }
 }
--- a/crates/jobs/tests/machines.rs
+++ b/crates/jobs/tests/machines.rs
@@ -1,5 +1,4 @@
-//! Single situations of machines, of moves and of maintenance that the scheduler has to get right.
-//! Each was a fault once.
+//! Regression tests of the scheduler: machines, moves and maintenance. Each covers a past fault.
 
 mod emulator;
 mod harness;
@@ -41,7 +40,7 @@
     assert_eq!(ordered.count(), 1);
 }
 
-/// A desk at which one worker runs three long-running tasks of a step.
+/// A harness in which one worker runs three long-running tasks of a step.
 fn crowded(workers: usize) -> (SchedulerHarness, WorkerSlot) {
     let mut harness = SchedulerHarness::new(workers, OwnerTerm::default());
     harness.submit(1, vec![long_running(3, None)]);
@@ -76,7 +75,8 @@
     assert_eq!(harness.running.get(&apart).map(Vec::len), Some(2));
 }
 
-/// Guards against late waves: machines with tasks of several steps waited for all of them at once.
+/// Guards against late waves. A machine with tasks of several steps waited until the budgets of
+/// all these steps allowed a move at the same time.
 #[test]
 fn each_step_moves_a_task_off_the_machines_of_a_wave_as_soon_as_its_budget_allows() {
     const STEPS: u64 = 4;
@@ -99,7 +99,7 @@
     assert_eq!(jobs, (1..=STEPS).collect::<Vec<_>>());
 }
 
-/// As where a service whose demand rises gets new machines in the middle of a wave.
+/// Happens when a service with rising demand gets new machines during a wave.
 #[test]
 fn a_wave_keeps_work_off_one_machine_more_than_may_be_down() {
     let mut harness = SchedulerHarness::new(6, OwnerTerm::default());
@@ -111,7 +111,8 @@
     assert_eq!(closed, 3);
 }
 
-/// Orders within 300 ms to a machine with a short task, in a wave whose term is 20 s.
+/// Number of commands within 300 ms to a machine with a short task, in a wave with a time limit of
+/// 20 s.
 fn orders_under_a_new_owner(since_unix_ms: u64) -> usize {
     let wave = WaveRecord { since_unix_ms, ..WaveRecord::default() };
     let waves = WavesRecord::from([(1, wave)]);
@@ -329,7 +330,7 @@
     assert_eq!(machines.len(), 1, "one of them goes down");
 }
 
-/// A desk with an empty service whose two machines are in the spare pool, and a job that wants
+/// A harness with a service without machines, two machines in the spare pool, and a job that needs
 /// one of them.
 fn wanting(commanded_machines: &[(&str, &str)]) -> SchedulerHarness {
     let commanded_machines: CommandedMachinesRecord = commanded_machines
--- a/crates/jobs/tests/overload.rs
+++ b/crates/jobs/tests/overload.rs
@@ -1,4 +1,4 @@
-//! What the owner does while much more waits for the store than usual.
+//! Behavior of the owner with many more unwritten changes than usual.
 
 mod emulator;
 
@@ -7,11 +7,11 @@
 use self::emulator::faults::Faults;
 use self::emulator::{Emulator, job, ms, settings, step};
 
-/// Jobs that come at once: ten times what a busy owner has on hand.
+/// Number of jobs submitted at the same time: ten times the usual number of jobs of a busy owner.
 const BACKLOG: JobId = 2_000;
 const TASKS_EACH: u32 = 2;
 const WORKERS: usize = 300;
-/// How long a write takes for a busy owner beside a store that answers within a few milliseconds.
+/// Latency of a write at a busy owner; the store itself responds within a few milliseconds.
 const BUSY_WRITE_MS: u64 = 40;
 
 fn deployment() -> Emulator {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Guards against SHORT: accepted jobs waited for their first write beside idle workers.
+/// Guards against unserved load: accepted jobs waited for their first write while workers were idle.
 #[test]
 fn a_backlog_of_accepted_jobs_has_started_two_seconds_later() {
     let mut emulator = deployment();
@@ -38,7 +38,7 @@
     assert_eq!(emulator.violations, Vec::<String>::new());
 }
 
-/// Guards against the class of SHORT: the ended jobs of a busy hour stayed in the store.
+/// Guards against a growing store: jobs that ended during an hour of high load were not deleted.
 #[test]
 fn ended_jobs_are_removed_as_fast_as_they_came() {
     let mut emulator = Emulator::new(1, 20, Resources::default(), Faults::none());
@@ -54,7 +54,8 @@
     assert_eq!(emulator.ended_jobs(), 0, "ended jobs that are kept too long");
 }
 
-/// Guards against the class of SHORT: a new owner could use few of many workers for a second.
+/// Guards against unserved load after a change of owner: for a second, the new owner could use only
+/// a few of many workers.
 #[test]
 fn a_new_owner_may_use_all_workers_within_300_ms() {
     let mut emulator = Emulator::new(1, WORKERS, Resources::default(), Faults::none());
@@ -63,16 +64,16 @@
     assert_eq!(emulator.usable_workers(), WORKERS);
 }
 
-/// Guards against SHORT: looks that showed the same ends again kept the owner busy.
+/// Guards against an owner that is kept busy by polls that return the same run ends again.
 #[test]
 fn ends_that_cannot_be_stored_are_not_asked_for_again_and_again() {
-    /// Looks a second at workers of which nothing can be acknowledged.
+    /// Polls per second of workers whose run ends cannot be acknowledged.
     const REPEATED_POLLS_PER_S: usize = 2_000;
     let mut emulator = deployment();
     submit_backlog(&mut emulator);
     emulator.run(ms(1_000));
     emulator.write_latency = ms(1_000_000);
-    // All that runs has ended by then, and been shown once.
+    // By then all runs have ended and each end was reported once.
     emulator.run(ms(3_000));
     let before = emulator.redundant_polls;
     emulator.run(ms(4_000));
--- a/crates/jobs/tests/scheduler.rs
+++ b/crates/jobs/tests/scheduler.rs
@@ -1,5 +1,4 @@
-//! Single situations of jobs and workers that the scheduler has to get right. Each was a fault
-//! once.
+//! Regression tests of the scheduler: jobs and workers. Each covers a past fault.
 
 mod emulator;
 mod harness;
@@ -166,7 +165,7 @@
         let row = EndedRun { number, task, run, end: RunEnd::Done, checkpoint: None };
         let poll = PollResponse { clock: harness.now, ended: vec![row], ..PollResponse::default() };
         harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, poll);
-        // More jobs change between two writes than one write takes.
+        // More jobs change between two writes than fit into one write.
         for other in 0..30 {
             harness.submit(number * 1_000 + other, vec![step(1, 1, &[])]);
             harness.scheduler.cancel(number * 1_000 + other, harness.now);
@@ -241,7 +240,8 @@
     assert_eq!(has_started(&harness), Some(true));
 }
 
-/// Starts a task whose order gets no answer in time; then its worker is looked at.
+/// Starts a task whose start command gets no response in time, then polls the worker. Returns the
+/// commands that follow.
 fn look_after_an_unanswered_start(spec: StepSpec, is_there: bool) -> Vec<Command> {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![spec]);
@@ -339,8 +339,8 @@
     assert!(began[&1] >= ms(6_000), "an earlier one waits for the lease: {:?}", began[&1]);
 }
 
-/// A desk whose first worker has been given a task since it last showed itself, and has started
-/// anew in between.
+/// A harness in which a worker got a start command after its last poll response and then
+/// restarted, with the list of workers that shows the new incarnation.
 fn reborn() -> (SchedulerHarness, Vec<WorkerEntry>) {
     let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
     harness.submit(1, vec![step(1, 16, &[])]);
--- a/crates/jobs/tests/schedules.rs
+++ b/crates/jobs/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults against the scheduler, on the emulator.
+//! Random fault schedules against the scheduler, on the emulator.
 
 mod emulator;
 
--- a/crates/jobs/tests/service.rs
+++ b/crates/jobs/tests/service.rs
@@ -1,4 +1,4 @@
-//! Desk, store and owner together, on stand-ins and in real time.
+//! The job API, the store and the owner together, with stand-ins and in real time.
 
 mod clients;
 mod emulator;
@@ -160,7 +160,7 @@
     }
 }
 
-/// Jobs of which many writes go side by side.
+/// Number of jobs, enough for many parallel writes.
 const MANY_JOBS: JobId = 240;
 
 #[tokio::test]
@@ -208,7 +208,7 @@
     assert_eq!(platform.store.get(&job_key(1)).await.expect("store"), None);
 }
 
-/// A desk whose watch of the operator's keys has fallen silent some seconds ago.
+/// A job API whose watch of the operator's records stopped more than two seconds ago.
 async fn unwatched(platform: &TestClients) -> JobApi<TestClients> {
     let (sender, desired_states) = cassiafold_jobs::desired_state::DesiredStateSender::new();
     let metrics = cassiafold_jobs::metrics::JobsMetrics::default();
--- a/crates/jobs/tests/writes.rs
+++ b/crates/jobs/tests/writes.rs
@@ -1,4 +1,4 @@
-//! What the owner writes first when more has changed than one write takes.
+//! Priority of the owner's writes when more has changed than fits into one write.
 
 mod emulator;
 mod harness;
@@ -12,10 +12,10 @@
 use self::emulator::{cores, ms, step};
 use self::harness::SchedulerHarness;
 
-/// Jobs of two tasks, each with one that has just ended.
+/// Number of jobs with two tasks, of which one has just ended.
 const JOBS: u64 = 40;
 
-/// A desk at which tasks of many jobs have ended since the last write.
+/// A harness in which tasks of many jobs have ended since the last write.
 fn busy() -> SchedulerHarness {
     busy_with(JOBS)
 }
@@ -88,10 +88,10 @@
     assert!((1..=40).contains(&written), "{written} workers");
 }
 
-/// Jobs of which more than one write at a time is made.
+/// Number of jobs for which several writes are in flight at the same time.
 const MANY_JOBS: u64 = 60;
 
-/// The highest end that is acknowledged to any worker.
+/// Highest run end that is acknowledged to any worker.
 fn acknowledged(harness: &mut SchedulerHarness) -> u64 {
     let now = harness.now;
     let looks = (0..8).map(|slot| harness.scheduler.poll_request(slot, true, now));
