--- a/crates/jobs/tests/overload.rs
+++ b/crates/jobs/tests/overload.rs
@@ -26,7 +26,8 @@
     }
 }
 
-/// Guards against unserved load: accepted jobs waited for their first write while workers were idle.
+/// Guards against unserved load: accepted jobs waited for their first write while workers were
+/// idle.
 #[test]
 fn a_backlog_of_accepted_jobs_has_started_two_seconds_later() {
     let mut emulator = deployment();
