--- a/crates/jobs/tests/clients/mod.rs
+++ b/crates/jobs/tests/clients/mod.rs
@@ -70,8 +70,8 @@
 
     /// Writes a configuration with one queue and these API keys.
     pub async fn configure(&self, version: u64, keys: &[&str]) {
-        let held = self.store.get(TestFormats::CONFIG_KEY).await.expect("store");
-        let compare = held.map_or(cassiafold_platform::Compare::Absent, |record| {
+        let existing = self.store.get(TestFormats::CONFIG_KEY).await.expect("store");
+        let compare = existing.map_or(cassiafold_platform::Compare::Absent, |record| {
             cassiafold_platform::Compare::Revision(record.revision)
         });
         let text = format!("{version} {}", keys.join(" "));
--- a/crates/jobs/tests/decisions.rs
+++ b/crates/jobs/tests/decisions.rs
@@ -20,7 +20,7 @@
     Pool { is_spare: false, may_shrink, machines, idle, needed, load: Load::default() }
 }
 
-fn moved(pools: &[(&str, Pool)]) -> BTreeMap<ServiceId, usize> {
+fn moves_by_service(pools: &[(&str, Pool)]) -> BTreeMap<ServiceId, usize> {
     let pools: BTreeMap<ServiceId, Pool> =
         pools.iter().map(|(id, pool)| (ServiceId::from(*id), pool.clone())).collect();
     let mut counts = BTreeMap::new();
@@ -37,15 +37,15 @@
                 .into_iter()
                 .map(|(id, count): (&str, usize)| (ServiceId::from(id), count))
                 .collect();
-            assert_eq!(moved(&$pools), expected);
+            assert_eq!(moves_by_service(&$pools), expected);
         })+
     };
 }
 
 moves! {
-    a_service_in_want_takes_idle_machines_of_one_that_keeps_them_for_now:
+    a_service_in_need_takes_idle_machines_of_one_that_may_not_shrink:
         [("busy", pool(2, 0, 6, false)), ("calm", pool(9, 7, 1, false))] => [("busy", 4)];
-    the_spare_pool_gives_first:
+    machines_of_the_spare_pool_are_moved_first:
         [
             ("busy", pool(2, 0, 4, false)),
             ("calm", pool(9, 7, 1, true)),
@@ -57,19 +57,19 @@
             ("late", pool(9, 7, 1, true)),
             ("off", Pool { is_spare: true, ..pool(0, 0, 0, false) }),
         ] => [("off", 7)];
-    a_service_keeps_what_it_needs:
+    a_service_keeps_the_machines_that_it_needs:
         [("busy", pool(2, 0, 9, false)), ("calm", pool(5, 5, 3, true))] => [("busy", 1)];
 }
 
 #[test]
-fn a_backlog_asks_for_machines_beyond_the_rate() {
+fn a_backlog_needs_more_cores_than_the_arrival_rate() {
     let steady = Load { arriving: 90.0, ..Load::default() };
     let queued = Load { waiting_core_s: 150.0, ..steady };
     assert!(queued.cores() > steady.cores() + 90.0);
     assert_eq!(machines_for(steady.cores(), 64.0), 2);
 }
 
-fn contender(job: u64, work_left: f64, accepted: Duration) -> WaitingStep {
+fn waiting_step(job: u64, work_left: f64, accepted: Duration) -> WaitingStep {
     WaitingStep {
         step: StepId { job, occurrence: 0, step: 0 },
         priority: 0,
@@ -83,41 +83,41 @@
     }
 }
 
-fn order(mut contenders: Vec<WaitingStep>, now: Duration) -> Vec<u64> {
-    sort(&mut contenders, now);
-    contenders.into_iter().map(|contender| contender.step.job).collect()
+fn sorted_jobs(mut steps: Vec<WaitingStep>, now: Duration) -> Vec<u64> {
+    sort(&mut steps, now);
+    steps.into_iter().map(|waiting_step| waiting_step.step.job).collect()
 }
 
 #[test]
 fn small_jobs_that_can_meet_their_objective_come_first() {
-    let contenders = vec![contender(1, 9.0, ms(0)), contender(2, 1.0, ms(10))];
-    assert_eq!(order(contenders, ms(100)), [2, 1]);
+    let steps = vec![waiting_step(1, 9.0, ms(0)), waiting_step(2, 1.0, ms(10))];
+    assert_eq!(sorted_jobs(steps, ms(100)), [2, 1]);
 }
 
 #[test]
 fn jobs_that_missed_their_objective_follow_in_order_of_age() {
     let late = |job, accepted| WaitingStep {
         critical_path_left: ms(5_000),
-        ..contender(job, 1.0, accepted)
+        ..waiting_step(job, 1.0, accepted)
     };
-    let contenders = vec![late(1, ms(20)), late(2, ms(10)), contender(3, 50.0, ms(30))];
-    assert_eq!(order(contenders, ms(100)), [3, 2, 1]);
+    let steps = vec![late(1, ms(20)), late(2, ms(10)), waiting_step(3, 50.0, ms(30))];
+    assert_eq!(sorted_jobs(steps, ms(100)), [3, 2, 1]);
 }
 
 #[test]
 fn long_running_tasks_come_before_all_others() {
-    let long = WaitingStep { long_running: true, priority: 5, ..contender(1, 9.0, ms(50)) };
-    assert_eq!(order(vec![contender(2, 1.0, ms(0)), long], ms(100)), [1, 2]);
+    let long = WaitingStep { long_running: true, priority: 5, ..waiting_step(1, 9.0, ms(50)) };
+    assert_eq!(sorted_jobs(vec![waiting_step(2, 1.0, ms(0)), long], ms(100)), [1, 2]);
 }
 
 #[test]
-fn what_a_team_sends_beyond_its_weight_comes_last_of_its_priority() {
-    let beyond = WaitingStep { exceeds_share: true, ..contender(1, 1.0, ms(0)) };
-    assert_eq!(order(vec![beyond, contender(2, 9.0, ms(50))], ms(100)), [2, 1]);
+fn jobs_in_excess_of_a_teams_weight_come_last_within_their_priority() {
+    let excess = WaitingStep { exceeds_share: true, ..waiting_step(1, 1.0, ms(0)) };
+    assert_eq!(sorted_jobs(vec![excess, waiting_step(2, 9.0, ms(50))], ms(100)), [2, 1]);
 }
 
 #[test]
-fn an_opportunistic_task_is_halved_at_once_and_let_go_step_by_step() {
+fn the_speed_of_an_opportunistic_task_is_halved_under_overload_and_raised_gradually() {
     assert_eq!(next_speed_percent(100, 1.2), 50);
     assert_eq!(next_speed_percent(12, 1.2), 0);
     assert_eq!(next_speed_percent(50, 0.8), 50);
@@ -126,15 +126,15 @@
 }
 
 #[test]
-fn news_gathers_only_while_much_of_it_comes() {
+fn wakeups_are_coalesced_only_at_a_high_message_rate() {
     assert_eq!(coalescing_delay(100.0), Duration::ZERO);
     assert_eq!(coalescing_delay(5_000.0), ms(4));
 }
 
 #[test]
-fn what_asks_for_no_less_than_another_without_room_is_not_tried() {
+fn requirements_not_smaller_than_unplaceable_ones_are_not_tried() {
     let cores = |cores: u32| Resources { processors_milli: cores * 1_000, ..Resources::default() };
-    let demand = |reserved, per_worker_max| TaskRequirements {
+    let requirements = |reserved, per_worker_max| TaskRequirements {
         reserved,
         label: None,
         data_rack: None,
@@ -144,10 +144,10 @@
         opportunistic: false,
     };
     let mut unplaced = UnplaceableRequirements::default();
-    unplaced.record(&demand(cores(2), Some(1)));
+    unplaced.record(&requirements(cores(2), Some(1)));
     assert!(!unplaced.covers(&cores(2)), "another worker may have had room for it");
-    unplaced.record(&demand(cores(8), None));
-    unplaced.record(&demand(cores(4), None));
+    unplaced.record(&requirements(cores(8), None));
+    unplaced.record(&requirements(cores(4), None));
     assert!(unplaced.covers(&cores(4)));
     assert!(unplaced.covers(&cores(9)));
     assert!(!unplaced.covers(&cores(3)));
--- a/crates/jobs/tests/emulator/event.rs
+++ b/crates/jobs/tests/emulator/event.rs
@@ -40,7 +40,7 @@
     Start {
         owner: u64,
         slot: usize,
-        to: Incarnation,
+        target: Incarnation,
         request: StartRequest,
         responds: bool,
     },
@@ -54,7 +54,7 @@
     Stop {
         owner: u64,
         slot: usize,
-        to: Incarnation,
+        target: Incarnation,
         task: TaskId,
         run: RunNumber,
         responds: bool,
@@ -66,9 +66,9 @@
         run: RunNumber,
         outcome: CommandOutcome,
     },
-    Flushed {
+    WriteCommitted {
         owner: u64,
-        flush: WriteBatch,
+        batch: WriteBatch,
     },
     RunFinished {
         worker: usize,
--- a/crates/jobs/tests/emulator/mod.rs
+++ b/crates/jobs/tests/emulator/mod.rs
@@ -69,6 +69,7 @@
     }
 }
 
+/// A job of the team and the queue of [`config`].
 pub fn job(steps: Vec<StepSpec>) -> JobRecord {
     JobRecord {
         queue: QUEUE.into(),
@@ -78,6 +79,7 @@
     }
 }
 
+/// A configuration with one queue, one service, and one team with this resource quota.
 pub fn config(limit: Resources) -> Arc<ClusterConfig> {
     let queue = Queue {
         id: QUEUE.into(),
@@ -110,60 +112,65 @@
     pub states: HashMap<JobId, StateRecord>,
     /// Violated invariants, in the order of detection.
     pub violations: Vec<String>,
+    /// Number of runs that workers have started.
     pub start_count: usize,
     /// Polls whose response listed run ends, all of which an earlier response had listed.
     pub redundant_polls: usize,
     /// Highest number of a run end that each incarnation of a worker has reported.
-    shown: HashMap<(usize, Duration), u64>,
+    last_reported_ends: HashMap<(usize, Duration), u64>,
     /// Latency of a write to the store.
     pub write_latency: Duration,
     faults: Faults,
-    known: BTreeMap<Arc<str>, Vec<WorkerRecord>>,
-    listed: Duration,
+    /// Stored records of workers, by key.
+    worker_records: BTreeMap<Arc<str>, Vec<WorkerRecord>>,
+    last_listed_at: Duration,
     scheduler: Option<Scheduler>,
+    /// Fencing token of the current owner.
     owner: u64,
     events: BinaryHeap<Scheduled>,
     sequence: u64,
     random: StdRng,
     config: Arc<ClusterConfig>,
-    done: HashSet<TaskId>,
-    failed: HashMap<TaskId, u32>,
+    /// Done tasks whose ends were acknowledged to workers.
+    acknowledged: HashSet<TaskId>,
+    failure_counts: HashMap<TaskId, u32>,
     limit: Resources,
 }
 
 impl Emulator {
+    /// Creates an emulation whose first owner starts at once, with workers of 16 cores.
     pub fn new(seed: u64, workers: usize, limit: Resources, faults: Faults) -> Self {
         let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
-        let make = |number| EmulatedWorker::new(number, capacity);
+        let new_worker = |number| EmulatedWorker::new(number, capacity);
         let mut emulator = Self {
             now: ms(10_000),
-            workers: (0..workers).map(make).collect(),
+            workers: (0..workers).map(new_worker).collect(),
             jobs: BTreeMap::new(),
             states: HashMap::new(),
             violations: Vec::new(),
             start_count: 0,
             redundant_polls: 0,
-            shown: HashMap::new(),
+            last_reported_ends: HashMap::new(),
             write_latency: ms(5),
             faults,
-            known: BTreeMap::new(),
-            listed: Duration::ZERO,
+            worker_records: BTreeMap::new(),
+            last_listed_at: Duration::ZERO,
             scheduler: None,
             owner: 1,
             events: BinaryHeap::new(),
             sequence: 0,
             random: StdRng::seed_from_u64(seed),
             config: config(limit),
-            done: HashSet::new(),
-            failed: HashMap::new(),
+            acknowledged: HashSet::new(),
+            failure_counts: HashMap::new(),
             limit,
         };
         emulator.start_owner();
-        emulator.at(Duration::ZERO, Event::Tick);
+        emulator.schedule(Duration::ZERO, Event::Tick);
         emulator
     }
 
-    fn at(&mut self, delay: Duration, event: Event) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.sequence += 1;
         let key = Reverse((self.now + delay, self.sequence));
         self.events.push(Scheduled(key, event));
@@ -171,16 +178,17 @@
 
     /// Crashes a worker after `delay` and restarts it as a new incarnation after `down` more.
     pub fn crash(&mut self, worker: usize, delay: Duration, down: Duration) {
-        self.at(delay, Event::Crash { worker });
-        self.at(delay + down, Event::Restart { worker });
+        self.schedule(delay, Event::Crash { worker });
+        self.schedule(delay + down, Event::Restart { worker });
     }
 
     /// Ends the owner after `delay` and starts another one after `gap` more.
     pub fn replace_owner(&mut self, delay: Duration, gap: Duration) {
-        self.at(delay, Event::OwnerCrash);
-        self.at(delay + gap, Event::OwnerStart);
+        self.schedule(delay, Event::OwnerCrash);
+        self.schedule(delay + gap, Event::OwnerStart);
     }
 
+    /// Adds an accepted job, which the current owner sees at once.
     pub fn submit(&mut self, id: JobId, record: JobRecord) {
         self.jobs.insert(id, record.clone());
         let (now, revision) = (self.now, u64::MAX);
@@ -197,7 +205,7 @@
         let term = OwnerTerm {
             token: self.owner,
             run_number_base: u32::try_from(self.owner - 1).unwrap_or(0) * 1_000,
-            known_workers: self.known.values().flatten().cloned().collect(),
+            known_workers: self.worker_records.values().flatten().cloned().collect(),
             ..OwnerTerm::default()
         };
         let mut scheduler = Scheduler::new(settings(), term, self.now);
@@ -218,11 +226,12 @@
             && let Some(Scheduled(Reverse((at, _)), event)) = self.events.pop()
         {
             self.now = at;
-            self.take(event);
-            self.act();
+            self.handle_event(event);
+            self.run_scheduler();
         }
     }
 
+    /// Stored state of a job.
     pub fn state(&self, id: JobId) -> JobState {
         self.states.get(&id).map_or(JobState::Queued, |state| state.state)
     }
@@ -239,43 +248,44 @@
         scheduler.map_or(0, |scheduler| scheduler.count_jobs(JobState::Completed))
     }
 
-    fn act(&mut self) {
+    /// Lets the scheduler plan, executes its commands and applies its writes.
+    fn run_scheduler(&mut self) {
         let Some(mut scheduler) = self.scheduler.take() else { return };
-        let orders = scheduler.plan(UNIX_START + self.now, self.now);
-        for order in orders {
-            self.execute(&mut scheduler, order);
+        let commands = scheduler.plan(UNIX_START + self.now, self.now);
+        for command in commands {
+            self.execute(&mut scheduler, command);
         }
-        while let Some(flush) = scheduler.next_write_batch(self.now) {
-            self.store(&flush);
+        while let Some(batch) = scheduler.next_write_batch(self.now) {
+            self.apply_batch(&batch);
             let owner = self.owner;
-            self.at(self.write_latency, Event::Flushed { owner, flush });
+            self.schedule(self.write_latency, Event::WriteCommitted { owner, batch });
         }
         self.scheduler = Some(scheduler);
     }
 
-    fn store(&mut self, flush: &WriteBatch) {
-        for (key, value) in &flush.puts {
+    fn apply_batch(&mut self, batch: &WriteBatch) {
+        for (key, value) in &batch.puts {
             if let Some(id) = parse_job_key(key, STATE_PREFIX) {
                 let state = StateRecord::try_from(&value[..]).expect("state");
                 self.states.insert(id, state);
             } else if key.starts_with(WORKERS_PREFIX) {
                 let workers = serde_json::from_slice(value).expect("workers");
-                self.known.insert(Arc::clone(key), workers);
+                self.worker_records.insert(Arc::clone(key), workers);
             }
         }
     }
 
-    fn worker_number(&self, id: &str) -> usize {
+    fn worker_index(&self, id: &str) -> usize {
         self.workers.iter().position(|worker| *worker.id == *id).expect("known worker")
     }
 
     fn incarnation(&self, id: &str) -> Incarnation {
-        let worker = self.worker_number(id);
+        let worker = self.worker_index(id);
         Incarnation { worker, started_at: self.workers[worker].started_at }
     }
 
     /// Whether the incarnation to which a command was sent still runs.
-    fn lives(&self, incarnation: Incarnation) -> bool {
+    fn is_current(&self, incarnation: Incarnation) -> bool {
         self.workers[incarnation.worker].is_up
             && self.workers[incarnation.worker].started_at == incarnation.started_at
     }
@@ -284,15 +294,15 @@
         Duration::from_micros(self.random.random_range(300..3_000))
     }
 
-    fn execute(&mut self, scheduler: &mut Scheduler, order: Command) {
+    fn execute(&mut self, scheduler: &mut Scheduler, command: Command) {
         let (owner, latency) = (self.owner, self.latency());
-        match order {
+        match command {
             Command::Poll { worker: slot, is_out_of_band } => {
                 let request = scheduler.poll_request(slot, is_out_of_band, self.now);
-                let worker = self.worker_number(&scheduler.worker(slot).entry.id);
+                let worker = self.worker_index(&scheduler.worker(slot).entry.id);
                 let sent = self.now;
                 let poll = SentPoll { owner, slot, is_out_of_band, worker, request, sent };
-                self.at(latency, Event::Poll(poll));
+                self.schedule(latency, Event::Poll(poll));
             }
             Command::Start { worker: slot, task, run, ticket } => {
                 let Some(request) = scheduler.start_request(slot, task, run, ticket, self.now)
@@ -306,46 +316,46 @@
                     );
                     return;
                 };
-                let to = self.incarnation(&scheduler.worker(slot).entry.id);
-                let (delay, responds) = self.faults.order(&mut self.random, latency);
-                let start = Event::Start { owner, slot, to, request, responds };
-                self.at(delay, start);
+                let target = self.incarnation(&scheduler.worker(slot).entry.id);
+                let (delay, responds) = self.faults.command_delivery(&mut self.random, latency);
+                let start = Event::Start { owner, slot, target, request, responds };
+                self.schedule(delay, start);
                 if !responds {
                     let outcome = CommandOutcome::Unknown;
-                    self.at(ms(800), Event::StartDone { owner, slot, task, run, outcome });
+                    self.schedule(ms(800), Event::StartDone { owner, slot, task, run, outcome });
                 }
             }
             Command::Stop { worker: slot, task, run } => {
-                let to = self.incarnation(&scheduler.worker(slot).entry.id);
-                let (delay, responds) = self.faults.order(&mut self.random, latency);
-                self.at(delay, Event::Stop { owner, slot, to, task, run, responds });
+                let target = self.incarnation(&scheduler.worker(slot).entry.id);
+                let (delay, responds) = self.faults.command_delivery(&mut self.random, latency);
+                self.schedule(delay, Event::Stop { owner, slot, target, task, run, responds });
                 if !responds {
                     let outcome = CommandOutcome::Unknown;
-                    self.at(ms(800), Event::StopDone { owner, slot, task, run, outcome });
+                    self.schedule(ms(800), Event::StopDone { owner, slot, task, run, outcome });
                 }
             }
             Command::Throttle { .. } | Command::QueryPolicy(_) | Command::Machine(_) => {}
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let owner = self.owner;
         let now = self.now;
         match event {
             Event::Tick => {
                 self.expire_leases();
-                if now >= self.listed + LIST_INTERVAL {
-                    self.listed = now;
+                if now >= self.last_listed_at + LIST_INTERVAL {
+                    self.last_listed_at = now;
                     let entries = self.entries();
                     if let Some(scheduler) = &mut self.scheduler {
                         scheduler.set_workers(entries, now);
                     }
                 }
-                self.at(ms(20), Event::Tick);
+                self.schedule(ms(20), Event::Tick);
             }
             Event::Poll(poll) => self.poll(poll),
-            Event::PollDone { owner: from, slot, is_out_of_band, sent, result }
-                if from == owner =>
+            Event::PollDone { owner: sender, slot, is_out_of_band, sent, result }
+                if sender == owner =>
             {
                 let Some(scheduler) = &mut self.scheduler else { return };
                 match result {
@@ -355,32 +365,32 @@
                     Err(error) => scheduler.handle_poll_failure(slot, false, &error, now),
                 }
             }
-            Event::Start { owner, slot, to, request, responds } => {
-                self.start(owner, slot, to, request, responds);
+            Event::Start { owner, slot, target, request, responds } => {
+                self.start(owner, slot, target, request, responds);
             }
-            Event::StartDone { owner: from, slot, task, run, outcome } if from == owner => {
+            Event::StartDone { owner: sender, slot, task, run, outcome } if sender == owner => {
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.handle_start_outcome(slot, task, run, outcome, now);
                 }
             }
-            Event::Stop { owner, slot, to, task, run, responds } => {
-                let outcome = match self.lives(to) {
-                    true => self.workers[to.worker].stop(task, run, owner, now),
+            Event::Stop { owner, slot, target, task, run, responds } => {
+                let outcome = match self.is_current(target) {
+                    true => self.workers[target.worker].stop(task, run, owner, now),
                     false => CommandOutcome::NotSent,
                 };
                 if responds {
                     let latency = self.latency();
-                    self.at(latency, Event::StopDone { owner, slot, task, run, outcome });
+                    self.schedule(latency, Event::StopDone { owner, slot, task, run, outcome });
                 }
             }
-            Event::StopDone { owner: from, slot, task, run, outcome } if from == owner => {
+            Event::StopDone { owner: sender, slot, task, run, outcome } if sender == owner => {
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.handle_stop_outcome(slot, task, run, outcome, now);
                 }
             }
-            Event::Flushed { owner: from, flush } if from == owner => {
+            Event::WriteCommitted { owner: sender, batch } if sender == owner => {
                 if let Some(scheduler) = &mut self.scheduler {
-                    scheduler.handle_write_committed(&flush, now);
+                    scheduler.handle_write_committed(&batch, now);
                 }
             }
             Event::RunFinished { worker, task, run } => self.end_run(worker, task, run),
@@ -395,78 +405,82 @@
             Event::PollDone { .. }
             | Event::StartDone { .. }
             | Event::StopDone { .. }
-            | Event::Flushed { .. } => {}
+            | Event::WriteCommitted { .. } => {}
         }
     }
 
     fn poll(&mut self, poll: SentPoll) {
         let SentPoll { owner, slot, is_out_of_band, worker, request, sent } = poll;
-        let (delay, responds) = self.faults.poll(&mut self.random);
+        let (delay, responds) = self.faults.poll_delivery(&mut self.random);
         let now = self.now;
         let result = match responds {
             true => self.workers[worker].poll(request, now),
             false => Err(PollError::NoAnswer("lost".into())),
         };
         if let Ok(poll) = &result {
-            self.count_repeated(worker, poll);
+            self.count_redundant(worker, poll);
             for row in &poll.ended {
                 if row.number <= request.acknowledged {
-                    self.violations.push(format!("{}: listed an acknowledged end", row.task));
+                    self.violations
+                        .push(format!("{}: poll response lists an acknowledged run end", row.task));
                 }
             }
         }
         for end in self.workers[worker].take_acknowledged() {
             self.check_acknowledged(end);
         }
-        self.at(delay, Event::PollDone { owner, slot, is_out_of_band, sent, result });
+        self.schedule(delay, Event::PollDone { owner, slot, is_out_of_band, sent, result });
     }
 
-    fn count_repeated(&mut self, worker: usize, poll: &PollResponse) {
+    fn count_redundant(&mut self, worker: usize, poll: &PollResponse) {
         let Some(last) = poll.ended.last().map(|row| row.number) else { return };
-        let shown = self.shown.entry((worker, self.workers[worker].started_at)).or_default();
-        self.redundant_polls += usize::from(last <= *shown);
-        *shown = last.max(*shown);
+        let last_reported_ends =
+            self.last_reported_ends.entry((worker, self.workers[worker].started_at)).or_default();
+        self.redundant_polls += usize::from(last <= *last_reported_ends);
+        *last_reported_ends = last.max(*last_reported_ends);
     }
 
     fn start(
         &mut self,
         owner: u64,
         slot: usize,
-        to: Incarnation,
+        target: Incarnation,
         request: StartRequest,
         responds: bool,
     ) {
         let (task, run, now) = (request.task, request.run, self.now);
-        let worker = to.worker;
-        let outcome = match self.lives(to) {
+        let worker = target.worker;
+        let outcome = match self.is_current(target) {
             true => self.workers[worker].start(&request, now, &self.jobs),
             false => CommandOutcome::NotSent,
         };
-        if outcome == CommandOutcome::Accepted && self.workers[worker].is_new(task, run, now) {
+        if outcome == CommandOutcome::Accepted
+            && self.workers[worker].has_just_started(task, run, now)
+        {
             self.start_count += 1;
             self.check_start(worker, task);
             let spec = &self.jobs[&task.step.job].spec;
             if !spec.steps[usize::from(task.step.step)].long_running {
                 let length = ms(self.random.random_range(200..1_500));
-                self.at(length, Event::RunFinished { worker, task, run });
+                self.schedule(length, Event::RunFinished { worker, task, run });
             }
         }
         if responds {
             let latency = self.latency();
-            self.at(latency, Event::StartDone { owner, slot, task, run, outcome });
+            self.schedule(latency, Event::StartDone { owner, slot, task, run, outcome });
         }
     }
 
     fn end_run(&mut self, worker: usize, task: TaskId, run: RunNumber) {
-        let fails = self.random.random_bool(self.faults.run_failed);
-        if self.workers[worker].finish(task, run, fails, self.now) && fails {
-            *self.failed.entry(task).or_default() += 1;
+        let is_failure = self.random.random_bool(self.faults.run_failed);
+        if self.workers[worker].finish(task, run, is_failure, self.now) && is_failure {
+            *self.failure_counts.entry(task).or_default() += 1;
         }
     }
 
     fn expire_leases(&mut self) {
         for worker in &mut self.workers {
-            worker.expire(self.now);
+            worker.expire_lease(self.now);
         }
     }
 }
--- a/crates/jobs/tests/emulator/worker.rs
+++ b/crates/jobs/tests/emulator/worker.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub struct EmulatedRun {
     pub number: RunNumber,
-    pub began: Duration,
+    pub started_at: Duration,
     pub task_resources: Resources,
 }
 
@@ -33,7 +33,7 @@
     token: u64,
     ended: Vec<EndedRun>,
     next_number: u64,
-    highest: HashMap<TaskId, RunNumber>,
+    highest_run: HashMap<TaskId, RunNumber>,
     lease_until: Duration,
     acknowledged: Vec<TaskId>,
 }
@@ -49,12 +49,13 @@
             token: 0,
             ended: Vec::new(),
             next_number: 1,
-            highest: HashMap::new(),
+            highest_run: HashMap::new(),
             lease_until: Duration::ZERO,
             acknowledged: Vec::new(),
         }
     }
 
+    /// The entry that the worker writes to the store.
     pub fn entry(&self) -> WorkerEntry {
         WorkerEntry {
             id: self.id.clone(),
@@ -68,29 +69,34 @@
         }
     }
 
+    /// Time since the start of the incarnation.
     fn clock(&self, now: Duration) -> Duration {
         now - self.started_at
     }
 
+    /// Resources of all runs.
     pub fn reserved(&self) -> Resources {
         self.runs.values().fold(Resources::default(), |sum, run| sum.plus(&run.task_resources))
     }
 
+    /// Ends the incarnation and discards its runs and their unacknowledged ends.
     pub fn crash(&mut self) {
         self.is_up = false;
         self.runs.clear();
         self.ended.clear();
-        self.highest.clear();
+        self.highest_run.clear();
         self.next_number = 1;
         self.token = 0;
         self.lease_until = Duration::ZERO;
     }
 
+    /// Starts a new incarnation.
     pub fn restart(&mut self, now: Duration) {
         self.is_up = true;
         self.started_at = now;
     }
 
+    /// Handles a poll: extends the lease, drops acknowledged ends and reports the runs.
     pub fn poll(&mut self, request: PollRequest, now: Duration) -> Result<PollResponse, PollError> {
         if !self.is_up {
             return Err(PollError::NoAnswer("down".into()));
@@ -99,11 +105,11 @@
             return Err(PollError::Fenced);
         }
         self.token = request.token;
-        self.extend(request.lease_until, now);
-        let (forgotten, kept): (Vec<_>, Vec<_>) =
+        self.extend_lease(request.lease_until, now);
+        let (acknowledged_ends, unacknowledged_ends): (Vec<_>, Vec<_>) =
             self.ended.drain(..).partition(|row| row.number <= request.acknowledged);
-        self.ended = kept;
-        let done = forgotten.iter().filter(|row| row.end == RunEnd::Done);
+        self.ended = unacknowledged_ends;
+        let done = acknowledged_ends.iter().filter(|row| row.end == RunEnd::Done);
         self.acknowledged.extend(done.map(|row| row.task));
         let running = self.runs.iter().map(|(task, run)| RunningRun {
             task: *task,
@@ -120,16 +126,18 @@
         })
     }
 
+    /// Removes and returns the done tasks whose ends were acknowledged since the last call.
     pub fn take_acknowledged(&mut self) -> Vec<TaskId> {
         std::mem::take(&mut self.acknowledged)
     }
 
-    fn extend(&mut self, until: Option<Duration>, now: Duration) {
-        let Some(until) = until else { return };
-        let latest = self.clock(now) + LEASE_MAX;
-        self.lease_until = self.lease_until.max(until.min(latest));
+    fn extend_lease(&mut self, lease_until: Option<Duration>, now: Duration) {
+        let Some(lease_until) = lease_until else { return };
+        let latest_end = self.clock(now) + LEASE_MAX;
+        self.lease_until = self.lease_until.max(lease_until.min(latest_end));
     }
 
+    /// Handles a start command.
     pub fn start(
         &mut self,
         request: &StartRequest,
@@ -146,27 +154,28 @@
         if request.lease_until <= self.clock(now) {
             return CommandOutcome::Refused(Refusal::TooLate);
         }
-        self.extend(Some(request.lease_until), now);
+        self.extend_lease(Some(request.lease_until), now);
         let running = self.runs.get(&request.task).map(|run| run.number);
         if running == Some(request.run) {
             return CommandOutcome::Accepted;
         }
-        let highest = self.highest.get(&request.task).copied().unwrap_or(0);
-        if running.is_some() || request.run <= highest {
+        let highest_run = self.highest_run.get(&request.task).copied().unwrap_or(0);
+        if running.is_some() || request.run <= highest_run {
             return CommandOutcome::Refused(Refusal::Outdated);
         }
         let step = usize::from(request.task.step.step);
         let task_resources = jobs[&request.task.step.job].spec.steps[step].task_resources;
-        let run = EmulatedRun { number: request.run, began: now, task_resources };
+        let run = EmulatedRun { number: request.run, started_at: now, task_resources };
         self.runs.insert(request.task, run);
         CommandOutcome::Accepted
     }
 
     /// Whether a run was started at the current time.
-    pub fn is_new(&self, task: TaskId, run: RunNumber, now: Duration) -> bool {
-        self.runs.get(&task).is_some_and(|one| one.number == run && one.began == now)
+    pub fn has_just_started(&self, task: TaskId, run: RunNumber, now: Duration) -> bool {
+        self.runs.get(&task).is_some_and(|one| one.number == run && one.started_at == now)
     }
 
+    /// Handles a stop command, which also bars later starts of the run.
     pub fn stop(
         &mut self,
         task: TaskId,
@@ -181,43 +190,51 @@
             return CommandOutcome::Refused(Refusal::Fenced);
         }
         self.token = token;
-        let highest = self.highest.entry(task).or_default();
-        *highest = (*highest).max(run);
+        let highest_run = self.highest_run.entry(task).or_default();
+        *highest_run = (*highest_run).max(run);
         if self.runs.get(&task).is_some_and(|one| one.number <= run) {
-            self.end(task, RunEnd::Stopped, now);
+            self.end_run(task, RunEnd::Stopped, now);
         }
         CommandOutcome::Accepted
     }
 
-    fn end(&mut self, task: TaskId, end: RunEnd, _now: Duration) {
+    fn end_run(&mut self, task: TaskId, end: RunEnd, _now: Duration) {
         let Some(run) = self.runs.remove(&task) else { return };
-        let highest = self.highest.entry(task).or_default();
-        *highest = (*highest).max(run.number);
+        let highest_run = self.highest_run.entry(task).or_default();
+        *highest_run = (*highest_run).max(run.number);
         let number = self.next_number;
         self.next_number += 1;
         self.ended.push(EndedRun { number, task, run: run.number, end, checkpoint: None });
     }
 
     /// Ends a run as completed or failed; false if it is not running.
-    pub fn finish(&mut self, task: TaskId, run: RunNumber, fails: bool, now: Duration) -> bool {
-        let is_there = self.runs.get(&task).is_some_and(|one| one.number == run);
-        if is_there {
-            let end = if fails { RunEnd::Failed } else { RunEnd::Done };
-            self.end(task, end, now);
+    pub fn finish(
+        &mut self,
+        task: TaskId,
+        run: RunNumber,
+        is_failure: bool,
+        now: Duration,
+    ) -> bool {
+        let is_running = self.runs.get(&task).is_some_and(|one| one.number == run);
+        if is_running {
+            let end = if is_failure { RunEnd::Failed } else { RunEnd::Done };
+            self.end_run(task, end, now);
         }
-        is_there
+        is_running
     }
 
-    pub fn expire(&mut self, now: Duration) {
+    /// Ends all runs if the lease has expired.
+    pub fn expire_lease(&mut self, now: Duration) {
         if !self.is_up || self.lease_until > self.clock(now) {
             return;
         }
         let tasks: Vec<TaskId> = self.runs.keys().copied().collect();
         for task in tasks {
-            self.end(task, RunEnd::Expired, now);
+            self.end_run(task, RunEnd::Expired, now);
         }
     }
 
+    /// Whether a successful end of the task is not acknowledged yet.
     pub fn has_completed(&self, task: TaskId) -> bool {
         self.ended.iter().any(|row| row.task == task && row.end == RunEnd::Done)
     }
--- a/crates/jobs/tests/harness/mod.rs
+++ b/crates/jobs/tests/harness/mod.rs
@@ -24,7 +24,7 @@
     pub scheduler: Scheduler,
     pub now: Duration,
     pub running: HashMap<WorkerSlot, Vec<(TaskId, u32)>>,
-    pub machine_orders: Vec<MachineCommand>,
+    pub machine_commands: Vec<MachineCommand>,
     pub listed_machines: Vec<Machine>,
 }
 
@@ -53,7 +53,7 @@
     /// Creates a harness for an existing scheduler.
     pub fn from_scheduler(scheduler: Scheduler, now: Duration) -> Self {
         let running = HashMap::new();
-        Self { scheduler, now, running, machine_orders: Vec::new(), listed_machines: Vec::new() }
+        Self { scheduler, now, running, machine_commands: Vec::new(), listed_machines: Vec::new() }
     }
 
     pub fn machines(count: usize, state: MachineState) -> Vec<Machine> {
@@ -88,10 +88,10 @@
     pub fn run_for(&mut self, length: Duration) {
         let end = self.now + length;
         while self.now < end {
-            for order in self.scheduler.plan(Duration::ZERO, self.now) {
-                self.execute(order);
+            for command in self.scheduler.plan(Duration::ZERO, self.now) {
+                self.execute(command);
             }
-            self.write();
+            self.commit_writes();
             self.now += ms(10);
         }
     }
@@ -101,28 +101,28 @@
         let error = PollError::NoAnswer("timeout".into());
         let end = self.now + length;
         while self.now < end {
-            for order in self.scheduler.plan(Duration::ZERO, self.now) {
-                match order {
+            for command in self.scheduler.plan(Duration::ZERO, self.now) {
+                match command {
                     Command::Poll { worker, .. } => {
                         let _ = self.scheduler.poll_request(worker, false, self.now);
                         self.scheduler.handle_poll_failure(worker, false, &error, self.now);
                     }
-                    order => self.execute(order),
+                    command => self.execute(command),
                 }
             }
-            self.write();
+            self.commit_writes();
             self.now += ms(10);
         }
     }
 
-    fn write(&mut self) {
-        if let Some(flush) = self.scheduler.next_write_batch(self.now) {
-            self.scheduler.handle_write_committed(&flush, self.now);
+    fn commit_writes(&mut self) {
+        if let Some(batch) = self.scheduler.next_write_batch(self.now) {
+            self.scheduler.handle_write_committed(&batch, self.now);
         }
     }
 
-    pub fn execute(&mut self, order: Command) {
-        match order {
+    pub fn execute(&mut self, command: Command) {
+        match command {
             Command::Poll { worker, is_out_of_band } => {
                 let _ = self.scheduler.poll_request(worker, is_out_of_band, self.now);
                 let rows = self.running.get(&worker).cloned().unwrap_or_default();
@@ -163,7 +163,7 @@
                     self.now,
                 );
             }
-            Command::Machine(order) => self.machine_orders.push(order),
+            Command::Machine(command) => self.machine_commands.push(command),
             Command::Throttle { .. } | Command::QueryPolicy(_) => {}
         }
     }
--- a/crates/jobs/tests/machines.rs
+++ b/crates/jobs/tests/machines.rs
@@ -33,15 +33,15 @@
         .filter(|(_, runs)| !runs.is_empty())
         .map(|(slot, _)| *slot)
         .collect();
-    let ordered = harness
-        .machine_orders
+    let commanded = harness
+        .machine_commands
         .iter()
-        .filter(|order| busy.iter().any(|slot| **order.machine() == *format!("m{slot}")));
-    assert_eq!(ordered.count(), 1);
+        .filter(|command| busy.iter().any(|slot| **command.machine() == *format!("m{slot}")));
+    assert_eq!(commanded.count(), 1);
 }
 
 /// A harness in which one worker runs three long-running tasks of a step.
-fn crowded(workers: usize) -> (SchedulerHarness, WorkerSlot) {
+fn harness_with_three_tasks_on_one_worker(workers: usize) -> (SchedulerHarness, WorkerSlot) {
     let mut harness = SchedulerHarness::new(workers, OwnerTerm::default());
     harness.submit(1, vec![long_running(3, None)]);
     harness.run_for(ms(1_500));
@@ -51,11 +51,11 @@
 }
 
 #[test]
-fn a_machine_with_several_tasks_of_a_step_is_thinned_out_first() {
-    let (mut harness, slot) = crowded(2);
+fn tasks_of_a_step_leave_a_machine_one_at_a_time_before_its_maintenance() {
+    let (mut harness, slot) = harness_with_three_tasks_on_one_worker(2);
     harness.set_machines(SchedulerHarness::machines(2, MachineState::Up));
     harness.set_wave(&[slot], 1);
-    while harness.machine_orders.is_empty() {
+    while harness.machine_commands.is_empty() {
         assert!(!harness.running[&slot].is_empty() && harness.running() >= 2, "one away at a time");
         harness.run_for(ms(10));
     }
@@ -64,15 +64,15 @@
 }
 
 #[test]
-fn a_task_that_leaves_for_a_wave_goes_where_no_maintenance_is_due() {
-    let (mut harness, first) = crowded(6);
-    let apart = if first == 5 { 4 } else { 5 };
-    let in_wave: Vec<usize> = (0..6).filter(|number| *number != apart).collect();
+fn a_task_evicted_for_a_wave_moves_to_a_machine_outside_the_wave() {
+    let (mut harness, first) = harness_with_three_tasks_on_one_worker(6);
+    let outside_wave = if first == 5 { 4 } else { 5 };
+    let in_wave: Vec<usize> = (0..6).filter(|number| *number != outside_wave).collect();
     harness.set_machines(SchedulerHarness::machines(6, MachineState::Up));
     harness.set_wave(&in_wave, 1);
     harness.run_for(ms(3_000));
     assert_eq!(harness.running[&first].len(), 1);
-    assert_eq!(harness.running.get(&apart).map(Vec::len), Some(2));
+    assert_eq!(harness.running.get(&outside_wave).map(Vec::len), Some(2));
 }
 
 /// Guards against late waves. A machine with tasks of several steps waited until the budgets of
@@ -90,7 +90,7 @@
     harness.set_machines(SchedulerHarness::machines(8, MachineState::Up));
     harness.set_wave(&hosts, 1);
     let stops = harness.scheduler.plan(Duration::ZERO, harness.now + ms(100));
-    let stops = stops.iter().filter_map(|order| match order {
+    let stops = stops.iter().filter_map(|command| match command {
         Command::Stop { task, .. } => Some(task.step.job),
         _ => None,
     });
@@ -101,19 +101,19 @@
 
 /// Happens when a service with rising demand gets new machines during a wave.
 #[test]
-fn a_wave_keeps_work_off_one_machine_more_than_may_be_down() {
+fn a_wave_cordons_one_machine_more_than_may_be_down() {
     let mut harness = SchedulerHarness::new(6, OwnerTerm::default());
     harness.set_machines(SchedulerHarness::machines(6, MachineState::Up));
     harness.set_wave(&[0, 1, 2, 3, 4, 5], 2);
     harness.run_for(ms(300));
-    assert_eq!(harness.machine_orders.len(), 2);
-    let closed = (0..6).filter(|slot| harness.scheduler.worker(*slot).is_cordoned).count();
-    assert_eq!(closed, 3);
+    assert_eq!(harness.machine_commands.len(), 2);
+    let cordoned = (0..6).filter(|slot| harness.scheduler.worker(*slot).is_cordoned).count();
+    assert_eq!(cordoned, 3);
 }
 
 /// Number of commands within 300 ms to a machine with a short task, in a wave with a time limit of
 /// 20 s.
-fn orders_under_a_new_owner(since_unix_ms: u64) -> usize {
+fn commands_under_a_new_owner(since_unix_ms: u64) -> usize {
     let wave = WaveRecord { since_unix_ms, ..WaveRecord::default() };
     let waves = WavesRecord::from([(1, wave)]);
     let started_unix = Duration::from_secs(1_000);
@@ -125,17 +125,17 @@
     harness.set_machines(SchedulerHarness::machines(1, MachineState::Up));
     harness.set_wave(&[0], 1);
     harness.run_for(ms(300));
-    harness.machine_orders.len()
+    harness.machine_commands.len()
 }
 
 #[test]
-fn a_service_gives_no_machine_away_before_its_demand_has_fallen() {
+fn a_service_keeps_its_idle_machines_until_its_demand_has_fallen() {
     let mut harness = SchedulerHarness::new(4, OwnerTerm::default());
     for _ in 0..4 {
         harness.set_machines(SchedulerHarness::machines(4, MachineState::Up));
         harness.run_for(ms(1_000));
     }
-    assert_eq!(harness.machine_orders, []);
+    assert_eq!(harness.machine_commands, []);
     for id in 0..20 {
         harness.submit(id, vec![step(1, 1, &[])]);
     }
@@ -150,37 +150,37 @@
         harness.run_for(ms(500));
         harness.set_machines(SchedulerHarness::machines(4, MachineState::Up));
     }
-    assert!(!harness.machine_orders.is_empty(), "nothing runs there any more");
+    assert!(!harness.machine_commands.is_empty(), "nothing runs there any more");
 }
 
 #[test]
-fn a_new_owner_keeps_the_term_of_a_wave_that_an_earlier_one_saw_first() {
-    assert_eq!(orders_under_a_new_owner(1_000_000), 0, "there is time to wait for the task");
-    assert_eq!(orders_under_a_new_owner(983_000), 1, "most of the term is over");
+fn a_new_owner_keeps_the_start_time_of_a_wave_from_the_previous_owner() {
+    assert_eq!(commands_under_a_new_owner(1_000_000), 0, "there is time to wait for the task");
+    assert_eq!(commands_under_a_new_owner(983_000), 1, "most of the term is over");
 }
 
 #[test]
-fn a_maintained_machine_that_moves_does_not_hold_up_its_wave() {
+fn a_maintained_machine_that_moves_does_not_block_its_wave() {
     let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
     harness.set_machines(SchedulerHarness::machines(2, MachineState::Up));
     harness.set_wave(&[0, 1], 1);
     harness.run_for(ms(100));
-    let first = harness.machine_orders.remove(0);
+    let first = harness.machine_commands.remove(0);
     harness.scheduler.handle_machine_outcome(&first, MachineOutcome::Accepted, harness.now);
     harness.now += ms(10);
     harness.set_machines(SchedulerHarness::machines(2, MachineState::Maintenance));
     harness.run_for(ms(2_500));
-    assert_eq!(harness.machine_orders, vec![], "one at a time");
+    assert_eq!(harness.machine_commands, vec![], "one at a time");
     let mut machines = SchedulerHarness::machines(2, MachineState::Up);
     let number = usize::from(&**first.machine() == "m1");
     machines[number].state = MachineState::Moving;
     harness.set_machines(machines);
     harness.run_for(ms(200));
-    assert_eq!(harness.machine_orders.len(), 1);
+    assert_eq!(harness.machine_commands.len(), 1);
 }
 
 #[test]
-fn a_task_is_not_stopped_for_a_wave_while_no_other_worker_has_room() {
+fn a_task_is_not_stopped_for_a_wave_while_no_other_worker_has_capacity() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![long_running(3, None)]);
     harness.run_for(ms(1_500));
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_machine_comes_for_tasks_whose_only_worker_is_emptied() {
+fn a_machine_is_moved_in_for_tasks_whose_only_worker_is_drained() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![long_running(3, None)]);
     harness.run_for(ms(1_500));
@@ -201,12 +201,12 @@
     harness.set_machines(machines);
     harness.set_wave(&[0], 1);
     harness.run_for(ms(1_000));
-    let order = MachineCommand::Move { machine: "m1".into(), service: SERVICE.into() };
-    assert_eq!(harness.machine_orders, vec![order]);
+    let command = MachineCommand::Move { machine: "m1".into(), service: SERVICE.into() };
+    assert_eq!(harness.machine_commands, vec![command]);
 }
 
 #[test]
-fn tasks_that_must_be_apart_get_as_many_machines() {
+fn tasks_limited_to_one_per_worker_get_a_machine_each() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     let mut machines = SchedulerHarness::machines(4, MachineState::Up);
     for machine in &mut machines[1..] {
@@ -216,17 +216,17 @@
     harness.set_machines(machines);
     harness.submit(1, vec![long_running(3, Some(1))]);
     harness.run_for(ms(1_000));
-    assert_eq!(harness.machine_orders.len(), 2);
+    assert_eq!(harness.machine_commands.len(), 2);
 }
 
 #[test]
-fn an_order_that_had_been_carried_out_before_loses_no_worker() {
+fn a_maintenance_command_that_had_been_executed_before_retires_no_worker() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![step(1, 1, &[])]);
     harness.run_for(ms(100));
     harness.set_machines(SchedulerHarness::machines(1, MachineState::Up));
-    let order = MachineCommand::Maintain { machine: "m0".into(), wave: 1 };
-    harness.scheduler.handle_machine_outcome(&order, MachineOutcome::Accepted, harness.now);
+    let command = MachineCommand::Maintain { machine: "m0".into(), wave: 1 };
+    harness.scheduler.handle_machine_outcome(&command, MachineOutcome::Accepted, harness.now);
     harness.run_for(ms(100));
     harness.set_machines(SchedulerHarness::machines(1, MachineState::Up));
     harness.run_for(ms(300));
@@ -235,14 +235,14 @@
 }
 
 #[test]
-fn an_order_that_took_a_machine_down_loses_its_worker() {
+fn a_maintenance_command_that_takes_a_machine_down_retires_its_worker() {
     let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
     harness.submit(1, vec![step(1, 1, &[])]);
     harness.run_for(ms(100));
     harness.set_machines(SchedulerHarness::machines(2, MachineState::Up));
     for number in 0..2 {
-        let order = MachineCommand::Maintain { machine: format!("m{number}").into(), wave: 1 };
-        harness.scheduler.handle_machine_outcome(&order, MachineOutcome::Accepted, harness.now);
+        let command = MachineCommand::Maintain { machine: format!("m{number}").into(), wave: 1 };
+        harness.scheduler.handle_machine_outcome(&command, MachineOutcome::Accepted, harness.now);
     }
     harness.run_for(ms(100));
     harness.set_machines(SchedulerHarness::machines(2, MachineState::Maintenance));
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_silent_worker_is_given_up_at_once_when_its_machine_is_down() {
+fn an_unresponsive_worker_is_retired_immediately_when_its_machine_is_down() {
     let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
     harness.submit(1, vec![step(1, 1, &[])]);
     harness.run_for(ms(100));
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_silent_worker_whose_machine_is_up_keeps_its_tasks_until_the_lease_is_over() {
+fn an_unresponsive_worker_whose_machine_is_up_keeps_its_tasks_until_the_lease_expires() {
     let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
     harness.submit(1, vec![step(1, 1, &[])]);
     harness.run_for(ms(100));
@@ -278,9 +278,9 @@
         harness.scheduler.handle_poll_failure(slot, false, &error, harness.now);
         harness.now += ms(200);
         harness.set_machines(SchedulerHarness::machines(2, MachineState::Up));
-        for order in harness.scheduler.plan(Duration::ZERO, harness.now) {
-            if !matches!(order, Command::Poll { worker, .. } if worker == slot) {
-                harness.execute(order);
+        for command in harness.scheduler.plan(Duration::ZERO, harness.now) {
+            if !matches!(command, Command::Poll { worker, .. } if worker == slot) {
+                harness.execute(command);
             }
         }
     }
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_machine_whose_worker_has_not_been_looked_at_does_not_go_down() {
+fn a_machine_whose_worker_has_not_been_polled_does_not_go_down() {
     let now = ms(100_000);
     let term = OwnerTerm { token: 50, ..OwnerTerm::default() };
     let mut scheduler = Scheduler::new(settings(), term, now);
@@ -299,14 +299,14 @@
     harness.set_machines(SchedulerHarness::machines(2, MachineState::Up));
     harness.set_wave(&[0, 1], 2);
     harness.now += ms(60);
-    let is_machine = |order: &Command| matches!(order, Command::Machine(_));
+    let is_machine = |command: &Command| matches!(command, Command::Machine(_));
     assert!(!harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_machine));
     harness.run_for(ms(300));
-    assert!(!harness.machine_orders.is_empty(), "afterwards one goes down after the other");
+    assert!(!harness.machine_commands.is_empty(), "afterwards one goes down after the other");
 }
 
 #[test]
-fn a_run_that_an_earlier_owner_may_be_stopping_does_not_count_as_at_work() {
+fn a_run_that_a_previous_owner_may_be_stopping_does_not_count_as_available() {
     let mut harness = SchedulerHarness::new(2, OwnerTerm { token: 50, ..OwnerTerm::default() });
     let stored = state_from_previous_owner(Vec::new());
     let record = job(vec![long_running(2, Some(1))]);
@@ -323,16 +323,17 @@
     harness.set_machines(SchedulerHarness::machines(2, MachineState::Up));
     harness.set_wave(&[0, 1], 1);
     harness.run_for(settings().stop_grace_period);
-    assert_eq!(harness.machine_orders, vec![]);
+    assert_eq!(harness.machine_commands, vec![]);
     harness.run_for(ms(2_500));
-    let mut machines: Vec<_> = harness.machine_orders.iter().map(MachineCommand::machine).collect();
+    let mut machines: Vec<_> =
+        harness.machine_commands.iter().map(MachineCommand::machine).collect();
     machines.dedup();
     assert_eq!(machines.len(), 1, "one of them goes down");
 }
 
 /// A harness with a service without machines, two machines in the spare pool, and a job that needs
 /// one of them.
-fn wanting(commanded_machines: &[(&str, &str)]) -> SchedulerHarness {
+fn harness_in_need_of_a_machine(commanded_machines: &[(&str, &str)]) -> SchedulerHarness {
     let commanded_machines: CommandedMachinesRecord = commanded_machines
         .iter()
         .map(|(machine, holder)| ((*machine).into(), (*holder).into()))
@@ -345,50 +346,50 @@
     harness
 }
 
-fn ordered(harness: &SchedulerHarness) -> Vec<&str> {
-    harness.machine_orders.iter().map(|order| &**order.machine()).collect()
+fn commanded(harness: &SchedulerHarness) -> Vec<&str> {
+    harness.machine_commands.iter().map(|command| &**command.machine()).collect()
 }
 
 #[test]
-fn a_new_owner_moves_machines_at_once_that_nobody_ordered_lately() {
-    let mut harness = wanting(&[("m1", "b")]);
+fn a_new_owner_moves_machines_without_recent_commands_immediately() {
+    let mut harness = harness_in_need_of_a_machine(&[("m1", "b")]);
     harness.run_for(ms(300));
-    assert_eq!(ordered(&harness), ["m0"]);
+    assert_eq!(commanded(&harness), ["m0"]);
 }
 
 #[test]
-fn a_new_owner_waits_for_machines_that_another_instance_ordered_lately() {
-    let mut harness = wanting(&[("m0", "b"), ("m1", "b")]);
+fn a_new_owner_waits_for_machines_with_recent_commands_of_another_instance() {
+    let mut harness = harness_in_need_of_a_machine(&[("m0", "b"), ("m1", "b")]);
     harness.run_for(settings().machine_lease);
-    assert!(ordered(&harness).is_empty());
+    assert!(commanded(&harness).is_empty());
     harness.set_machines(harness.listed_machines.clone());
     harness.run_for(ms(500));
-    assert_eq!(ordered(&harness).len(), 1);
+    assert_eq!(commanded(&harness).len(), 1);
 }
 
 #[test]
-fn a_new_owner_orders_machines_at_once_that_its_own_instance_ordered_lately() {
-    let mut harness = wanting(&[("m0", "b"), ("m1", "a")]);
+fn a_new_owner_moves_machines_with_recent_commands_of_its_own_instance_immediately() {
+    let mut harness = harness_in_need_of_a_machine(&[("m0", "b"), ("m1", "a")]);
     harness.run_for(ms(300));
-    assert_eq!(ordered(&harness), ["m1"]);
+    assert_eq!(commanded(&harness), ["m1"]);
 }
 
 #[test]
-fn a_machine_is_named_in_the_store_before_it_is_ordered() {
-    let mut harness = wanting(&[]);
-    let is_machine = |order: &Command| matches!(order, Command::Machine(_));
+fn a_machine_is_recorded_in_the_store_before_a_command_is_sent_to_it() {
+    let mut harness = harness_in_need_of_a_machine(&[]);
+    let is_machine = |command: &Command| matches!(command, Command::Machine(_));
     harness.now += ms(250);
     assert!(!harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_machine));
     assert_eq!(harness.scheduler.write_urgency(), WriteUrgency::High);
-    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    assert!(flush.puts.iter().any(|(key, _)| &**key == COMMANDED_MACHINES_KEY));
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    assert!(batch.puts.iter().any(|(key, _)| &**key == COMMANDED_MACHINES_KEY));
     assert!(!harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_machine));
-    harness.scheduler.handle_write_committed(&flush, harness.now);
+    harness.scheduler.handle_write_committed(&batch, harness.now);
     assert!(harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_machine));
 }
 
 #[test]
-fn work_that_waits_for_silent_workers_asks_for_no_machines() {
+fn work_that_waits_for_unresponsive_workers_requests_no_machines() {
     let known = vec![(&EmulatedWorker::new(9, cores(1)).entry()).into()];
     let mut harness = SchedulerHarness::at_term_start(
         0,
@@ -409,8 +410,8 @@
         harness.set_machines(machines.clone());
         harness.run_without_responses(ms(1_000));
     }
-    assert!(ordered(&harness).is_empty());
+    assert!(commanded(&harness).is_empty());
     harness.set_machines(machines.clone());
     harness.run_without_responses(ms(1_500));
-    assert_eq!(ordered(&harness).len(), 2, "the lease of what may run there is over");
+    assert_eq!(commanded(&harness).len(), 2, "the lease of what may run there is over");
 }
--- a/crates/jobs/tests/overload.rs
+++ b/crates/jobs/tests/overload.rs
@@ -29,7 +29,7 @@
 /// Guards against unserved load: accepted jobs waited for their first write while workers were
 /// idle.
 #[test]
-fn a_backlog_of_accepted_jobs_has_started_two_seconds_later() {
+fn all_tasks_of_a_backlog_have_started_after_two_seconds() {
     let mut emulator = deployment();
     emulator.write_latency = ms(BUSY_WRITE_MS);
     submit_backlog(&mut emulator);
@@ -41,7 +41,7 @@
 
 /// Guards against a growing store: jobs that ended during an hour of high load were not deleted.
 #[test]
-fn ended_jobs_are_removed_as_fast_as_they_came() {
+fn ended_jobs_are_deleted_as_fast_as_they_arrived() {
     let mut emulator = Emulator::new(1, 20, Resources::default(), Faults::none());
     emulator.run(ms(3_000));
     let ended_within = ms(10_000);
@@ -58,7 +58,7 @@
 /// Guards against unserved load after a change of owner: for a second, the new owner could use only
 /// a few of many workers.
 #[test]
-fn a_new_owner_may_use_all_workers_within_300_ms() {
+fn a_new_owner_can_use_all_workers_within_300_ms() {
     let mut emulator = Emulator::new(1, WORKERS, Resources::default(), Faults::none());
     emulator.write_latency = ms(BUSY_WRITE_MS);
     emulator.run(ms(300));
@@ -67,7 +67,7 @@
 
 /// Guards against an owner that is kept busy by polls that return the same run ends again.
 #[test]
-fn ends_that_cannot_be_stored_are_not_asked_for_again_and_again() {
+fn workers_with_run_ends_that_cannot_be_stored_are_not_polled_all_the_time() {
     /// Polls per second of workers whose run ends cannot be acknowledged.
     const REPEATED_POLLS_PER_S: usize = 2_000;
     let mut emulator = deployment();
@@ -78,6 +78,6 @@
     emulator.run(ms(3_000));
     let before = emulator.redundant_polls;
     emulator.run(ms(4_000));
-    let looks_per_s = (emulator.redundant_polls - before) / 4;
-    assert!(looks_per_s <= REPEATED_POLLS_PER_S, "{looks_per_s} looks a second");
+    let polls_per_s = (emulator.redundant_polls - before) / 4;
+    assert!(polls_per_s <= REPEATED_POLLS_PER_S, "{polls_per_s} polls a second");
 }
--- a/crates/jobs/tests/scheduler.rs
+++ b/crates/jobs/tests/scheduler.rs
@@ -19,7 +19,7 @@
 use self::harness::{SchedulerHarness, long_running, state_from_previous_owner};
 
 #[test]
-fn a_cancel_that_comes_before_its_job_ends_it() {
+fn a_cancellation_received_before_its_job_cancels_the_job() {
     let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
     harness.scheduler.cancel(7, harness.now);
     harness.submit(7, vec![step(2, 1, &[])]);
@@ -29,19 +29,19 @@
 }
 
 #[test]
-fn nothing_starts_before_the_store_says_that_it_may_have() {
+fn no_task_starts_before_the_start_of_its_job_is_stored() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![step(1, 1, &[])]);
-    let is_start = |order: &Command| matches!(order, Command::Start { .. });
+    let is_start = |command: &Command| matches!(command, Command::Start { .. });
     assert!(!harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_start));
-    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
     assert!(!harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_start));
-    harness.scheduler.handle_write_committed(&flush, harness.now);
+    harness.scheduler.handle_write_committed(&batch, harness.now);
     assert!(harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_start));
 }
 
 #[test]
-fn a_job_that_an_earlier_owner_touched_and_did_not_start_counts_as_waiting() {
+fn a_job_that_a_previous_owner_wrote_but_did_not_start_counts_as_waiting() {
     let mut harness =
         SchedulerHarness::at_term_start(0, OwnerTerm { token: 50, ..OwnerTerm::default() });
     let done = vec![TaskRecord { done: true, last_run: 1, ..TaskRecord::default() }];
@@ -59,14 +59,14 @@
         Some(&state_from_previous_owner(done)),
         harness.now,
     );
-    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    let waiting = flush.puts.iter().find(|(key, _)| &**key == WAITING_KEY).expect("a count");
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    let waiting = batch.puts.iter().find(|(key, _)| &**key == WAITING_KEY).expect("a count");
     let waiting: WaitingRecord = serde_json::from_slice(&waiting.1).expect("a record");
     assert_eq!(waiting.jobs.values().copied().collect::<Vec<_>>(), [1]);
 }
 
 #[test]
-fn after_a_failed_look_nothing_is_acknowledged_until_the_life_is_known_again() {
+fn after_a_failed_poll_nothing_is_acknowledged_until_the_incarnation_is_known_again() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![step(1, 1, &[])]);
     harness.run_for(ms(100));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn ends_of_a_new_life_count_though_their_numbers_start_anew() {
+fn run_ends_of_a_new_incarnation_count_although_their_numbers_restart() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![step(2, 1, &[])]);
     harness.run_for(ms(100));
@@ -97,9 +97,9 @@
         end: RunEnd::Done,
         checkpoint: None,
     };
-    let incarnation = |born| PollResponse {
+    let incarnation = |started| PollResponse {
         clock: ms(1),
-        started_unix: Some(ms(born)),
+        started_unix: Some(ms(started)),
         ..PollResponse::default()
     };
     let first = PollResponse { ended: vec![row(5, runs[0])], ..incarnation(1_000) };
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn runs_of_a_repetition_that_an_earlier_owner_began_are_taken_over() {
+fn runs_of_an_occurrence_that_a_previous_owner_started_are_taken_over() {
     let mut harness = SchedulerHarness::new(
         1,
         OwnerTerm { token: 50, run_number_base: 1_000, ..OwnerTerm::default() },
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_write_never_has_more_entries_than_the_store_takes() {
+fn a_write_never_has_more_entries_than_the_store_allows() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     for id in 1..200 {
         harness.submit(id, vec![step(1, 1, &[])]);
@@ -147,16 +147,16 @@
     harness.scheduler.set_waves(&waves, harness.now);
     let conditions_and_sequence = 3;
     for _ in 0..30 {
-        let Some(flush) = harness.scheduler.next_write_batch(harness.now) else { break };
-        let entries = flush.puts.len() + flush.deletions.len() + flush.waves.len();
+        let Some(batch) = harness.scheduler.next_write_batch(harness.now) else { break };
+        let entries = batch.puts.len() + batch.deletions.len() + batch.waves.len();
         assert!(conditions_and_sequence + entries <= 32, "{entries}");
-        harness.scheduler.handle_write_committed(&flush, harness.now);
+        harness.scheduler.handle_write_committed(&batch, harness.now);
         harness.now += Duration::from_secs(60);
     }
 }
 
 #[test]
-fn ends_are_acknowledged_though_new_ones_keep_coming() {
+fn run_ends_are_acknowledged_while_new_ones_keep_arriving() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![step(300, 0, &[])]);
     harness.run_for(ms(200));
@@ -170,19 +170,19 @@
             harness.submit(number * 1_000 + other, vec![step(1, 1, &[])]);
             harness.scheduler.cancel(number * 1_000 + other, harness.now);
         }
-        let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
-        harness.scheduler.handle_write_committed(&flush, harness.now);
+        let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+        harness.scheduler.handle_write_committed(&batch, harness.now);
     }
     let acknowledged = harness.scheduler.poll_request(0, false, harness.now).acknowledged;
     assert!(acknowledged > 0, "none of 300 ends");
 }
 
 #[test]
-fn an_order_on_its_way_to_a_new_life_is_not_given_elsewhere() {
+fn a_start_in_flight_to_a_new_incarnation_is_not_sent_to_another_worker() {
     let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
-    let incarnation = |born| PollResponse {
+    let incarnation = |started| PollResponse {
         clock: ms(1),
-        started_unix: Some(ms(born)),
+        started_unix: Some(ms(started)),
         ..PollResponse::default()
     };
     for slot in 0..2 {
@@ -198,13 +198,13 @@
     let mut starts = Vec::new();
     for _ in 0..3 {
         harness.now += ms(10);
-        for order in harness.scheduler.plan(Duration::ZERO, harness.now) {
-            if let Command::Start { worker, .. } = order {
+        for command in harness.scheduler.plan(Duration::ZERO, harness.now) {
+            if let Command::Start { worker, .. } = command {
                 starts.push(worker);
             }
         }
-        if let Some(flush) = harness.scheduler.next_write_batch(harness.now) {
-            harness.scheduler.handle_write_committed(&flush, harness.now);
+        if let Some(batch) = harness.scheduler.next_write_batch(harness.now) {
+            harness.scheduler.handle_write_committed(&batch, harness.now);
         }
     }
     assert_eq!(starts.len(), 1);
@@ -219,20 +219,20 @@
         incarnation(2_000),
     );
     harness.now += ms(100);
-    let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
-    let again = orders.iter().filter(|order| matches!(order, Command::Start { .. })).count();
+    let commands = harness.scheduler.plan(Duration::ZERO, harness.now);
+    let again = commands.iter().filter(|command| matches!(command, Command::Start { .. })).count();
     assert_eq!(again, 0);
 }
 
 #[test]
-fn a_job_waits_until_a_worker_has_begun_one_of_its_tasks() {
+fn a_job_counts_as_waiting_until_a_worker_has_started_one_of_its_tasks() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![step(1, 1, &[])]);
     let _ = harness.scheduler.plan(Duration::ZERO, harness.now);
-    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    harness.scheduler.handle_write_committed(&flush, harness.now);
-    let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
-    let start = orders.into_iter().find(|order| matches!(order, Command::Start { .. }));
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    harness.scheduler.handle_write_committed(&batch, harness.now);
+    let commands = harness.scheduler.plan(Duration::ZERO, harness.now);
+    let start = commands.into_iter().find(|command| matches!(command, Command::Start { .. }));
     let has_started =
         |harness: &SchedulerHarness| harness.scheduler.job(1).map(|job| job.has_started);
     assert_eq!(has_started(&harness), Some(false), "the order is on its way");
@@ -242,50 +242,50 @@
 
 /// Starts a task whose start command gets no response in time, then polls the worker. Returns the
 /// commands that follow.
-fn look_after_an_unanswered_start(spec: StepSpec, is_there: bool) -> Vec<Command> {
+fn poll_after_an_unanswered_start(spec: StepSpec, is_running: bool) -> Vec<Command> {
     let mut harness = SchedulerHarness::new(1, OwnerTerm::default());
     harness.submit(1, vec![spec]);
     let _ = harness.scheduler.plan(Duration::ZERO, harness.now);
-    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    harness.scheduler.handle_write_committed(&flush, harness.now);
-    let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
-    let start = orders.into_iter().find_map(|order| match order {
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    harness.scheduler.handle_write_committed(&batch, harness.now);
+    let commands = harness.scheduler.plan(Duration::ZERO, harness.now);
+    let start = commands.into_iter().find_map(|command| match command {
         Command::Start { worker, task, run, .. } => Some((worker, task, run)),
         _ => None,
     });
     let (worker, task, run) = start.expect("a start");
     harness.scheduler.handle_start_outcome(worker, task, run, CommandOutcome::Unknown, harness.now);
-    let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
-    assert!(orders.contains(&Command::Poll { worker, is_out_of_band: true }), "{orders:?}");
+    let commands = harness.scheduler.plan(Duration::ZERO, harness.now);
+    assert!(commands.contains(&Command::Poll { worker, is_out_of_band: true }), "{commands:?}");
     let sent = harness.now + ms(1);
     let row = RunningRun { task, run, checkpoint: None, percent: 100, load_metric: 0 };
-    let running = if is_there { vec![row] } else { Vec::new() };
+    let running = if is_running { vec![row] } else { Vec::new() };
     let poll = PollResponse { clock: sent, running, ..PollResponse::default() };
     harness.scheduler.handle_poll_response(worker, true, sent, sent, poll);
     harness.scheduler.plan(Duration::ZERO, sent + ms(60))
 }
 
 macro_rules! unanswered_starts {
-    ($($began:ident, $not_begun:ident: $spec:expr;)+) => {
-        $(#[test] fn $began() {
-            let orders = look_after_an_unanswered_start($spec, true);
-            assert!(!orders.iter().any(|order| matches!(order, Command::Stop { .. })), "{orders:?}");
+    ($($started:ident, $not_started:ident: $spec:expr;)+) => {
+        $(#[test] fn $started() {
+            let commands = poll_after_an_unanswered_start($spec, true);
+            assert!(!commands.iter().any(|command| matches!(command, Command::Stop { .. })), "{commands:?}");
         }
 
-        #[test] fn $not_begun() {
-            let orders = look_after_an_unanswered_start($spec, false);
-            assert!(orders.iter().any(|order| matches!(order, Command::Stop { .. })), "{orders:?}");
-            assert!(!orders.iter().any(|order| matches!(order, Command::Start { .. })), "{orders:?}");
+        #[test] fn $not_started() {
+            let commands = poll_after_an_unanswered_start($spec, false);
+            assert!(commands.iter().any(|command| matches!(command, Command::Stop { .. })), "{commands:?}");
+            assert!(!commands.iter().any(|command| matches!(command, Command::Start { .. })), "{commands:?}");
         })+
     };
 }
 
 unanswered_starts! {
-    a_long_running_task_that_began_though_its_start_was_not_answered_is_not_stopped,
-    a_long_running_task_that_has_not_begun_is_stopped_before_it_starts_again:
+    a_long_running_task_that_started_without_a_response_is_not_stopped,
+    a_long_running_task_that_has_not_started_is_stopped_before_a_retry:
         long_running(1, None);
-    a_short_task_that_began_though_its_start_was_not_answered_is_not_stopped,
-    a_short_task_that_has_not_begun_is_stopped_before_it_starts_again: step(1, 1, &[]);
+    a_short_task_that_started_without_a_response_is_not_stopped,
+    a_short_task_that_has_not_started_is_stopped_before_a_retry: step(1, 1, &[]);
 }
 
 #[test]
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn tasks_of_an_earlier_owner_wait_while_a_worker_that_it_used_is_silent() {
+fn tasks_of_a_previous_owner_wait_while_one_of_its_workers_is_unresponsive() {
     let known = EmulatedWorker::new(9, cores(16)).entry();
     let term =
         OwnerTerm { token: 50, known_workers: vec![(&known).into()], ..OwnerTerm::default() };
@@ -313,75 +313,75 @@
     scheduler.add_job(3, job(vec![step(1, 1, &[])]), 41, None, now);
     let mut harness = SchedulerHarness::from_scheduler(scheduler, now);
     let error = PollError::NoAnswer("timeout".into());
-    let silent = (0..2).find(|slot| *harness.scheduler.worker(*slot).entry.id == *known.id);
-    let silent = silent.expect("the known worker");
-    let mut began = HashMap::new();
+    let unresponsive = (0..2).find(|slot| *harness.scheduler.worker(*slot).entry.id == *known.id);
+    let unresponsive = unresponsive.expect("the known worker");
+    let mut started = HashMap::new();
     while harness.now < now + ms(6_500) {
-        for order in harness.scheduler.plan(Duration::ZERO, harness.now) {
-            if let Command::Start { task, .. } = &order {
-                began.insert(task.step.job, harness.now - now);
+        for command in harness.scheduler.plan(Duration::ZERO, harness.now) {
+            if let Command::Start { task, .. } = &command {
+                started.insert(task.step.job, harness.now - now);
             }
-            match order {
-                Command::Poll { worker, .. } if worker == silent => {
+            match command {
+                Command::Poll { worker, .. } if worker == unresponsive => {
                     let _ = harness.scheduler.poll_request(worker, false, harness.now);
                     harness.scheduler.handle_poll_failure(worker, false, &error, harness.now);
                 }
-                order => harness.execute(order),
+                command => harness.execute(command),
             }
         }
-        if let Some(flush) = harness.scheduler.next_write_batch(harness.now) {
-            harness.scheduler.handle_write_committed(&flush, harness.now);
+        if let Some(batch) = harness.scheduler.next_write_batch(harness.now) {
+            harness.scheduler.handle_write_committed(&batch, harness.now);
         }
         harness.now += ms(10);
     }
-    assert!(began[&2] < ms(200), "a job that came later starts at once: {:?}", began[&2]);
-    assert!(began[&3] < ms(200), "so does one that nobody has touched: {:?}", began[&3]);
-    assert!(began[&1] >= ms(6_000), "an earlier one waits for the lease: {:?}", began[&1]);
+    assert!(started[&2] < ms(200), "a job that came later starts at once: {:?}", started[&2]);
+    assert!(started[&3] < ms(200), "so does one that nobody has touched: {:?}", started[&3]);
+    assert!(started[&1] >= ms(6_000), "an earlier one waits for the lease: {:?}", started[&1]);
 }
 
 /// A harness in which a worker got a start command after its last poll response and then
 /// restarted, with the list of workers that shows the new incarnation.
-fn reborn() -> (SchedulerHarness, Vec<WorkerEntry>) {
+fn restarted_worker() -> (SchedulerHarness, Vec<WorkerEntry>) {
     let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
     harness.submit(1, vec![step(1, 16, &[])]);
     let _ = harness.scheduler.plan(Duration::ZERO, harness.now);
-    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    harness.scheduler.handle_write_committed(&flush, harness.now);
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    harness.scheduler.handle_write_committed(&batch, harness.now);
     harness.now += ms(1);
-    for order in harness.scheduler.plan(Duration::ZERO, harness.now) {
-        if matches!(order, Command::Start { .. }) {
-            harness.execute(order);
+    for command in harness.scheduler.plan(Duration::ZERO, harness.now) {
+        if matches!(command, Command::Start { .. }) {
+            harness.execute(command);
         }
     }
     let slot = *harness.running.keys().next().expect("a run");
     let entry = |slot: usize| harness.scheduler.worker(slot).entry.clone();
-    let started_unix = entry(slot).started_unix.map(|born| born + ms(500));
-    let reborn = WorkerEntry { started_unix, ..entry(slot) };
-    let entries = vec![reborn, entry(1 - slot)];
+    let started_unix = entry(slot).started_unix.map(|started| started + ms(500));
+    let restarted_worker = WorkerEntry { started_unix, ..entry(slot) };
+    let entries = vec![restarted_worker, entry(1 - slot)];
     harness.scheduler.set_workers(entries.clone(), harness.now);
     (harness, entries)
 }
 
 #[test]
-fn a_run_that_a_new_life_may_have_begun_is_started_nowhere_else() {
-    let (mut harness, _) = reborn();
+fn a_run_that_a_new_incarnation_may_have_started_is_not_started_elsewhere() {
+    let (mut harness, _) = restarted_worker();
     harness.run_for(ms(1_000));
     assert_eq!(harness.running(), 1);
 }
 
 #[test]
-fn a_run_that_a_new_life_does_not_show_is_started_again() {
-    let (mut harness, _) = reborn();
+fn a_run_that_a_new_incarnation_does_not_report_is_started_again() {
+    let (mut harness, _) = restarted_worker();
     harness.running.clear();
     harness.run_for(ms(1_000));
     assert_eq!(harness.running(), 1);
 }
 
 #[test]
-fn a_report_that_is_older_than_the_life_seen_ends_nothing() {
-    let (mut harness, mut entries) = reborn();
+fn a_worker_entry_older_than_the_known_incarnation_ends_no_run() {
+    let (mut harness, mut entries) = restarted_worker();
     harness.run_for(ms(1_000));
-    entries[0].started_unix = entries[0].started_unix.map(|born| born - ms(400));
+    entries[0].started_unix = entries[0].started_unix.map(|started| started - ms(400));
     harness.scheduler.set_workers(entries, harness.now);
     harness.run_for(ms(1_000));
     assert_eq!(harness.running(), 1);
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn a_run_of_a_job_that_had_ended_before_counts_until_it_is_over() {
+fn a_run_of_an_ended_job_uses_capacity_until_it_ends() {
     let mut harness =
         SchedulerHarness::at_term_start(1, OwnerTerm { token: 50, ..OwnerTerm::default() });
     let ended = StateRecord { state: JobState::Cancelled, ..state_from_previous_owner(Vec::new()) };
@@ -400,17 +400,20 @@
     harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, poll);
     harness.submit(2, vec![step(1, 1, &[])]);
     for _ in 0..3 {
-        let orders = harness.scheduler.plan(Duration::ZERO, harness.now);
-        assert!(!orders.iter().any(|order| matches!(order, Command::Start { .. })), "{orders:?}");
-        if let Some(flush) = harness.scheduler.next_write_batch(harness.now) {
-            harness.scheduler.handle_write_committed(&flush, harness.now);
+        let commands = harness.scheduler.plan(Duration::ZERO, harness.now);
+        assert!(
+            !commands.iter().any(|command| matches!(command, Command::Start { .. })),
+            "{commands:?}"
+        );
+        if let Some(batch) = harness.scheduler.next_write_batch(harness.now) {
+            harness.scheduler.handle_write_committed(&batch, harness.now);
         }
         harness.now += ms(20);
     }
 }
 
 #[test]
-fn a_job_that_had_ended_before_is_not_run_again() {
+fn an_ended_job_is_not_run_again() {
     let mut harness = SchedulerHarness::new(1, OwnerTerm { token: 50, ..OwnerTerm::default() });
     let ended = StateRecord { state: JobState::Completed, ..state_from_previous_owner(Vec::new()) };
     harness.scheduler.add_job(1, job(vec![step(1, 1, &[])]), 40, Some(&ended), harness.now);
--- a/crates/jobs/tests/schedules.rs
+++ b/crates/jobs/tests/schedules.rs
@@ -21,20 +21,20 @@
     assert_eq!(emulator.violations, Vec::<String>::new());
     for id in 1..=JOBS {
         let state = emulator.state(id);
-        let is_right = state == JobState::Completed || (may_fail && state == JobState::Failed);
-        assert!(is_right, "job {id} is {state:?}");
+        let is_expected = state == JobState::Completed || (may_fail && state == JobState::Failed);
+        assert!(is_expected, "job {id} is {state:?}");
     }
 }
 
 macro_rules! schedules {
-    ($($(#[$meta:meta])* $name:ident: $seeds:expr, $faults:expr, $disturb:expr;)+) => {
+    ($($(#[$meta:meta])* $name:ident: $seeds:expr, $faults:expr, $inject:expr;)+) => {
         $($(#[$meta])* #[test] fn $name() {
             for seed in $seeds {
                 let limit = Resources { processors_milli: 60_000, ..Resources::default() };
                 let mut emulator = Emulator::new(seed, 6, limit, $faults);
                 submit_all(&mut emulator);
-                let disturb: fn(&mut Emulator, u64) = $disturb;
-                disturb(&mut emulator, seed);
+                let inject: fn(&mut Emulator, u64) = $inject;
+                inject(&mut emulator, seed);
                 emulator.run(ms(120_000));
                 check(&emulator, $faults.run_failed > 0.0);
             }
@@ -43,9 +43,9 @@
 }
 
 schedules! {
-    all_jobs_end_on_a_calm_day: 0..3, Faults::none(), |_, _| {};
-    lost_and_late_calls_break_no_promise: 0..12, Faults::all(), |_, _| {};
-    lost_and_late_calls_to_long_running_tasks_break_no_promise: 0..12, Faults::all(),
+    all_jobs_end_without_faults: 0..3, Faults::none(), |_, _| {};
+    lost_and_late_calls_violate_no_invariant: 0..12, Faults::all(), |_, _| {};
+    lost_and_late_calls_with_long_running_tasks_violate_no_invariant: 0..12, Faults::all(),
         |emulator, seed| {
             let long_running = StepSpec { long_running: true, ..step(5, 1, &[]) };
             for id in JOBS + 1..=JOBS + 6 {
@@ -55,17 +55,17 @@
                 emulator.crash(worker, ms(3_000 + 2_500 * worker as u64 + seed * 37), ms(900));
             }
         };
-    a_crash_of_workers_breaks_no_promise: 0..12, Faults::all(), |emulator, seed| {
+    worker_crashes_violate_no_invariant: 0..12, Faults::all(), |emulator, seed| {
         for worker in 0..4 {
             emulator.crash(worker, ms(500 + 700 * worker as u64 + seed * 37), ms(900));
         }
     };
-    a_change_of_owner_breaks_no_promise: 0..12, Faults::all(), |emulator, seed| {
+    owner_changes_violate_no_invariant: 0..12, Faults::all(), |emulator, seed| {
         for round in 0..6 {
             emulator.replace_owner(ms(400 + 1_300 * round + seed * 53), ms(700));
         }
     };
-    crashes_and_changes_of_owner_break_no_promise: 0..24, Faults::all(), |emulator, seed| {
+    worker_crashes_and_owner_changes_violate_no_invariant: 0..24, Faults::all(), |emulator, seed| {
         for round in 0..5 {
             emulator.replace_owner(ms(300 + 1_700 * round + seed * 71), ms(600));
             let worker = usize::try_from((round + seed) % 6).expect("small");
--- a/crates/jobs/tests/service.rs
+++ b/crates/jobs/tests/service.rs
@@ -20,9 +20,9 @@
 
 const KEY: Option<&str> = Some("k1");
 
-async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
+async fn wait_until<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
     for _ in 0..400 {
-        if let Some(found) = look().await {
+        if let Some(found) = check().await {
             return found;
         }
         tokio::time::sleep(ms(20)).await;
@@ -37,8 +37,8 @@
     platform
 }
 
-async fn ready(api: &JobApi<TestClients>) {
-    until("ready", async || api.is_ready(Duration::from_secs(60)).then_some(())).await;
+async fn wait_until_ready(api: &JobApi<TestClients>) {
+    wait_until("ready", async || api.is_ready(Duration::from_secs(60)).then_some(())).await;
 }
 
 fn path(id: JobId) -> String {
@@ -51,42 +51,44 @@
     api.submit(&call(&path(id), KEY), record.spec).await
 }
 
-async fn completed(api: &JobApi<TestClients>, id: JobId) {
+async fn wait_until_completed(api: &JobApi<TestClients>, id: JobId) {
     let done = JobStateResponse::State(JobState::Completed);
-    until("completed", async || (api.job_state(&call(&path(id), KEY)).await == done).then_some(()))
-        .await;
+    wait_until("completed", async || {
+        (api.job_state(&call(&path(id), KEY)).await == done).then_some(())
+    })
+    .await;
 }
 
 #[tokio::test]
-async fn an_accepted_job_is_done_and_shown_as_completed() {
+async fn an_accepted_job_completes() {
     let platform = platform_with_workers(2).await;
     let api = platform.api();
-    ready(&api).await;
+    wait_until_ready(&api).await;
     let _owner = platform.start_owner("one");
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
-    completed(&api, 1).await;
+    wait_until_completed(&api, 1).await;
     assert_eq!(platform.workers.starts.lock().expect("lock").len(), 5);
 }
 
 #[tokio::test]
-async fn another_instance_goes_on_when_the_owner_stops() {
+async fn another_instance_takes_over_when_the_owner_stops() {
     let platform = platform_with_workers(2).await;
     let api = platform.api();
-    ready(&api).await;
+    wait_until_ready(&api).await;
     let first = platform.client("one").start_owner("one");
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
-    completed(&api, 1).await;
+    wait_until_completed(&api, 1).await;
     let _second = platform.client("two").start_owner("two");
     first.cancel();
     assert_eq!(submit(&platform, &api, 2).await, SubmitResponse::Accepted);
-    completed(&api, 2).await;
+    wait_until_completed(&api, 2).await;
     let starts = platform.workers.starts.lock().expect("lock").clone();
     assert_eq!(starts.iter().filter(|(task, _)| task.step.job == 1).count(), 5);
 }
 
 #[tokio::test]
-async fn a_weak_instance_leaves_an_ownership_that_was_free_from_the_start_to_a_stronger_one() {
+async fn an_instance_with_a_claim_delay_leaves_an_initially_free_ownership_to_another() {
     let platform = platform_with_workers(1).await;
     let _weak = platform.client("weak").start_delayed_owner("weak", ms(400));
     tokio::time::sleep(ms(100)).await;
@@ -97,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn a_weak_instance_leaves_an_ownership_that_became_free_in_an_outage_to_a_stronger_one() {
+async fn an_instance_with_a_claim_delay_leaves_an_ownership_freed_during_an_outage_to_another() {
     let platform = platform_with_workers(1).await;
     let held = Transaction::default().put(OWNER_KEY, "former 1", None);
     platform.store.commit(held).await.expect("held");
@@ -116,42 +118,42 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_to_an_accepted_job_is_settled() {
+async fn a_submission_is_accepted_although_the_response_to_its_write_is_lost() {
     let platform = platform_with_workers(1).await;
     let api = platform.client("front").api();
-    ready(&api).await;
+    wait_until_ready(&api).await;
     platform.client("front").store.faults().fail_writes(1, WriteFault::LostAnswer);
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
 }
 
 #[tokio::test]
-async fn a_job_whose_write_comes_late_is_not_called_refused() {
+async fn a_submission_whose_write_is_late_has_an_unknown_outcome() {
     let platform = platform_with_workers(1).await;
     let api = platform.client("front").api();
-    ready(&api).await;
+    wait_until_ready(&api).await;
     let late = WriteFault::Late(ms(300));
     platform.client("front").store.faults().fail_writes(3, late);
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Unknown);
     let stored = || async { platform.store.get(&job_key(1)).await.expect("store") };
-    until("stored", async || stored().await.map(drop)).await;
+    wait_until("stored", async || stored().await.map(drop)).await;
 }
 
 #[tokio::test]
-async fn late_writes_of_the_owner_do_not_bring_back_old_states() {
+async fn late_writes_of_the_owner_do_not_restore_old_states() {
     let platform = platform_with_workers(2).await;
     let api = platform.api();
-    ready(&api).await;
+    wait_until_ready(&api).await;
     let owned = platform.client("one");
     let _owner = owned.start_owner("one");
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
-    completed(&api, 1).await;
+    wait_until_completed(&api, 1).await;
     for id in 2..8 {
         assert_eq!(submit(&platform, &api, id).await, SubmitResponse::Accepted);
         owned.store.faults().fail_writes(1, WriteFault::Late(ms(400)));
         tokio::time::sleep(ms(30)).await;
     }
     for id in 2..8 {
-        completed(&api, id).await;
+        wait_until_completed(&api, id).await;
     }
     tokio::time::sleep(ms(600)).await;
     for record in platform.store.list(STATE_PREFIX).await.expect("store").records {
@@ -164,10 +166,10 @@
 const MANY_JOBS: JobId = 240;
 
 #[tokio::test]
-async fn writes_side_by_side_keep_their_promises_though_answers_are_lost_and_late() {
+async fn parallel_writes_stay_consistent_with_lost_and_late_responses() {
     let platform = platform_with_workers(40).await;
     let api = platform.api();
-    ready(&api).await;
+    wait_until_ready(&api).await;
     let owned = platform.client("one");
     let _owner = owned.start_owner("one");
     tokio::time::sleep(ms(300)).await;
@@ -179,7 +181,7 @@
     owned.store.faults().plan_writes(faults.into_iter().cycle().take(8).map(Some));
     owned.store.faults().reconnect("one");
     for id in 1..=MANY_JOBS {
-        completed(&api, id).await;
+        wait_until_completed(&api, id).await;
     }
     tokio::time::sleep(ms(600)).await;
     for record in platform.store.list(STATE_PREFIX).await.expect("store").records {
@@ -195,36 +197,36 @@
 }
 
 #[tokio::test]
-async fn a_withdrawn_key_is_refused_though_the_instance_has_not_heard_of_it() {
+async fn a_revoked_key_is_refused_although_the_watch_has_not_reported_it() {
     let platform = platform_with_workers(1).await;
     let (sender, desired_states) = cassiafold_jobs::desired_state::DesiredStateSender::new();
     let metrics = cassiafold_jobs::metrics::JobsMetrics::default();
     let api = JobApi::new(platform.clone(), desired_states, sender.clone(), metrics);
-    let follower = tokio::spawn(cassiafold_jobs::desired_state::follow(platform.clone(), sender));
-    ready(&api).await;
-    follower.abort();
+    let watch_task = tokio::spawn(cassiafold_jobs::desired_state::follow(platform.clone(), sender));
+    wait_until_ready(&api).await;
+    watch_task.abort();
     platform.configure(2, &["k2"]).await;
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Denied(Denial::UnknownKey));
     assert_eq!(platform.store.get(&job_key(1)).await.expect("store"), None);
 }
 
 /// A job API whose watch of the operator's records stopped more than two seconds ago.
-async fn unwatched(platform: &TestClients) -> JobApi<TestClients> {
+async fn api_with_stopped_watch(platform: &TestClients) -> JobApi<TestClients> {
     let (sender, desired_states) = cassiafold_jobs::desired_state::DesiredStateSender::new();
     let metrics = cassiafold_jobs::metrics::JobsMetrics::default();
     let api = JobApi::new(platform.clone(), desired_states, sender.clone(), metrics);
-    let follower = tokio::spawn(cassiafold_jobs::desired_state::follow(platform.clone(), sender));
-    ready(&api).await;
-    follower.abort();
+    let watch_task = tokio::spawn(cassiafold_jobs::desired_state::follow(platform.clone(), sender));
+    wait_until_ready(&api).await;
+    watch_task.abort();
     platform.configure(2, &["k2"]).await;
     tokio::time::sleep(ms(2_400)).await;
     api
 }
 
 #[tokio::test]
-async fn a_new_key_is_known_though_the_watch_is_silent() {
+async fn a_new_key_is_accepted_although_the_watch_has_stopped() {
     let platform = platform_with_workers(1).await;
-    let api = unwatched(&platform).await;
+    let api = api_with_stopped_watch(&platform).await;
     assert_eq!(api.target(&call(&path(1), Some("k2"))).await, Ok(Target::Job(1)));
     assert_eq!(api.job_state(&call(&path(1), Some("k2"))).await, JobStateResponse::NoSuchJob);
     assert_eq!(
@@ -234,9 +236,9 @@
 }
 
 #[tokio::test]
-async fn nothing_is_called_unknown_by_a_configuration_that_may_be_out_of_date() {
+async fn a_key_is_not_called_unknown_while_the_configuration_may_be_outdated() {
     let platform = platform_with_workers(1).await.client("front");
-    let api = unwatched(&platform).await;
+    let api = api_with_stopped_watch(&platform).await;
     platform.store.faults().cut_off("front", Partition::Requests);
     let outdated = Denial::Outdated;
     assert_eq!(api.target(&call(&path(1), Some("k2"))).await, Err(outdated));
@@ -247,19 +249,19 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_job_ends_and_an_unknown_one_is_gone() {
+async fn a_cancelled_job_ends_and_an_unknown_job_is_not_found() {
     let platform = platform_with_workers(0).await;
     let api = platform.api();
-    ready(&api).await;
+    wait_until_ready(&api).await;
     let _owner = platform.start_owner("one");
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
-    until("counted", async || {
+    wait_until("counted", async || {
         (api.waiting_jobs(&call("/q/", KEY)).await == CountResponse::Waiting(1)).then_some(())
     })
     .await;
     assert_eq!(api.cancel(&call(&path(1), KEY)).await, CancelResponse::Accepted);
     let cancelled = JobStateResponse::State(JobState::Cancelled);
-    until("cancelled", async || {
+    wait_until("cancelled", async || {
         (api.job_state(&call(&path(1), KEY)).await == cancelled).then_some(())
     })
     .await;
@@ -268,10 +270,10 @@
 }
 
 #[tokio::test]
-async fn an_old_count_is_not_shown() {
+async fn an_outdated_queue_length_is_not_returned() {
     let platform = platform_with_workers(0).await;
     let api = platform.api();
-    ready(&api).await;
+    wait_until_ready(&api).await;
     let old = r#"{"jobs":{"q":3},"counted_unix_ms":1000}"#;
     let write = Write::put(WAITING_KEY, Compare::Absent, old);
     platform.store.write(write).await.expect("store");
@@ -283,7 +285,7 @@
         $(#[tokio::test] async fn $name() {
             let platform = platform_with_workers(0).await;
             let api = platform.api();
-            ready(&api).await;
+            wait_until_ready(&api).await;
             let spec = job(vec![step(1, 1, &[])]).spec;
             let answer = api.submit(&call($path, $key), spec).await;
             assert_eq!(answer, SubmitResponse::Denied($denial));
@@ -295,11 +297,11 @@
     a_path_without_queue_is_denied: "/other/0000000000000001", KEY => Denial::NoQueue;
     a_call_without_key_is_denied: "/q/0000000000000001", None => Denial::UnknownKey;
     a_call_with_an_unknown_key_is_denied: "/q/0000000000000001", Some("x") => Denial::UnknownKey;
-    a_name_that_is_no_id_is_denied: "/q/none", KEY => Denial::NoJob;
+    an_invalid_job_id_is_denied: "/q/none", KEY => Denial::NoJob;
 }
 
 #[tokio::test]
-async fn a_desk_without_configuration_denies_all() {
+async fn an_api_without_configuration_denies_all_requests() {
     let api = TestClients::new(0).api();
     let spec = job(vec![step(1, 1, &[])]).spec;
     let answer = api.submit(&call(&path(1), KEY), spec).await;
@@ -307,17 +309,17 @@
 }
 
 #[tokio::test]
-async fn an_owner_keeps_no_connections_to_workers_that_are_gone_nor_after_its_tenure() {
+async fn an_owner_closes_connections_to_removed_workers_and_at_the_end_of_its_term() {
     let platform = platform_with_workers(3).await;
     let owner = platform.start_owner("one");
     let api = platform.api();
-    ready(&api).await;
+    wait_until_ready(&api).await;
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
-    completed(&api, 1).await;
+    wait_until_completed(&api, 1).await;
     let disconnected = || platform.workers.disconnected.lock().expect("lock").len();
     assert_eq!(disconnected(), 0);
     platform.remove_worker("w0").await;
-    until("the lost worker", async || (disconnected() == 1).then_some(())).await;
+    wait_until("the lost worker", async || (disconnected() == 1).then_some(())).await;
     owner.cancel();
-    until("all workers", async || (disconnected() == 3).then_some(())).await;
+    wait_until("all workers", async || (disconnected() == 3).then_some(())).await;
 }
--- a/crates/jobs/tests/writes.rs
+++ b/crates/jobs/tests/writes.rs
@@ -16,11 +16,11 @@
 const JOBS: u64 = 40;
 
 /// A harness in which tasks of many jobs have ended since the last write.
-fn busy() -> SchedulerHarness {
-    busy_with(JOBS)
+fn harness_with_run_ends() -> SchedulerHarness {
+    harness_with_run_ends_of(JOBS)
 }
 
-fn busy_with(jobs: u64) -> SchedulerHarness {
+fn harness_with_run_ends_of(jobs: u64) -> SchedulerHarness {
     let mut harness = SchedulerHarness::new(8, OwnerTerm::default());
     for job in 1..=jobs {
         harness.submit(job, vec![step(2, 1, &[])]);
@@ -46,40 +46,40 @@
     harness
 }
 
-fn holds(flush: &WriteBatch, job: JobId) -> bool {
-    flush.puts.iter().any(|(key, _)| *key == state_key(job))
+fn contains_state(batch: &WriteBatch, job: JobId) -> bool {
+    batch.puts.iter().any(|(key, _)| *key == state_key(job))
 }
 
 #[test]
-fn a_start_that_waits_for_the_store_does_not_queue_behind_the_progress_of_others() {
-    let mut harness = busy();
+fn a_start_is_written_before_the_progress_of_other_jobs() {
+    let mut harness = harness_with_run_ends();
     let new = JOBS + 1;
     harness.submit(new, vec![step(1, 1, &[])]);
     let _ = harness.scheduler.plan(ms(0), harness.now);
-    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    assert!(holds(&flush, new));
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    assert!(contains_state(&batch, new));
 }
 
 #[test]
-fn the_ends_that_wait_longest_are_written_though_starts_wait() {
-    let mut harness = busy();
+fn the_oldest_run_ends_are_written_even_while_starts_wait() {
+    let mut harness = harness_with_run_ends();
     for new in JOBS + 1..JOBS + 50 {
         harness.submit(new, vec![step(1, 1, &[])]);
     }
     let _ = harness.scheduler.plan(ms(0), harness.now);
-    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    assert!((1..=JOBS).any(|job| holds(&flush, job)));
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    assert!((1..=JOBS).any(|job| contains_state(&batch, job)));
     assert_eq!(harness.scheduler.write_urgency(), WriteUrgency::High, "more starts wait");
 }
 
 #[test]
-fn a_worker_that_comes_has_few_others_written_again() {
+fn a_new_worker_causes_few_other_workers_to_be_rewritten() {
     let mut harness = SchedulerHarness::new(600, OwnerTerm::default());
     let capacity = cores(16);
     let entries = (0..601).map(|number| EmulatedWorker::new(number, capacity).entry());
     harness.scheduler.set_workers(entries.collect(), harness.now);
-    let flush = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    let parts = flush.puts.iter().filter(|(key, _)| key.starts_with(WORKERS_PREFIX));
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    let parts = batch.puts.iter().filter(|(key, _)| key.starts_with(WORKERS_PREFIX));
     let written = parts.map(|(_, bytes)| {
         let workers: Vec<WorkerRecord> = serde_json::from_slice(bytes).expect("workers");
         workers.len()
@@ -94,13 +94,13 @@
 /// Highest run end that is acknowledged to any worker.
 fn acknowledged(harness: &mut SchedulerHarness) -> u64 {
     let now = harness.now;
-    let looks = (0..8).map(|slot| harness.scheduler.poll_request(slot, true, now));
-    looks.map(|poll| poll.acknowledged).max().expect("workers")
+    let polls = (0..8).map(|slot| harness.scheduler.poll_request(slot, true, now));
+    polls.map(|poll| poll.acknowledged).max().expect("workers")
 }
 
 #[test]
-fn an_end_is_acknowledged_only_when_no_older_one_is_in_a_write_under_way() {
-    let mut harness = busy_with(MANY_JOBS);
+fn a_run_end_is_acknowledged_only_when_no_older_one_is_in_a_write_in_flight() {
+    let mut harness = harness_with_run_ends_of(MANY_JOBS);
     let first = harness.scheduler.next_write_batch(harness.now).expect("a write");
     let second = harness.scheduler.next_write_batch(harness.now).expect("another write beside it");
     harness.scheduler.handle_write_committed(&second, harness.now);
@@ -110,21 +110,21 @@
 }
 
 #[test]
-fn a_state_does_not_overtake_an_older_one_of_its_job_that_is_under_way() {
-    let mut harness = busy_with(MANY_JOBS);
+fn a_state_is_not_written_while_an_older_one_of_its_job_is_in_flight() {
+    let mut harness = harness_with_run_ends_of(MANY_JOBS);
     let first = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    let job = (1..=MANY_JOBS).find(|job| holds(&first, *job)).expect("a state");
+    let job = (1..=MANY_JOBS).find(|job| contains_state(&first, *job)).expect("a state");
     harness.scheduler.cancel(job, harness.now);
     let second = harness.scheduler.next_write_batch(harness.now).expect("another write beside it");
-    assert!(!holds(&second, job));
+    assert!(!contains_state(&second, job));
     harness.scheduler.handle_write_committed(&first, harness.now);
     let third = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    assert!(holds(&third, job));
+    assert!(contains_state(&third, job));
 }
 
 #[test]
-fn a_few_states_wait_for_the_write_that_is_under_way() {
-    let mut harness = busy();
+fn a_few_states_wait_for_the_write_in_flight() {
+    let mut harness = harness_with_run_ends();
     let _first = harness.scheduler.next_write_batch(harness.now).expect("a write");
     assert_eq!(harness.scheduler.next_write_batch(harness.now), None);
 }
