--- a/crates/jobs/tests/arrivals.rs
+++ b/crates/jobs/tests/arrivals.rs
@@ -9,9 +9,11 @@
 
 /// Time from a move command until the machine runs tasks.
 const MACHINE_LEAD_TIME: Duration = Duration::from_millis(2_000);
+/// Time between two steps of a replay.
 const STEP: Duration = Duration::from_millis(50);
 const SERVICE: &str = "a";
-const PEAK_S: f64 = 10.0;
+/// Duration of the rise and fall of the demand, in seconds.
+const HALF_SINE_S: f64 = 10.0;
 /// Cores that each job uses, for one second.
 const JOB_CORES: f64 = 10.0;
 
@@ -22,7 +24,11 @@
 /// Rate in jobs per second over time: half a sine wave with maximum `peak`, then zero.
 fn half_sine(peak: f64) -> impl Fn(f64) -> f64 {
     move |at_s| {
-        if at_s < PEAK_S { peak * (at_s / PEAK_S * std::f64::consts::PI).sin() } else { 0.0 }
+        if at_s < HALF_SINE_S {
+            peak * (at_s / HALF_SINE_S * std::f64::consts::PI).sin()
+        } else {
+            0.0
+        }
     }
 }
 
@@ -32,7 +38,8 @@
     requested: Vec<f64>,
 }
 
-/// Submits jobs at a given rate in jobs per second, and records the cores that `request_cores` requests.
+/// Submits jobs at a given rate in jobs per second, and records the cores that `request_cores`
+/// returns in each step.
 fn replay(
     jobs_per_s: impl Fn(f64) -> f64,
     mut request_cores: impl FnMut(&Arrivals, Moment) -> f64,
@@ -61,14 +68,14 @@
     /// Core-seconds of demand that the machines requested `MACHINE_LEAD_TIME` earlier do not cover.
     fn shortfall(&self) -> f64 {
         let lag_steps = (MACHINE_LEAD_TIME.as_millis() / STEP.as_millis()) as usize;
-        let late = self.demand.iter().skip(lag_steps).zip(&self.requested);
-        late.map(|(demand, requested)| (demand - requested).max(0.0) * STEP.as_secs_f64()).sum()
+        let delayed = self.demand.iter().skip(lag_steps).zip(&self.requested);
+        delayed.map(|(demand, requested)| (demand - requested).max(0.0) * STEP.as_secs_f64()).sum()
     }
 
     /// Requested core-seconds in excess of the demand.
     fn surplus(&self) -> f64 {
-        let each = self.demand.iter().zip(&self.requested);
-        each.map(|(demand, requested)| (requested - demand).max(0.0) * STEP.as_secs_f64()).sum()
+        let steps = self.demand.iter().zip(&self.requested);
+        steps.map(|(demand, requested)| (requested - demand).max(0.0) * STEP.as_secs_f64()).sum()
     }
 }
 
--- a/crates/jobs/tests/clients/mod.rs
+++ b/crates/jobs/tests/clients/mod.rs
@@ -29,28 +29,35 @@
 /// Run time of each task.
 const TASK_TIME: Duration = Duration::from_millis(40);
 
+/// Platform clients of one instance.
 #[derive(Debug, Clone)]
 pub struct TestClients {
     pub store: MemoryStore,
     pub workers: TestWorkers,
 }
 
+/// Client of the emulated workers. Clones share the workers.
 #[derive(Debug, Clone)]
 pub struct TestWorkers {
     pub list: Arc<Mutex<Vec<EmulatedWorker>>>,
+    /// Jobs by id, from which the workers read the resources of a task.
     jobs: Arc<Mutex<BTreeMap<JobId, JobRecord>>>,
+    /// All accepted starts.
     pub starts: Arc<Mutex<Vec<(TaskId, RunNumber)>>>,
     /// Workers whose connections were closed.
     pub disconnected: Arc<Mutex<BTreeSet<WorkerId>>>,
 }
 
+/// Formats with plain text records.
 #[derive(Debug, Clone)]
 pub struct TestFormats;
 
+/// Client of machines and of the placement policy that has no machines and no tickets.
 #[derive(Debug, Clone)]
 pub struct NullClient;
 
 impl TestClients {
+    /// Creates clients of an empty store and of these workers.
     pub fn new(workers: usize) -> Self {
         let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
         let list = (0..workers).map(|number| EmulatedWorker::new(number, capacity)).collect();
@@ -79,6 +86,7 @@
         self.store.write(write).await.expect("store");
     }
 
+    /// Writes the entries of all workers to the store.
     pub async fn register_workers(&self) {
         let ids: Vec<WorkerId> = {
             let list = self.workers.list.lock().expect("lock");
@@ -98,6 +106,7 @@
         self.store.commit(Transaction::default().delete(key)).await.expect("store");
     }
 
+    /// Creates a job API and starts its watch of the desired state.
     pub fn api(&self) -> JobApi<Self> {
         let (sender, desired_states) = DesiredStateSender::new();
         tokio::spawn(desired_state::follow(self.clone(), sender.clone()));
@@ -140,10 +149,10 @@
 }
 
 impl TestWorkers {
-    fn with<T>(&self, id: &str, act: impl FnOnce(&mut EmulatedWorker) -> T) -> T {
+    fn with<T>(&self, id: &str, action: impl FnOnce(&mut EmulatedWorker) -> T) -> T {
         let mut list = self.list.lock().expect("lock");
         let worker = list.iter_mut().find(|worker| *worker.id == *id).expect("known worker");
-        act(worker)
+        action(worker)
     }
 }
 
@@ -154,7 +163,7 @@
         request: PollRequest,
     ) -> Result<PollResponse, PollError> {
         tokio::time::sleep(ms(5)).await;
-        self.with(&worker.id, |one| one.poll(request, since_boot()))
+        self.with(&worker.id, |worker| worker.poll(request, since_boot()))
     }
 
     async fn start(
@@ -172,7 +181,7 @@
         run: RunNumber,
         token: FencingToken,
     ) -> CommandOutcome {
-        self.with(&worker.id, |one| one.stop(task, run, token, since_boot()))
+        self.with(&worker.id, |worker| worker.stop(task, run, token, since_boot()))
     }
 
     async fn throttle(
@@ -195,13 +204,13 @@
     fn start_one(&self, worker: &WorkerAddress, request: &StartRequest) -> CommandOutcome {
         let (task, run, now) = (request.task, request.run, since_boot());
         let jobs = self.jobs.lock().expect("lock").clone();
-        let outcome = self.with(&worker.id, |one| one.start(request, now, &jobs));
+        let outcome = self.with(&worker.id, |worker| worker.start(request, now, &jobs));
         if outcome == CommandOutcome::Accepted {
             self.starts.lock().expect("lock").push((task, run));
             let (workers, id) = (self.clone(), worker.id.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(TASK_TIME).await;
-                workers.with(&id, |one| one.finish(task, run, false, since_boot()));
+                workers.with(&id, |worker| worker.finish(task, run, false, since_boot()));
             });
         }
         outcome
--- a/crates/jobs/tests/decisions.rs
+++ b/crates/jobs/tests/decisions.rs
@@ -24,8 +24,8 @@
     let pools: BTreeMap<ServiceId, Pool> =
         pools.iter().map(|(id, pool)| (ServiceId::from(*id), pool.clone())).collect();
     let mut counts = BTreeMap::new();
-    for one in choose_moves(&pools, 12) {
-        *counts.entry(one.service).or_default() += 1;
+    for machine_move in choose_moves(&pools, 12) {
+        *counts.entry(machine_move.service).or_default() += 1;
     }
     counts
 }
@@ -85,7 +85,7 @@
 
 fn sorted_jobs(mut steps: Vec<WaitingStep>, now: Duration) -> Vec<u64> {
     sort(&mut steps, now);
-    steps.into_iter().map(|waiting_step| waiting_step.step.job).collect()
+    steps.into_iter().map(|step| step.step.job).collect()
 }
 
 #[test]
@@ -106,8 +106,9 @@
 
 #[test]
 fn long_running_tasks_come_before_all_others() {
-    let long = WaitingStep { long_running: true, priority: 5, ..waiting_step(1, 9.0, ms(50)) };
-    assert_eq!(sorted_jobs(vec![waiting_step(2, 1.0, ms(0)), long], ms(100)), [1, 2]);
+    let long_running =
+        WaitingStep { long_running: true, priority: 5, ..waiting_step(1, 9.0, ms(50)) };
+    assert_eq!(sorted_jobs(vec![waiting_step(2, 1.0, ms(0)), long_running], ms(100)), [1, 2]);
 }
 
 #[test]
@@ -145,7 +146,7 @@
     };
     let mut unplaced = UnplaceableRequirements::default();
     unplaced.record(&requirements(cores(2), Some(1)));
-    assert!(!unplaced.covers(&cores(2)), "another worker may have had room for it");
+    assert!(!unplaced.covers(&cores(2)), "another worker may have capacity for it");
     unplaced.record(&requirements(cores(8), None));
     unplaced.record(&requirements(cores(4), None));
     assert!(unplaced.covers(&cores(4)));
--- a/crates/jobs/tests/harness/mod.rs
+++ b/crates/jobs/tests/harness/mod.rs
@@ -56,6 +56,7 @@
         Self { scheduler, now, running, machine_commands: Vec::new(), listed_machines: Vec::new() }
     }
 
+    /// Machines of the service, each with the worker of the same number.
     pub fn machines(count: usize, state: MachineState) -> Vec<Machine> {
         let make = |number: usize| Machine {
             id: format!("m{number}").into(),
@@ -75,11 +76,13 @@
         Self::machines(count, MachineState::Up).into_iter().map(spare).collect()
     }
 
+    /// Passes a list of machines to the scheduler.
     pub fn set_machines(&mut self, machines: Vec<Machine>) {
         self.listed_machines = machines.clone();
         self.scheduler.set_machines(machines, self.now, self.now);
     }
 
+    /// Adds a job that was accepted in the current term.
     pub fn submit(&mut self, id: JobId, steps: Vec<StepSpec>) {
         self.scheduler.add_job(id, job(steps), REVISION_AFTER_TAKEOVER, None, self.now);
     }
@@ -115,12 +118,14 @@
         }
     }
 
+    /// Commits the next write, if there is one.
     fn commit_writes(&mut self) {
         if let Some(batch) = self.scheduler.next_write_batch(self.now) {
             self.scheduler.handle_write_committed(&batch, self.now);
         }
     }
 
+    /// Executes one command and passes its outcome to the scheduler.
     pub fn execute(&mut self, command: Command) {
         match command {
             Command::Poll { worker, is_out_of_band } => {
@@ -168,10 +173,12 @@
         }
     }
 
+    /// Number of runs on all workers.
     pub fn running(&self) -> usize {
         self.running.values().map(Vec::len).sum()
     }
 
+    /// Sets a wave for these machines with a time limit of 20 s.
     pub fn set_wave(&mut self, machines: &[usize], concurrent_max: usize) {
         let machines = machines.iter().map(|number| format!("m{number}").into()).collect();
         let wave = Wave { number: 1, machines, time_limit: ms(20_000), concurrent_max };
@@ -179,6 +186,7 @@
     }
 }
 
+/// A step of long-running tasks, one of which may be unavailable at a time.
 pub fn long_running(tasks: u32, per_worker_max: Option<u32>) -> StepSpec {
     StepSpec { long_running: true, unavailable_max: Some(1), per_worker_max, ..step(tasks, 2, &[]) }
 }
--- a/crates/jobs/tests/machines.rs
+++ b/crates/jobs/tests/machines.rs
@@ -56,7 +56,10 @@
     harness.set_machines(SchedulerHarness::machines(2, MachineState::Up));
     harness.set_wave(&[slot], 1);
     while harness.machine_commands.is_empty() {
-        assert!(!harness.running[&slot].is_empty() && harness.running() >= 2, "one away at a time");
+        assert!(
+            !harness.running[&slot].is_empty() && harness.running() >= 2,
+            "at most one task is unavailable"
+        );
         harness.run_for(ms(10));
     }
     assert_eq!(harness.running[&slot].len(), 1);
@@ -111,8 +114,9 @@
     assert_eq!(cordoned, 3);
 }
 
-/// Number of commands within 300 ms to a machine with a short task, in a wave with a time limit of
-/// 20 s.
+/// Number of commands that a new owner sends within 300 ms to a machine with a short task. The
+/// machine is in a wave with a time limit of 20 s, which a previous owner first saw at
+/// `since_unix_ms`.
 fn commands_under_a_new_owner(since_unix_ms: u64) -> usize {
     let wave = WaveRecord { since_unix_ms, ..WaveRecord::default() };
     let waves = WavesRecord::from([(1, wave)]);
@@ -156,7 +160,7 @@
 #[test]
 fn a_new_owner_keeps_the_start_time_of_a_wave_from_the_previous_owner() {
     assert_eq!(commands_under_a_new_owner(1_000_000), 0, "there is time to wait for the task");
-    assert_eq!(commands_under_a_new_owner(983_000), 1, "most of the term is over");
+    assert_eq!(commands_under_a_new_owner(983_000), 1, "most of the time limit is over");
 }
 
 #[test]
@@ -302,7 +306,7 @@
     let is_machine = |command: &Command| matches!(command, Command::Machine(_));
     assert!(!harness.scheduler.plan(Duration::ZERO, harness.now).iter().any(is_machine));
     harness.run_for(ms(300));
-    assert!(!harness.machine_commands.is_empty(), "afterwards one goes down after the other");
+    assert!(!harness.machine_commands.is_empty(), "once polled, a machine goes down");
 }
 
 #[test]
@@ -346,6 +350,7 @@
     harness
 }
 
+/// Machines to which commands were sent.
 fn commanded(harness: &SchedulerHarness) -> Vec<&str> {
     harness.machine_commands.iter().map(|command| &**command.machine()).collect()
 }
@@ -404,8 +409,14 @@
             ..machine
         }),
     );
-    let held = job(vec![step(200, 1, &[])]);
-    harness.scheduler.add_job(1, held, 40, Some(&state_from_previous_owner(vec![])), harness.now);
+    let stored_job = job(vec![step(200, 1, &[])]);
+    harness.scheduler.add_job(
+        1,
+        stored_job,
+        40,
+        Some(&state_from_previous_owner(vec![])),
+        harness.now,
+    );
     for _ in 0..5 {
         harness.set_machines(machines.clone());
         harness.run_without_responses(ms(1_000));
@@ -413,5 +424,9 @@
     assert!(commanded(&harness).is_empty());
     harness.set_machines(machines.clone());
     harness.run_without_responses(ms(1_500));
-    assert_eq!(commanded(&harness).len(), 2, "the lease of what may run there is over");
+    assert_eq!(
+        commanded(&harness).len(),
+        2,
+        "the leases of runs on the unresponsive worker have expired"
+    );
 }
--- a/crates/jobs/tests/overload.rs
+++ b/crates/jobs/tests/overload.rs
@@ -9,11 +9,13 @@
 
 /// Number of jobs submitted at the same time: ten times the usual number of jobs of a busy owner.
 const BACKLOG: JobId = 2_000;
+/// Number of tasks of each job.
 const TASKS_EACH: u32 = 2;
 const WORKERS: usize = 300;
 /// Latency of a write at a busy owner; the store itself responds within a few milliseconds.
 const BUSY_WRITE_MS: u64 = 40;
 
+/// An emulation that has polled all workers.
 fn deployment() -> Emulator {
     let mut emulator = Emulator::new(1, WORKERS, Resources::default(), Faults::none());
     emulator.run(ms(3_000));
@@ -35,11 +37,11 @@
     submit_backlog(&mut emulator);
     emulator.run(ms(2_000));
     let waiting = BACKLOG as usize * TASKS_EACH as usize - emulator.start_count;
-    assert_eq!(waiting, 0, "tasks that have not begun");
+    assert_eq!(waiting, 0, "tasks that have not started");
     assert_eq!(emulator.violations, Vec::<String>::new());
 }
 
-/// Guards against a growing store: jobs that ended during an hour of high load were not deleted.
+/// Guards against a growing store: jobs that ended during an hour of high load stayed in it.
 #[test]
 fn ended_jobs_are_deleted_as_fast_as_they_arrived() {
     let mut emulator = Emulator::new(1, 20, Resources::default(), Faults::none());
@@ -52,7 +54,7 @@
     assert_eq!(emulator.ended_jobs(), BACKLOG as usize / 2);
     emulator.write_latency = ms(BUSY_WRITE_MS);
     emulator.run(settings().status_retention);
-    assert_eq!(emulator.ended_jobs(), 0, "ended jobs that are kept too long");
+    assert_eq!(emulator.ended_jobs(), 0, "ended jobs kept beyond the retention time");
 }
 
 /// Guards against unserved load after a change of owner: for a second, the new owner could use only
@@ -68,8 +70,8 @@
 /// Guards against an owner that is kept busy by polls that return the same run ends again.
 #[test]
 fn workers_with_run_ends_that_cannot_be_stored_are_not_polled_all_the_time() {
-    /// Polls per second of workers whose run ends cannot be acknowledged.
-    const REPEATED_POLLS_PER_S: usize = 2_000;
+    /// Limit of the redundant polls per second while no run end can be acknowledged.
+    const REDUNDANT_POLLS_PER_S_MAX: usize = 2_000;
     let mut emulator = deployment();
     submit_backlog(&mut emulator);
     emulator.run(ms(1_000));
@@ -79,5 +81,5 @@
     let before = emulator.redundant_polls;
     emulator.run(ms(4_000));
     let polls_per_s = (emulator.redundant_polls - before) / 4;
-    assert!(polls_per_s <= REPEATED_POLLS_PER_S, "{polls_per_s} polls a second");
+    assert!(polls_per_s <= REDUNDANT_POLLS_PER_S_MAX, "{polls_per_s} polls a second");
 }
--- a/crates/jobs/tests/scheduler.rs
+++ b/crates/jobs/tests/scheduler.rs
@@ -97,14 +97,14 @@
         end: RunEnd::Done,
         checkpoint: None,
     };
-    let incarnation = |started| PollResponse {
+    let poll_response_of = |started| PollResponse {
         clock: ms(1),
         started_unix: Some(ms(started)),
         ..PollResponse::default()
     };
-    let first = PollResponse { ended: vec![row(5, runs[0])], ..incarnation(1_000) };
+    let first = PollResponse { ended: vec![row(5, runs[0])], ..poll_response_of(1_000) };
     harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, first);
-    let second = PollResponse { ended: vec![row(1, runs[1])], ..incarnation(2_000) };
+    let second = PollResponse { ended: vec![row(1, runs[1])], ..poll_response_of(2_000) };
     harness.scheduler.handle_poll_response(0, false, harness.now, harness.now, second);
     assert_eq!(harness.scheduler.job(1).map(|job| job.state), Some(JobState::Completed));
 }
@@ -174,13 +174,13 @@
         harness.scheduler.handle_write_committed(&batch, harness.now);
     }
     let acknowledged = harness.scheduler.poll_request(0, false, harness.now).acknowledged;
-    assert!(acknowledged > 0, "none of 300 ends");
+    assert!(acknowledged > 0, "none of 300 run ends is acknowledged");
 }
 
 #[test]
 fn a_start_in_flight_to_a_new_incarnation_is_not_sent_to_another_worker() {
     let mut harness = SchedulerHarness::new(2, OwnerTerm::default());
-    let incarnation = |started| PollResponse {
+    let poll_response_of = |started| PollResponse {
         clock: ms(1),
         started_unix: Some(ms(started)),
         ..PollResponse::default()
@@ -191,7 +191,7 @@
             false,
             harness.now,
             harness.now,
-            incarnation(1_000),
+            poll_response_of(1_000),
         );
     }
     harness.submit(1, vec![step(1, 1, &[])]);
@@ -216,7 +216,7 @@
         false,
         harness.now,
         harness.now,
-        incarnation(2_000),
+        poll_response_of(2_000),
     );
     harness.now += ms(100);
     let commands = harness.scheduler.plan(Duration::ZERO, harness.now);
@@ -235,7 +235,7 @@
     let start = commands.into_iter().find(|command| matches!(command, Command::Start { .. }));
     let has_started =
         |harness: &SchedulerHarness| harness.scheduler.job(1).map(|job| job.has_started);
-    assert_eq!(has_started(&harness), Some(false), "the order is on its way");
+    assert_eq!(has_started(&harness), Some(false), "the start command is in flight");
     harness.execute(start.expect("a start"));
     assert_eq!(has_started(&harness), Some(true));
 }
@@ -269,13 +269,22 @@
     ($($started:ident, $not_started:ident: $spec:expr;)+) => {
         $(#[test] fn $started() {
             let commands = poll_after_an_unanswered_start($spec, true);
-            assert!(!commands.iter().any(|command| matches!(command, Command::Stop { .. })), "{commands:?}");
+            assert!(
+                !commands.iter().any(|command| matches!(command, Command::Stop { .. })),
+                "{commands:?}"
+            );
         }
 
         #[test] fn $not_started() {
             let commands = poll_after_an_unanswered_start($spec, false);
-            assert!(commands.iter().any(|command| matches!(command, Command::Stop { .. })), "{commands:?}");
-            assert!(!commands.iter().any(|command| matches!(command, Command::Start { .. })), "{commands:?}");
+            assert!(
+                commands.iter().any(|command| matches!(command, Command::Stop { .. })),
+                "{commands:?}"
+            );
+            assert!(
+                !commands.iter().any(|command| matches!(command, Command::Start { .. })),
+                "{commands:?}"
+            );
         })+
     };
 }
@@ -334,9 +343,13 @@
         }
         harness.now += ms(10);
     }
-    assert!(started[&2] < ms(200), "a job that came later starts at once: {:?}", started[&2]);
-    assert!(started[&3] < ms(200), "so does one that nobody has touched: {:?}", started[&3]);
-    assert!(started[&1] >= ms(6_000), "an earlier one waits for the lease: {:?}", started[&1]);
+    assert!(started[&2] < ms(200), "a job accepted later starts immediately: {:?}", started[&2]);
+    assert!(started[&3] < ms(200), "so does one whose start is not stored: {:?}", started[&3]);
+    assert!(
+        started[&1] >= ms(6_000),
+        "one whose start is stored waits for the lease: {:?}",
+        started[&1]
+    );
 }
 
 /// A harness in which a worker got a start command after its last poll response and then
@@ -356,8 +369,8 @@
     let slot = *harness.running.keys().next().expect("a run");
     let entry = |slot: usize| harness.scheduler.worker(slot).entry.clone();
     let started_unix = entry(slot).started_unix.map(|started| started + ms(500));
-    let restarted_worker = WorkerEntry { started_unix, ..entry(slot) };
-    let entries = vec![restarted_worker, entry(1 - slot)];
+    let restarted = WorkerEntry { started_unix, ..entry(slot) };
+    let entries = vec![restarted, entry(1 - slot)];
     harness.scheduler.set_workers(entries.clone(), harness.now);
     (harness, entries)
 }
--- a/crates/jobs/tests/service.rs
+++ b/crates/jobs/tests/service.rs
@@ -20,6 +20,7 @@
 
 const KEY: Option<&str> = Some("k1");
 
+/// Polls a condition every 20 ms for up to 8 s.
 async fn wait_until<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
     for _ in 0..400 {
         if let Some(found) = check().await {
@@ -27,9 +28,10 @@
         }
         tokio::time::sleep(ms(20)).await;
     }
-    panic!("not within 8 s: {what}");
+    panic!("timed out after 8 s waiting for: {what}");
 }
 
+/// A platform with a configuration and these workers in the store.
 async fn platform_with_workers(workers: usize) -> TestClients {
     let platform = TestClients::new(workers);
     platform.configure(1, &["k1"]).await;
@@ -45,6 +47,7 @@
     format!("/q/{id:016x}")
 }
 
+/// Submits a job of five tasks in two steps.
 async fn submit(platform: &TestClients, api: &JobApi<TestClients>, id: JobId) -> SubmitResponse {
     let record = job(vec![step(3, 1, &[]), step(2, 1, &[0])]);
     platform.workers.add_job(id, record.clone());
@@ -94,15 +97,15 @@
     tokio::time::sleep(ms(100)).await;
     let _strong = platform.client("strong").start_owner("strong");
     tokio::time::sleep(ms(600)).await;
-    let held = platform.store.get(OWNER_KEY).await.expect("store").expect("an owner");
-    assert!(held.value.starts_with(b"strong "), "{:?}", held.value);
+    let owner_record = platform.store.get(OWNER_KEY).await.expect("store").expect("an owner");
+    assert!(owner_record.value.starts_with(b"strong "), "{:?}", owner_record.value);
 }
 
 #[tokio::test]
 async fn an_instance_with_a_claim_delay_leaves_an_ownership_freed_during_an_outage_to_another() {
     let platform = platform_with_workers(1).await;
-    let held = Transaction::default().put(OWNER_KEY, "former 1", None);
-    platform.store.commit(held).await.expect("held");
+    let owner_record = Transaction::default().put(OWNER_KEY, "former 1", None);
+    platform.store.commit(owner_record).await.expect("held");
     let weak = platform.client("weak");
     let _weak = weak.start_delayed_owner("weak", ms(400));
     tokio::time::sleep(ms(500)).await;
@@ -113,8 +116,8 @@
     tokio::time::sleep(ms(200)).await;
     let _strong = platform.client("strong").start_owner("strong");
     tokio::time::sleep(ms(600)).await;
-    let held = platform.store.get(OWNER_KEY).await.expect("store").expect("an owner");
-    assert!(held.value.starts_with(b"strong "), "{:?}", held.value);
+    let owner_record = platform.store.get(OWNER_KEY).await.expect("store").expect("an owner");
+    assert!(owner_record.value.starts_with(b"strong "), "{:?}", owner_record.value);
 }
 
 #[tokio::test]
@@ -143,13 +146,13 @@
     let platform = platform_with_workers(2).await;
     let api = platform.api();
     wait_until_ready(&api).await;
-    let owned = platform.client("one");
-    let _owner = owned.start_owner("one");
+    let owner_clients = platform.client("one");
+    let _owner = owner_clients.start_owner("one");
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
     wait_until_completed(&api, 1).await;
     for id in 2..8 {
         assert_eq!(submit(&platform, &api, id).await, SubmitResponse::Accepted);
-        owned.store.faults().fail_writes(1, WriteFault::Late(ms(400)));
+        owner_clients.store.faults().fail_writes(1, WriteFault::Late(ms(400)));
         tokio::time::sleep(ms(30)).await;
     }
     for id in 2..8 {
@@ -170,16 +173,16 @@
     let platform = platform_with_workers(40).await;
     let api = platform.api();
     wait_until_ready(&api).await;
-    let owned = platform.client("one");
-    let _owner = owned.start_owner("one");
+    let owner_clients = platform.client("one");
+    let _owner = owner_clients.start_owner("one");
     tokio::time::sleep(ms(300)).await;
-    owned.store.faults().cut_off("one", Partition::Requests);
+    owner_clients.store.faults().cut_off("one", Partition::Requests);
     for id in 1..=MANY_JOBS {
         assert_eq!(submit(&platform, &api, id).await, SubmitResponse::Accepted);
     }
     let faults = [WriteFault::LostAnswer, WriteFault::Late(ms(300))];
-    owned.store.faults().plan_writes(faults.into_iter().cycle().take(8).map(Some));
-    owned.store.faults().reconnect("one");
+    owner_clients.store.faults().plan_writes(faults.into_iter().cycle().take(8).map(Some));
+    owner_clients.store.faults().reconnect("one");
     for id in 1..=MANY_JOBS {
         wait_until_completed(&api, id).await;
     }
@@ -188,9 +191,9 @@
         let text = String::from_utf8_lossy(&record.value).into_owned();
         assert!(text.contains("completed"), "{text}");
     }
-    let second = platform.store.get(&sequence_key(1)).await.expect("store").expect("a chain");
+    let second = platform.store.get(&sequence_key(1)).await.expect("store").expect("a write chain");
     let second = String::from_utf8_lossy(&second.value).into_owned();
-    assert!(!second.contains("\"number\":0"), "no write went beside another: {second}");
+    assert!(!second.contains("\"number\":0"), "no two writes were in flight together: {second}");
     let starts = platform.workers.starts.lock().expect("lock").clone();
     let tasks: std::collections::HashSet<_> = starts.iter().map(|(task, _)| *task).collect();
     assert_eq!((starts.len(), tasks.len()), (5 * MANY_JOBS as usize, 5 * MANY_JOBS as usize));
@@ -255,7 +258,7 @@
     wait_until_ready(&api).await;
     let _owner = platform.start_owner("one");
     assert_eq!(submit(&platform, &api, 1).await, SubmitResponse::Accepted);
-    wait_until("counted", async || {
+    wait_until("queue length", async || {
         (api.waiting_jobs(&call("/q/", KEY)).await == CountResponse::Waiting(1)).then_some(())
     })
     .await;
@@ -287,8 +290,8 @@
             let api = platform.api();
             wait_until_ready(&api).await;
             let spec = job(vec![step(1, 1, &[])]).spec;
-            let answer = api.submit(&call($path, $key), spec).await;
-            assert_eq!(answer, SubmitResponse::Denied($denial));
+            let response = api.submit(&call($path, $key), spec).await;
+            assert_eq!(response, SubmitResponse::Denied($denial));
         })+
     };
 }
@@ -304,8 +307,8 @@
 async fn an_api_without_configuration_denies_all_requests() {
     let api = TestClients::new(0).api();
     let spec = job(vec![step(1, 1, &[])]).spec;
-    let answer = api.submit(&call(&path(1), KEY), spec).await;
-    assert_eq!(answer, SubmitResponse::Denied(Denial::NoConfig));
+    let response = api.submit(&call(&path(1), KEY), spec).await;
+    assert_eq!(response, SubmitResponse::Denied(Denial::NoConfig));
 }
 
 #[tokio::test]
@@ -319,7 +322,8 @@
     let disconnected = || platform.workers.disconnected.lock().expect("lock").len();
     assert_eq!(disconnected(), 0);
     platform.remove_worker("w0").await;
-    wait_until("the lost worker", async || (disconnected() == 1).then_some(())).await;
+    wait_until("disconnection of the removed worker", async || (disconnected() == 1).then_some(()))
+        .await;
     owner.cancel();
-    wait_until("all workers", async || (disconnected() == 3).then_some(())).await;
+    wait_until("disconnection of all workers", async || (disconnected() == 3).then_some(())).await;
 }
--- a/crates/jobs/tests/writes.rs
+++ b/crates/jobs/tests/writes.rs
@@ -29,7 +29,7 @@
     let running = std::mem::take(&mut harness.running);
     for (slot, mut runs) in running {
         runs.sort_unstable();
-        let (ended, left): (Vec<_>, Vec<_>) =
+        let (ended, remaining): (Vec<_>, Vec<_>) =
             runs.into_iter().partition(|(task, _)| task.index == 0);
         let row = |(number, (task, run))| EndedRun {
             number,
@@ -39,7 +39,7 @@
             checkpoint: None,
         };
         let ended = (1..).zip(ended).map(row).collect();
-        harness.running.insert(slot, left);
+        harness.running.insert(slot, remaining);
         let poll = PollResponse { clock: harness.now, ended, ..PollResponse::default() };
         harness.scheduler.handle_poll_response(slot, false, harness.now, harness.now, poll);
     }
@@ -69,7 +69,11 @@
     let _ = harness.scheduler.plan(ms(0), harness.now);
     let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
     assert!((1..=JOBS).any(|job| contains_state(&batch, job)));
-    assert_eq!(harness.scheduler.write_urgency(), WriteUrgency::High, "more starts wait");
+    assert_eq!(
+        harness.scheduler.write_urgency(),
+        WriteUrgency::High,
+        "more starts wait for a write"
+    );
 }
 
 #[test]
@@ -102,7 +106,7 @@
 fn a_run_end_is_acknowledged_only_when_no_older_one_is_in_a_write_in_flight() {
     let mut harness = harness_with_run_ends_of(MANY_JOBS);
     let first = harness.scheduler.next_write_batch(harness.now).expect("a write");
-    let second = harness.scheduler.next_write_batch(harness.now).expect("another write beside it");
+    let second = harness.scheduler.next_write_batch(harness.now).expect("a second write in flight");
     harness.scheduler.handle_write_committed(&second, harness.now);
     assert_eq!(acknowledged(&mut harness), 0);
     harness.scheduler.handle_write_committed(&first, harness.now);
@@ -115,7 +119,7 @@
     let first = harness.scheduler.next_write_batch(harness.now).expect("a write");
     let job = (1..=MANY_JOBS).find(|job| contains_state(&first, *job)).expect("a state");
     harness.scheduler.cancel(job, harness.now);
-    let second = harness.scheduler.next_write_batch(harness.now).expect("another write beside it");
+    let second = harness.scheduler.next_write_batch(harness.now).expect("a second write in flight");
     assert!(!contains_state(&second, job));
     harness.scheduler.handle_write_committed(&first, harness.now);
     let third = harness.scheduler.next_write_batch(harness.now).expect("a write");
