--- a/crates/jobs/src/clients.rs
+++ b/crates/jobs/src/clients.rs
@@ -1,4 +1,4 @@
-//! What the scheduler asks of workers, machines and the placement policy.
+//! Clients through which the scheduler calls workers, machines and the placement policy.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -10,41 +10,43 @@
 use crate::cluster::{Machine, WaveNumber, WorkerId};
 use crate::spec::{RunNumber, StepId, TaskId};
 
-/// A number that rises from owner to owner; a worker obeys none below the highest it has seen.
+/// Fencing token of an owner. Each owner's token is higher than the one before, and a worker
+/// rejects requests with a lower token than the highest that it has seen.
 pub type FencingToken = u64;
 
-/// The life of a worker that a call is meant for.
+/// The worker incarnation that a request is meant for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerAddress {
     /// The worker.
     pub id: WorkerId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
 }
 
-/// A look at what runs on a worker, which also extends the lease of all that runs there.
+/// Polls a worker for its runs, and extends the lease of all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PollRequest {
-    /// The owner's token.
+    /// Fencing token of the owner.
     pub token: FencingToken,
-    /// Number up to which ended runs are stored and may be forgotten.
+    /// Highest number of an ended run that the owner has stored; the worker may drop ended runs up
+    /// to it.
     pub acknowledged: u64,
-    /// Until when everything there may run, on the worker's clock; `None` extends nothing.
+    /// End of the lease of all runs on the worker, on the worker's clock; `None` doesn't extend it.
     pub lease_until: Option<Duration>,
-    /// How long the worker may wait for a run to end before it answers.
+    /// How long the worker may wait for a run to end before it responds.
     pub wait: Duration,
 }
 
-/// Answer to a look.
+/// Response to a poll.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PollResponse {
-    /// The worker's clock.
+    /// Reading of the worker's clock.
     pub clock: Duration,
-    /// Start of the worker's life in Unix time.
+    /// Start of the worker's incarnation in Unix time.
     pub started_unix: Option<Duration>,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<RunningRun>,
-    /// What has ended and was not acknowledged, in order of number.
+    /// Ended runs that are not acknowledged, in order of their number.
     pub ended: Vec<EndedRun>,
 }
 
@@ -57,17 +59,17 @@
     pub run: RunNumber,
     /// Its last checkpoint.
     pub checkpoint: Option<Arc<str>>,
-    /// How far it is; a long-running task is available at 100.
+    /// Progress in percent; a long-running task is available at 100.
     pub percent: u8,
-    /// Tail latency in milliseconds of a task that serves users, else the processor time in use
-    /// in thousandths of a core.
+    /// Tail latency in milliseconds of a task that serves users; CPU usage in thousandths of a core
+    /// of any other task.
     pub load_metric: u32,
 }
 
 /// A run that has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedRun {
-    /// Number of the end, which rises within the worker's life.
+    /// Number of the end, ascending within the worker's incarnation.
     pub number: u64,
     /// The task.
     pub task: TaskId,
@@ -82,13 +84,13 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It did its work.
+    /// It succeeded.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, because of the task or the worker.
     Failed,
     /// It was stopped.
     Stopped,
-    /// Its lease ended.
+    /// Its lease expired.
     Expired,
     /// Another member of its gang ended.
     Broken,
@@ -96,83 +98,83 @@
     Alone,
 }
 
-/// An order to run a task.
+/// Request to start a run of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartRequest {
-    /// The owner's token.
+    /// Fencing token of the owner.
     pub token: FencingToken,
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: RunNumber,
-    /// Text of the job.
+    /// Payload of the job.
     pub payload: Arc<str>,
     /// Checkpoint to resume from.
     pub checkpoint: Option<Arc<str>>,
-    /// Until when everything on the worker may run, on the worker's clock.
+    /// End of the lease of all runs on the worker, on the worker's clock.
     pub lease_until: Duration,
-    /// Ticket of the placement policy.
+    /// Proof of the placement policy's permission, see [`Ticket`].
     pub ticket: Option<Arc<str>>,
 }
 
-/// Answer to an order.
+/// Outcome of a command to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It was carried out.
+    /// The worker carried it out.
     Accepted,
-    /// Nothing was done, for this reason.
+    /// The worker refused it.
     Refused(Refusal),
-    /// Nothing was sent.
+    /// It was not sent.
     NotSent,
-    /// No answer came; the order may be carried out now or later.
+    /// No response was received; the worker may have carried it out, or may still do so.
     Unknown,
 }
 
-/// Why a worker did nothing.
+/// Why a worker refused a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a higher token.
+    /// The worker has seen a higher token.
     Fenced,
-    /// A run with this number or a higher one has ended there.
+    /// A run with this number or a higher one has ended on the worker.
     Outdated,
-    /// The lease in the order was over.
+    /// The lease in the command had expired.
     TooLate,
-    /// It has no room.
+    /// The worker lacks free capacity.
     NoRoom,
     /// The ticket is missing or no longer valid.
     NoTicket,
-    /// It is unwell.
+    /// The worker is unhealthy.
     Unhealthy,
-    /// Another life answers at this address.
+    /// Another incarnation listens at this address.
     OtherLife,
-    /// The order could not be understood.
+    /// The worker could not parse the command.
     Malformed,
 }
 
-/// Why a look brought nothing.
+/// Why a poll failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PollError {
-    /// Another life answers at this address.
-    #[error("another worker answers at this address")]
+    /// Another incarnation responds at this address.
+    #[error("another worker incarnation responds at this address")]
     OtherLife,
     /// The worker has seen a higher token.
-    #[error("the worker obeys a later owner")]
+    #[error("the worker has seen a higher fencing token")]
     Fenced,
-    /// No usable answer came.
-    #[error("no answer: {0}")]
+    /// No valid response was received.
+    #[error("no valid response: {0}")]
     NoAnswer(Arc<str>),
 }
 
-/// Calls to workers.
+/// Client of the workers.
 pub trait WorkerClient: Clone + Send + Sync + 'static {
-    /// Looks at what runs on a worker.
+    /// Polls a worker for its runs.
     fn poll(
         &self,
         worker: &WorkerAddress,
         request: PollRequest,
     ) -> impl Future<Output = Result<PollResponse, PollError>> + Send;
 
-    /// Starts tasks; the outcomes come in the order of the requests, one for each.
+    /// Starts runs; returns one outcome for each request, in the same order.
     fn start(
         &self,
         worker: &WorkerAddress,
@@ -188,7 +190,7 @@
         token: FencingToken,
     ) -> impl Future<Output = CommandOutcome> + Send;
 
-    /// Lets a run work at a share of its speed, in percent.
+    /// Limits a run to a share of its full speed, in percent.
     fn throttle(
         &self,
         worker: &WorkerAddress,
@@ -198,31 +200,31 @@
         token: FencingToken,
     ) -> impl Future<Output = CommandOutcome> + Send;
 
-    /// Forgets the connections to a worker that is gone.
+    /// Closes the connections to a worker incarnation that has ended.
     fn forget(&self, worker: &WorkerAddress);
 }
 
-/// Permission of the placement policy to run a step on a worker.
+/// The placement policy's permission to run a step on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
     /// The worker.
     pub worker: WorkerId,
-    /// Proof for the worker.
+    /// Proof of the permission, which the worker checks.
     pub proof: Arc<str>,
 }
 
-/// Answer of the placement policy.
+/// Response of the placement policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PolicyResponse {
-    /// Workers that may run the step.
+    /// Tickets of the workers that may run the step.
     pub tickets: Vec<Ticket>,
     /// How long the tickets are valid.
     pub valid_for: Duration,
 }
 
-/// Questions to the placement policy.
+/// Client of the placement policy.
 pub trait PolicyClient: Clone + Send + Sync + 'static {
-    /// Asks which of some workers may run a step; `None` where no answer came.
+    /// Asks which of the given workers may run a step; `None` if no valid response was received.
     fn request_tickets(
         &self,
         step: StepId,
@@ -230,24 +232,24 @@
     ) -> impl Future<Output = Option<PolicyResponse>> + Send;
 }
 
-/// Answer to an order to a machine.
+/// Outcome of a command to a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineOutcome {
-    /// It was carried out, now or before.
+    /// It was carried out, now or earlier.
     Accepted,
-    /// The machine is not up or is leaving.
+    /// Nothing was done: the machine is not up or is leaving, or too many commands were sent.
     Busy,
-    /// Another owner has used a higher token.
+    /// Another owner has used a higher fencing token.
     Fenced,
-    /// The order does not fit the machine.
+    /// The command doesn't apply to the machine.
     Refused,
-    /// It may have been carried out, or too many orders were sent.
+    /// It may have been carried out.
     Unknown,
 }
 
-/// Calls to the machines of the fleet.
+/// Client of the machine control API.
 pub trait MachineClient: Clone + Send + Sync + 'static {
-    /// Lists all machines; `None` where no answer came.
+    /// Lists all machines; `None` if no valid response was received.
     fn list(&self) -> impl Future<Output = Option<Vec<Machine>>> + Send;
 
     /// Moves a machine to another service.
@@ -258,7 +260,7 @@
         token: FencingToken,
     ) -> impl Future<Output = MachineOutcome> + Send;
 
-    /// Maintains a machine of a wave.
+    /// Takes a machine down for the maintenance of a wave.
     fn maintain(
         &self,
         machine: InstanceId,
--- a/crates/jobs/src/desired_state.rs
+++ b/crates/jobs/src/desired_state.rs
@@ -1,4 +1,5 @@
-//! What the operator wants, followed in the store.
+//! The configuration, evacuations and maintenance waves that the operator wants, as watched in the
+//! store.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -15,42 +16,43 @@
 use crate::outage::OutageLog;
 use crate::platform_clients::{Formats, OperatorItem, PlatformClients};
 
-/// Time between two attempts to reach the store.
-const RETRY: Duration = Duration::from_millis(150);
+/// Delay before the keys are listed and watched again after an error.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::view";
 
-/// What the operator wants, as of one revision.
+/// What the operator wants, as of one store revision.
 #[derive(Debug, Clone, Default)]
 pub struct DesiredState {
     /// The configuration; `None` before the first one is known.
     pub config: Option<Arc<ClusterConfig>>,
     /// Revision of the configuration's key.
     pub config_revision: Revision,
-    /// Zones to which nothing may be sent.
+    /// Availability zones that must not be sent any work.
     pub evacuated: HashSet<ZoneId>,
-    /// Waves of maintenance.
+    /// Maintenance waves.
     pub waves: Vec<Wave>,
-    /// When the store last answered.
+    /// Time at which the store last confirmed this state.
     pub confirmed: Moment,
 }
 
-/// Publishes the view, and takes in configurations that are found elsewhere.
+/// Publishes the desired state.
 #[derive(Debug, Clone)]
 pub struct DesiredStateSender(watch::Sender<Arc<DesiredState>>);
 
 impl DesiredStateSender {
-    /// A sender with an empty view, and a first receiver.
+    /// A sender with an empty state, and its first receiver.
     pub fn new() -> (Self, watch::Receiver<Arc<DesiredState>>) {
         let (sender, receiver) = watch::channel(Arc::default());
         (Self(sender), receiver)
     }
 
-    /// Takes over a configuration unless a newer one is in force.
+    /// Publishes a configuration, unless a newer one is known.
     pub fn apply_config(&self, config: ClusterConfig, revision: Revision) {
         self.0.send_if_modified(|desired_state| {
-            let held = desired_state.config.as_ref().map_or(0, |held| held.version);
-            if revision <= desired_state.config_revision || config.version < held {
+            let current_version =
+                desired_state.config.as_ref().map_or(0, |current| current.version);
+            if revision <= desired_state.config_revision || config.version < current_version {
                 return false;
             }
             emit!(
@@ -67,16 +69,16 @@
         });
     }
 
-    fn change(&self, change: impl FnOnce(&mut DesiredState)) {
+    fn update(&self, update: impl FnOnce(&mut DesiredState)) {
         self.0.send_modify(|desired_state| {
             let mut next = DesiredState::clone(desired_state);
-            change(&mut next);
+            update(&mut next);
             *desired_state = Arc::new(next);
         });
     }
 }
 
-/// Follows the operator's keys until it is dropped.
+/// Watches the operator's keys and publishes their state, until the future is dropped.
 pub async fn follow<S: PlatformClients>(platform: S, sender: DesiredStateSender) {
     let mut items: BTreeMap<Arc<str>, OperatorItem> = BTreeMap::new();
     let mut outage = OutageLog::new("operator's view");
@@ -84,7 +86,7 @@
         if let Err(error) = follow_once(&platform, &sender, &mut items, &mut outage).await {
             outage.record_failure(&error);
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
@@ -94,29 +96,29 @@
     items: &mut BTreeMap<Arc<str>, OperatorItem>,
     outage: &mut OutageLog,
 ) -> Result<(), StoreError> {
-    let asked = since_boot();
+    let requested_at = since_boot();
     let snapshot = platform.store().list(S::Formats::OPERATOR_PREFIX).await?;
     outage.record_success();
     items.clear();
     for record in &snapshot.records {
-        take_in(platform, sender, items, record);
+        apply_record(platform, sender, items, record);
     }
-    publish(sender, items, asked);
+    publish(sender, items, requested_at);
     let mut changes =
         platform.store().watch(S::Formats::OPERATOR_PREFIX, snapshot.revision).await?;
     loop {
-        let asked = since_boot();
+        let requested_at = since_boot();
         for change in changes.next().await? {
             match &change.record {
-                Some(record) => take_in(platform, sender, items, record),
+                Some(record) => apply_record(platform, sender, items, record),
                 None => drop(items.remove(&change.key)),
             }
         }
-        publish(sender, items, asked);
+        publish(sender, items, requested_at);
     }
 }
 
-fn take_in<S: PlatformClients>(
+fn apply_record<S: PlatformClients>(
     platform: &S,
     sender: &DesiredStateSender,
     items: &mut BTreeMap<Arc<str>, OperatorItem>,
@@ -131,7 +133,11 @@
     }
 }
 
-fn publish(sender: &DesiredStateSender, items: &BTreeMap<Arc<str>, OperatorItem>, asked: Moment) {
+fn publish(
+    sender: &DesiredStateSender,
+    items: &BTreeMap<Arc<str>, OperatorItem>,
+    requested_at: Moment,
+) {
     let mut evacuated = HashSet::new();
     let mut waves = Vec::new();
     for item in items.values() {
@@ -141,9 +147,9 @@
             OperatorItem::Config(_) | OperatorItem::Other => {}
         }
     }
-    sender.change(|desired_state| {
+    sender.update(|desired_state| {
         desired_state.evacuated = evacuated;
         desired_state.waves = waves;
-        desired_state.confirmed = asked;
+        desired_state.confirmed = requested_at;
     });
 }
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! A job in the owner's memory: which tasks wait, run and are done.
+//! The owner's state of a job: its occurrences, steps and tasks.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
     JobId, OccurrenceNumber, RunNumber, StepId, StepNumber, StepSpec, TaskId, TaskNumber,
 };
 
-/// Position of a worker's life in the owner's list.
+/// Index of a worker incarnation in the owner's list.
 pub type WorkerSlot = usize;
 
 /// An accepted job.
@@ -22,52 +22,52 @@
     pub id: JobId,
     /// The job as accepted.
     pub record: Arc<JobRecord>,
-    /// Revision at which it was accepted.
+    /// Store revision at which it was accepted.
     pub accepted_revision: Revision,
     /// When the owner first saw it.
     pub first_seen: Moment,
-    /// What it has come to.
+    /// State of the job.
     pub state: JobState,
-    /// Whether a worker has begun some task.
+    /// Whether some task has started on a worker.
     pub has_started: bool,
-    /// Whether the store says that tasks may have been started. None is before it does, so that
-    /// a later owner can tell which jobs nobody has touched.
+    /// Whether the store says that tasks may have started. No task starts before it does, so that a
+    /// later owner can tell which jobs have no runs yet.
     pub is_start_stored: bool,
-    /// Whether nothing of it can have been started before this tenure.
+    /// Whether no run of it can have been started before this owner's term.
     pub has_no_prior_runs: bool,
-    /// Whether its team had sent more than its weight allows when the job came.
+    /// Whether its team had exceeded its share, by its weight, when the job was accepted.
     pub exceeds_share: bool,
-    /// What its ready tasks have waited for.
+    /// Delays of its ready tasks, by cause.
     pub delays: Delays,
-    /// Repetitions that were due and have not ended.
+    /// Occurrences that were due and have not ended.
     pub occurrences: BTreeMap<OccurrenceNumber, Occurrence>,
-    /// Repetitions that have ended.
+    /// Occurrences that have ended.
     pub ended: Vec<OccurrenceNumber>,
 }
 
-/// One repetition of a job's steps.
+/// One occurrence of a job: a repetition of its steps.
 #[derive(Debug)]
 pub struct Occurrence {
-    /// When its tasks could first start.
+    /// When its first steps became due.
     pub due: Moment,
     /// Its steps.
     pub steps: Vec<Step>,
-    /// Longest chain of estimated run times of all its steps.
+    /// Critical path by the estimated run times, over all steps.
     pub critical_path: Duration,
-    /// Longest such chain of the steps that are not done.
+    /// Critical path over the steps that are not done.
     pub critical_path_left: Duration,
     /// Estimated work that is not done, in core-seconds.
     pub work_left: f64,
 }
 
-/// A step of a repetition.
+/// A step of an occurrence.
 #[derive(Debug)]
 pub struct Step {
     /// Its tasks.
     pub tasks: Vec<Task>,
     /// Number of tasks that are done.
     pub done: u32,
-    /// Whether all earlier steps that it waits for are done.
+    /// Whether all steps that it depends on are done.
     pub is_ready: bool,
     /// When it became ready.
     pub ready_since: Moment,
@@ -78,36 +78,36 @@
 pub struct Task {
     /// Whether it is done.
     pub is_done: bool,
-    /// Workers on which a run of it is ordered, in progress or being stopped.
+    /// Workers on which a run of it is starting, in progress or being stopped.
     pub active_runs: Vec<WorkerSlot>,
-    /// Number of its last run.
+    /// Number of its latest run.
     pub last_run: RunNumber,
-    /// Runs that failed.
+    /// Runs of it that failed.
     pub failed_runs: Vec<RunNumber>,
     /// Last checkpoint.
     pub checkpoint: Option<Arc<str>>,
-    /// Workers to avoid, since it failed or was refused there.
+    /// Workers on which it failed or was refused.
     pub avoided_workers: Vec<WorkerSlot>,
-    /// When it may be started at the earliest.
+    /// Earliest time of its next start.
     pub earliest_start: Moment,
     /// When its last run ended.
     pub last_ended: Option<Moment>,
 }
 
 impl Task {
-    /// Whether it has neither ended nor any run in progress.
+    /// Whether it is neither done nor has an active run.
     pub fn is_waiting(&self) -> bool {
         !self.is_done && self.active_runs.is_empty()
     }
 
-    /// Whether there is anything to keep about it.
-    fn has_history(&self) -> bool {
+    /// Whether it has state to store.
+    fn has_stored_state(&self) -> bool {
         self.is_done || self.last_run > 0 || !self.failed_runs.is_empty()
     }
 }
 
 impl Job {
-    /// A job as read from the store, with its state where one was stored.
+    /// A job as read from the store, with its stored state if there is one.
     pub fn new(
         id: JobId,
         record: JobRecord,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Whether the job still has work to do.
+    /// Whether the job has not ended.
     pub fn is_live(&self) -> bool {
         !self.state.is_final()
     }
@@ -142,7 +142,7 @@
         self.state == JobState::Running && !self.is_start_stored
     }
 
-    /// Begins a repetition, with what the store holds of its tasks.
+    /// Starts an occurrence, with the stored state of its tasks.
     pub fn start_occurrence(
         &mut self,
         number: OccurrenceNumber,
@@ -153,13 +153,13 @@
         if self.ended.contains(&number) || self.occurrences.contains_key(&number) {
             return;
         }
-        let make = |step: &StepSpec| Step {
+        let new_step = |step: &StepSpec| Step {
             tasks: vec![Task { last_run: run_number_base, ..Task::default() }; step.tasks as usize],
             done: 0,
             is_ready: false,
             ready_since: now,
         };
-        let steps = self.record.spec.steps.iter().map(make).collect();
+        let steps = self.record.spec.steps.iter().map(new_step).collect();
         let mut occurrence = Occurrence {
             due: now,
             steps,
@@ -181,16 +181,16 @@
         self.occurrences.insert(number, occurrence);
     }
 
-    /// Marks the steps whose predecessors are done as ready and returns them.
+    /// Marks the steps as ready whose dependencies are done, and returns them.
     pub fn ready_steps(&mut self, number: OccurrenceNumber, now: Moment) -> Vec<StepId> {
         let Some(occurrence) = self.occurrences.get_mut(&number) else { return Vec::new() };
         let done: Vec<bool> = occurrence.steps.iter().map(Step::is_done).collect();
         let mut ready = Vec::new();
         let specs = self.record.spec.steps.iter();
         for (position, (step, spec)) in occurrence.steps.iter_mut().zip(specs).enumerate() {
-            let free =
+            let is_unblocked =
                 spec.after.iter().all(|earlier| done.get(usize::from(*earlier)) == Some(&true));
-            if step.is_ready || !free {
+            if step.is_ready || !is_unblocked {
                 continue;
             }
             step.is_ready = true;
@@ -206,7 +206,7 @@
         self.step(id.step)?.tasks.get(id.index as usize)
     }
 
-    /// A task, to be changed.
+    /// A task, mutable.
     pub fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
         self.step_mut(id.step)?.tasks.get_mut(id.index as usize)
     }
@@ -216,31 +216,31 @@
         self.occurrences.get(&id.occurrence)?.steps.get(usize::from(id.step))
     }
 
-    /// A step, to be changed.
+    /// A step, mutable.
     pub fn step_mut(&mut self, id: StepId) -> Option<&mut Step> {
         self.occurrences.get_mut(&id.occurrence)?.steps.get_mut(usize::from(id.step))
     }
 
-    /// Works out anew what is left of a repetition.
+    /// Recomputes the remaining work and critical path of an occurrence.
     pub fn update_remaining(&mut self, number: OccurrenceNumber) {
         if let Some(occurrence) = self.occurrences.get_mut(&number) {
             occurrence.update_remaining(&self.record.spec.steps);
         }
     }
 
-    /// Estimated work of a repetition that is not done, in core-seconds.
+    /// Estimated remaining work of an occurrence, in core-seconds.
     pub fn work_left(&self, number: OccurrenceNumber) -> f64 {
         self.occurrences.get(&number).map_or(0.0, |occurrence| occurrence.work_left)
     }
 
-    /// What was submitted for a step.
+    /// A step as submitted.
     pub fn spec(&self, step: StepNumber) -> Option<&StepSpec> {
         self.record.spec.steps.get(usize::from(step))
     }
 
-    /// Runs of its tasks that are ordered, in progress or being stopped.
+    /// Runs of its tasks that are starting, in progress or being stopped.
     ///
-    /// Those of a repetition that has ended are not among them: they were ordered to end then.
+    /// Runs of ended occurrences are left out: they were stopped when the occurrence ended.
     pub fn active_runs(&self) -> Vec<(WorkerSlot, TaskId)> {
         let mut active_runs = Vec::new();
         for (occurrence, contents) in &self.occurrences {
@@ -255,12 +255,12 @@
         active_runs
     }
 
-    /// The job's state as it shall lie in the store.
+    /// The job's state as it is stored.
     pub fn to_state_record(&self) -> StateRecord {
         let mut tasks = Vec::new();
         if self.is_live() {
             for (occurrence, contents) in &self.occurrences {
-                contents.collect(*occurrence, &mut tasks);
+                contents.collect_task_records(*occurrence, &mut tasks);
             }
         }
         StateRecord {
@@ -273,26 +273,28 @@
 }
 
 impl Occurrence {
-    /// Works out what is left of it, after tasks of its steps have ended as done.
+    /// Recomputes the remaining work and critical path, after tasks became done.
     pub fn update_remaining(&mut self, specs: &[StepSpec]) {
         self.critical_path = self.longest_path(specs, true);
         self.critical_path_left = self.longest_path(specs, false);
-        let each = self.steps.iter().zip(specs).map(|(step, spec)| {
-            let open = spec.tasks.saturating_sub(step.done);
+        let step_work = self.steps.iter().zip(specs).map(|(step, spec)| {
+            let tasks_left = spec.tasks.saturating_sub(step.done);
             let cores = f64::from(spec.task_resources.processors_milli) / 1_000.0;
-            f64::from(open) * cores * spec.estimate.as_secs_f64()
+            f64::from(tasks_left) * cores * spec.estimate.as_secs_f64()
         });
-        self.work_left = each.sum();
+        self.work_left = step_work.sum();
     }
 
-    /// The longest chain of estimated run times; of all steps, or of those that are not done.
+    /// Critical path by the estimated run times; over all steps, or over those that are not done.
     fn longest_path(&self, specs: &[StepSpec], with_done: bool) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for (step, spec) in self.steps.iter().zip(specs) {
-            let begins = spec.after.iter().filter_map(|earlier| ends.get(usize::from(*earlier)));
-            let begin = begins.max().copied().unwrap_or_default();
-            let own = if step.is_done() && !with_done { Duration::ZERO } else { spec.estimate };
-            ends.push(begin + own);
+            let dependency_ends =
+                spec.after.iter().filter_map(|earlier| ends.get(usize::from(*earlier)));
+            let start = dependency_ends.max().copied().unwrap_or_default();
+            let duration =
+                if step.is_done() && !with_done { Duration::ZERO } else { spec.estimate };
+            ends.push(start + duration);
         }
         ends.into_iter().max().unwrap_or_default()
     }
@@ -302,10 +304,10 @@
         self.steps.iter().all(Step::is_done)
     }
 
-    fn collect(&self, occurrence: OccurrenceNumber, rows: &mut Vec<TaskRecord>) {
+    fn collect_task_records(&self, occurrence: OccurrenceNumber, rows: &mut Vec<TaskRecord>) {
         for (step, contents) in self.steps.iter().enumerate() {
             for (index, task) in contents.tasks.iter().enumerate() {
-                if !task.has_history() {
+                if !task.has_stored_state() {
                     continue;
                 }
                 rows.push(TaskRecord {
--- a/crates/jobs/src/platform_clients.rs
+++ b/crates/jobs/src/platform_clients.rs
@@ -1,4 +1,4 @@
-//! The platform as one bundle of clients and formats.
+//! Clients of the platform, and the formats of its records.
 
 use std::sync::Arc;
 
@@ -8,64 +8,64 @@
 use crate::clients::{MachineClient, PolicyClient, WorkerClient};
 use crate::cluster::{ClusterConfig, Wave, WaveNumber, WorkerEntry};
 
-/// What the operator has written under one key.
+/// What the operator has written under a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorItem {
     /// The configuration.
     Config(Box<ClusterConfig>),
-    /// A zone to which nothing may be sent.
+    /// A zone that must not be sent any work.
     Evacuation(ZoneId),
-    /// A wave of maintenance.
+    /// A maintenance wave.
     Wave(Wave),
-    /// Something else.
+    /// Any other item.
     Other,
 }
 
-/// Why an item of the operator or of a worker cannot be used.
+/// Error of an item of the operator or of a worker that can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ItemError(pub Arc<str>);
 
-/// Formats of what others write to the store and read from it.
+/// Formats of the store records that are shared with the operator and the workers.
 pub trait Formats: Clone + Send + Sync + 'static {
-    /// Start of the operator's keys.
+    /// Prefix of the operator's keys.
     const OPERATOR_PREFIX: &'static str;
     /// Key of the configuration.
     const CONFIG_KEY: &'static str;
-    /// Start of the keys under which workers report themselves.
+    /// Prefix of the keys of the workers' entries.
     const WORKERS_PREFIX: &'static str;
 
-    /// Reads an item of the operator.
+    /// Decodes an item of the operator.
     fn operator_item(&self, record: &Record) -> Result<OperatorItem, ItemError>;
 
-    /// Reads a worker's report of itself.
+    /// Decodes a worker's entry.
     fn worker_entry(&self, record: &Record) -> Result<WorkerEntry, ItemError>;
 
-    /// Key and value that tell the operator how far a wave is.
+    /// Key and value that report the progress of a wave to the operator.
     fn wave_status(&self, number: WaveNumber, is_complete: bool) -> (Arc<str>, Vec<u8>);
 }
 
-/// Everything that the platform gives.
+/// Clients of the platform.
 pub trait PlatformClients: Clone + Send + Sync + 'static {
     /// Client of the store.
     type Store: TransactionalStore;
-    /// Calls to workers.
+    /// Client of the workers.
     type WorkerClient: WorkerClient;
-    /// Calls to machines.
+    /// Client of the machine control API.
     type MachineClient: MachineClient;
-    /// Questions to the placement policy.
+    /// Client of the placement policy.
     type PolicyClient: PolicyClient;
-    /// Formats of what others write.
+    /// Formats of shared records.
     type Formats: Formats;
 
-    /// The store.
+    /// Client of the store.
     fn store(&self) -> &Self::Store;
-    /// The workers.
+    /// Client of the workers.
     fn workers(&self) -> &Self::WorkerClient;
-    /// The machines.
+    /// Client of the machine control API.
     fn machines(&self) -> &Self::MachineClient;
-    /// The placement policy.
+    /// Client of the placement policy.
     fn policy(&self) -> &Self::PolicyClient;
-    /// The formats.
+    /// Formats of shared records.
     fn formats(&self) -> &Self::Formats;
 }
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -1,17 +1,17 @@
-//! Records of jobs as they lie in the store.
+//! Records of jobs in the store, and their keys.
 //!
 //! | key | written by | holds |
 //! |---|---|---|
 //! | `cassiafold/in/j/JOB` | the entry instance that accepted the job | the job; never changed |
-//! | `cassiafold/in/c/JOB` | the entry instance that took the cancel | nothing |
-//! | `cassiafold/state/JOB` | the owner | how far the job is |
+//! | `cassiafold/in/c/JOB` | the entry instance that accepted the cancellation | nothing |
+//! | `cassiafold/state/JOB` | the owner | state of the job |
 //! | `cassiafold/owner` | the owner, under its lease | name of its instance |
-//! | `cassiafold/sequence` | the owner | number of its last write, so that none is applied late |
-//! | `cassiafold/sequence/CHAIN` | the owner | the same for each further chain of writes |
-//! | `cassiafold/workers/SHARD` | the owner | workers that were given tasks, in parts |
-//! | `cassiafold/waves` | the owner | machines whose maintenance has begun, by wave |
-//! | `cassiafold/ordered` | the owner | machines that were ordered lately, with who ordered them |
-//! | `cassiafold/waiting` | the owner | jobs that wait, by queue |
+//! | `cassiafold/sequence` | the owner | number of its last write, so that no late write is applied |
+//! | `cassiafold/sequence/CHAIN` | the owner | the same for each further write chain |
+//! | `cassiafold/workers/SHARD` | the owner | workers that were given tasks, by shard |
+//! | `cassiafold/waves` | the owner | machines whose maintenance has started, by wave |
+//! | `cassiafold/ordered` | the owner | machines that were sent a command recently, and the instance that sent it |
+//! | `cassiafold/waiting` | the owner | number of waiting jobs, by queue |
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,48 +27,48 @@
     TaskNumber,
 };
 
-/// Number of a chain of the owner's writes. Those of one chain follow one another.
+/// Number of a write chain of the owner: a sequence of writes, each conditional on the one before.
 pub type ChainNumber = usize;
 
-/// Chains of writes.
+/// Number of write chains.
 pub const WRITE_CHAINS: usize = 6;
-/// The chain that also carries what is not a state of a job.
+/// The write chain that also writes everything other than job states.
 pub const FIRST_WRITE_CHAIN: ChainNumber = 0;
 
-/// Start of the keys of accepted jobs and of their cancels.
+/// Prefix of the keys of accepted jobs and of their cancellations.
 pub const INBOX_PREFIX: &str = "cassiafold/in/";
-/// Start of the keys of accepted jobs.
+/// Prefix of the keys of accepted jobs.
 pub const JOB_PREFIX: &str = "cassiafold/in/j/";
-/// Start of the keys of cancels.
+/// Prefix of the keys of cancellations.
 pub const CANCEL_PREFIX: &str = "cassiafold/in/c/";
-/// Start of the keys of states.
+/// Prefix of the keys of job states.
 pub const STATE_PREFIX: &str = "cassiafold/state/";
-/// Key of the owner.
+/// Key that the owner holds.
 pub const OWNER_KEY: &str = "cassiafold/owner";
-/// Key of the number of the last write in the owner's first chain of writes.
+/// Key of the sequence number of the last write in the owner's first write chain.
 pub const SEQUENCE_KEY: &str = "cassiafold/sequence";
-/// Start of the keys of the workers that were given tasks.
+/// Prefix of the keys of the workers that were given tasks.
 pub const WORKERS_PREFIX: &str = "cassiafold/workers/";
-/// Key of the machines whose maintenance has begun.
+/// Key of the machines whose maintenance has started.
 pub const WAVES_KEY: &str = "cassiafold/waves";
-/// Key of the machines that were ordered lately.
+/// Key of the machines that were sent a command recently.
 pub const COMMANDED_MACHINES_KEY: &str = "cassiafold/ordered";
-/// Key of the jobs that wait.
+/// Key of the number of waiting jobs.
 pub const WAITING_KEY: &str = "cassiafold/waiting";
 
-/// Number of a part of the workers: few enough to be read at once, and many enough for a part to
-/// be written each time that a worker comes or goes.
+/// Shard of the worker records. The shards are few enough to be read at once, and small enough for
+/// one to be written each time that a worker is added or removed.
 pub type WorkerShard = u8;
 
-/// Parts into which the workers are divided.
+/// Number of shards of the worker records.
 const WORKER_SHARDS: WorkerShard = 64;
 
-/// The part to which a worker belongs.
+/// Shard of a worker.
 pub fn worker_shard(worker: &str) -> WorkerShard {
     blake3::hash(worker.as_bytes()).as_bytes()[0] % WORKER_SHARDS
 }
 
-/// Key of a part of the workers.
+/// Key of a shard of the worker records.
 pub fn workers_key(shard: WorkerShard) -> Arc<str> {
     format!("{WORKERS_PREFIX}{shard:02}").into()
 }
@@ -78,12 +78,12 @@
     format!("{JOB_PREFIX}{id:016x}").into()
 }
 
-/// Key of a job's cancel.
+/// Key of a job's cancellation.
 pub fn cancel_key(id: JobId) -> Arc<str> {
     format!("{CANCEL_PREFIX}{id:016x}").into()
 }
 
-/// Key of the number of a chain's last write.
+/// Key of the sequence number of a write chain's last write.
 pub fn sequence_key(chain: ChainNumber) -> Arc<str> {
     match chain {
         FIRST_WRITE_CHAIN => SEQUENCE_KEY.into(),
@@ -96,12 +96,12 @@
     format!("{STATE_PREFIX}{id:016x}").into()
 }
 
-/// The job whose key starts with `prefix`; `None` for another key.
+/// Job id of a key with `prefix`; `None` if the key has another form.
 pub fn parse_job_key(key: &str, prefix: &str) -> Option<JobId> {
     JobId::from_str_radix(key.strip_prefix(prefix)?, 16).ok()
 }
 
-/// Why a record cannot be read.
+/// Error of a record that can't be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed record: {0}")]
 pub struct RecordError(#[from] serde_json::Error);
@@ -111,15 +111,15 @@
 pub struct JobRecord {
     /// Queue to which it was submitted.
     pub queue: QueueId,
-    /// Service of the queue at that time.
+    /// Service of that queue at the time of submission.
     pub service: ServiceId,
-    /// Team of the caller, where the queue asks for a key.
+    /// Team of the caller, if the queue requires an API key.
     pub team: Option<TeamId>,
-    /// The job.
+    /// The job as submitted.
     pub spec: JobSpec,
 }
 
-/// What a job has come to.
+/// State of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
@@ -136,13 +136,13 @@
 }
 
 impl JobState {
-    /// Whether the state is final.
+    /// Whether a job in this state has ended.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
 
-/// How far a job is.
+/// Stored state of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateRecord {
     /// State of the job.
@@ -151,18 +151,18 @@
     /// Team of the job.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub team: Option<TeamId>,
-    /// Repetitions that have ended.
+    /// Occurrences that have ended.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<OccurrenceNumber>,
-    /// Tasks with a history, by repetition and step.
+    /// Tasks with a state to store, by occurrence and step.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub tasks: Vec<TaskRecord>,
 }
 
-/// What is known of one task that has run.
+/// Stored state of a task that has run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRecord {
-    /// The repetition.
+    /// The occurrence.
     #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
     pub occurrence: OccurrenceNumber,
     /// The step.
@@ -174,7 +174,7 @@
     /// Whether it is done.
     #[serde(rename = "d", default, skip_serializing_if = "std::ops::Not::not")]
     pub done: bool,
-    /// Number of the last run.
+    /// Number of its latest run.
     #[serde(rename = "r", default)]
     pub last_run: RunNumber,
     /// Runs that failed.
@@ -189,32 +189,32 @@
     *number == 0
 }
 
-/// Jobs that wait, by queue.
+/// Number of waiting jobs by queue.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingRecord {
-    /// Number of accepted jobs of which no task has started.
+    /// Accepted jobs of which no task has started.
     pub jobs: BTreeMap<QueueId, u32>,
-    /// Unix time of the count in milliseconds.
+    /// Unix time of the count, in milliseconds.
     #[serde(default)]
     pub counted_unix_ms: u64,
 }
 
-/// How far each wave of maintenance is.
+/// Progress of each maintenance wave.
 pub type WavesRecord = BTreeMap<WaveNumber, WaveRecord>;
 
-/// How far a wave of maintenance is.
+/// Progress of a maintenance wave.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveRecord {
     /// Unix time at which an owner first saw the wave, in milliseconds.
     pub since_unix_ms: u64,
-    /// Machines whose maintenance has begun.
+    /// Machines whose maintenance has started.
     pub begun: Vec<InstanceId>,
 }
 
-/// Machines that were ordered lately, with the instance that ordered them.
+/// Machines that were sent a command recently, with the instance that sent it.
 pub type CommandedMachinesRecord = BTreeMap<InstanceId, Arc<str>>;
 
-/// A worker that was given tasks.
+/// Stored record of a worker that was given tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRecord {
     /// The worker.
@@ -238,7 +238,7 @@
     }
 }
 
-/// The job record's form in the store.
+/// Stored form of a job record.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireJob {
     q: QueueId,
@@ -247,12 +247,12 @@
     t: Option<TeamId>,
     x: Arc<str>,
     st: Vec<WireStep>,
-    /// First time, interval, both in milliseconds, and number of repetitions.
+    /// First due time and interval, both in milliseconds, and number of occurrences.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     at: Option<(u64, u64, u32)>,
 }
 
-/// A step's form in the store.
+/// Stored form of a step.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 struct WireStep {
@@ -295,7 +295,7 @@
     *value == T::default()
 }
 
-fn millis(duration: Duration) -> u64 {
+fn as_ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -306,7 +306,7 @@
             cpu_milli: step.task_resources.processors_milli,
             mem_bytes: step.task_resources.memory_bytes,
             acc: step.task_resources.accelerators,
-            est_ms: millis(step.estimate),
+            est_ms: as_ms(step.estimate),
             after: step.after.clone(),
             checkpoints: step.checkpoints,
             gang: step.gang,
@@ -316,7 +316,7 @@
             per_worker_max: step.per_worker_max,
             speculative: step.speculative,
             long_running: step.long_running,
-            tail_ms: step.tail_target.map(millis),
+            tail_ms: step.tail_target.map(as_ms),
             opportunistic: step.opportunistic,
             unavailable_max: step.unavailable_max,
         }
@@ -350,10 +350,10 @@
 }
 
 impl JobRecord {
-    /// The record as bytes.
+    /// Encodes the record as JSON.
     pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
         let at = self.spec.schedule.map(|schedule| {
-            (millis(schedule.first_unix), millis(schedule.interval), schedule.occurrences)
+            (as_ms(schedule.first_unix), as_ms(schedule.interval), schedule.occurrences)
         });
         let wire = WireJob {
             q: self.queue.clone(),
@@ -384,7 +384,8 @@
 }
 
 impl StateRecord {
-    /// Whether some task has surely begun. One that was only about to be started has not.
+    /// Whether some task has certainly started. A task whose run may have been only commanded
+    /// doesn't count.
     pub fn has_started_task(&self) -> bool {
         let has_run = |task: &TaskRecord| {
             task.done || !task.failed_runs.is_empty() || task.checkpoint.is_some()
@@ -392,7 +393,7 @@
         self.state.is_final() || !self.ended.is_empty() || self.tasks.iter().any(has_run)
     }
 
-    /// The record as bytes.
+    /// Encodes the record as JSON.
     pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
         Ok(serde_json::to_vec(self)?)
     }
--- a/crates/jobs/src/spec.rs
+++ b/crates/jobs/src/spec.rs
@@ -1,4 +1,4 @@
-//! What callers submit: a job of steps, each of many equal tasks.
+//! Jobs as submitted by callers: steps, each of many equal tasks.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,21 +8,21 @@
 
 /// Identifies a job; chosen by its caller as 16 hexadecimal digits.
 pub type JobId = u64;
-/// Number of a repetition of a scheduled job, from 0. It is 0 for a job without a schedule.
+/// Number of an occurrence of a scheduled job, from 0. It is 0 for a job without a schedule.
 pub type OccurrenceNumber = u32;
-/// Position of a step within its job, from 0.
+/// Index of a step within its job, from 0.
 pub type StepNumber = u16;
-/// Position of a task within its step, from 0.
+/// Index of a task within its step, from 0.
 pub type TaskNumber = u32;
-/// Number of one attempt to run a task, from 1. It rises with each attempt.
+/// Number of a run, which is one attempt to execute a task; from 1, ascending per task.
 pub type RunNumber = u32;
 
-/// Identifies a step of one repetition of a job.
+/// Identifies a step of one occurrence of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// The repetition.
+    /// The occurrence.
     pub occurrence: OccurrenceNumber,
     /// The step.
     pub step: StepNumber,
@@ -33,7 +33,7 @@
 pub struct TaskId {
     /// Step of the task.
     pub step: StepId,
-    /// Position within the step.
+    /// Index within the step.
     pub index: TaskNumber,
 }
 
@@ -52,16 +52,16 @@
 /// A job as submitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobSpec {
-    /// Text that every task of the job is given.
+    /// Payload that every task of the job receives.
     pub payload: Arc<str>,
     /// Steps of the job.
     pub steps: Vec<StepSpec>,
-    /// When the steps are repeated; `None` for a job that runs once, at once.
+    /// When the job is repeated; `None` for a job that runs once, immediately.
     pub schedule: Option<Schedule>,
 }
 
 impl JobSpec {
-    /// Number of repetitions.
+    /// Number of occurrences.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.occurrences)
     }
@@ -72,38 +72,38 @@
     }
 }
 
-/// Times at which the steps of a job are repeated.
+/// Schedule of a job's occurrences.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Schedule {
-    /// First time, in Unix time.
+    /// Due time of the first occurrence, in Unix time.
     pub first_unix: Duration,
-    /// Time between two repetitions.
+    /// Time between two occurrences.
     pub interval: Duration,
-    /// Number of repetitions.
+    /// Number of occurrences.
     pub occurrences: u32,
 }
 
 impl Schedule {
-    /// Unix time at which a repetition is due.
+    /// Unix time at which an occurrence is due.
     pub fn due_unix(&self, occurrence: OccurrenceNumber) -> Duration {
         self.first_unix + self.interval * occurrence
     }
 }
 
-/// A step: equal tasks that may run side by side.
+/// A step: equal tasks that may run concurrently.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StepSpec {
     /// Number of tasks.
     pub tasks: u32,
-    /// Resources that each task takes.
+    /// Resources of each task.
     pub task_resources: Resources,
     /// The caller's rough estimate of a task's run time.
     pub estimate: Duration,
-    /// Earlier steps that must be done first.
+    /// Earlier steps that this step depends on.
     pub after: Vec<StepNumber>,
     /// Whether tasks save checkpoints from which they can resume.
     pub checkpoints: bool,
-    /// Whether tasks work only while all of them run.
+    /// Whether the tasks make progress only while all of them run.
     pub gang: bool,
     /// Whether tasks run longer when they are spread over several racks.
     pub same_rack: bool,
@@ -113,26 +113,26 @@
     pub data_rack: Option<Arc<str>>,
     /// Most tasks of the step that may run on one worker.
     pub per_worker_max: Option<u32>,
-    /// Whether copies of a task may run side by side.
+    /// Whether several runs of a task may be active at once.
     pub speculative: bool,
-    /// Whether tasks run until the job is cancelled and are restarted however they end.
+    /// Whether tasks run until the job is cancelled, and are restarted whenever a run ends.
     pub long_running: bool,
-    /// Largest tail latency that the users of the tasks accept.
+    /// Target of the tail latency, for tasks that serve users.
     pub tail_target: Option<Duration>,
-    /// Whether the tasks run on what other tasks leave unused of a worker's processors.
+    /// Whether the tasks run on CPU time that other tasks on the worker leave unused.
     pub opportunistic: bool,
-    /// How many tasks of the step may be unavailable at once through the fleet's own actions;
-    /// `None` where the step has no such budget.
+    /// Availability budget: how many tasks of the step the fleet itself may make unavailable at
+    /// once; `None` if there is no such budget.
     pub unavailable_max: Option<u32>,
 }
 
 impl StepSpec {
-    /// Cores that all its tasks use together.
+    /// Cores that all tasks use together.
     pub fn cores(&self) -> f64 {
         f64::from(self.tasks) * f64::from(self.task_resources.processors_milli) / 1_000.0
     }
 
-    /// Resources that a task takes from a worker's room.
+    /// Resources that a task reserves on its worker.
     pub fn reserved(&self) -> Resources {
         match self.opportunistic {
             true => Resources { processors_milli: 0, ..self.task_resources },
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker's life in the owner's memory: what runs there, and until when it may run.
+//! The owner's state of a worker incarnation: its runs and when their lease expires.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -11,40 +11,40 @@
 use crate::record::{WorkerShard, worker_shard};
 use crate::spec::{Resources, RunNumber, StepSpec, TaskId};
 
-/// A worker's clock may run this many percent slow.
+/// A worker's clock may be slow by this many percent.
 const CLOCK_SLOW_PERCENT: u32 = 2;
-/// Added to the time at which runs are taken as over, for the resolution of the clocks.
+/// Added to the expiry of a lease, because of the resolution of the clocks.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
-/// Lost looks in a row after which a worker gets no new work until it answers again.
+/// Failed polls in a row up to which a worker may get new work.
 const FAILED_POLLS_MAX: u32 = 1;
-/// A worker whose last answer is older than this gets no new work. Workers without work answer
-/// every two seconds.
-const ANSWER_AGE_MAX: Duration = Duration::from_millis(2_600);
+/// A worker whose last response is older than this gets no new work. Idle workers respond to a long
+/// poll every two seconds.
+const RESPONSE_AGE_MAX: Duration = Duration::from_millis(2_600);
 
-/// What is happening to a run.
+/// Phase of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunPhase {
-    /// The order to start it is on its way.
+    /// The start command is in flight.
     Starting,
-    /// The worker has confirmed it.
+    /// The worker has confirmed the run.
     Running,
-    /// It shall end; the order to stop it is due at `next_try`.
+    /// The run is being stopped; the next stop command is due at `next_try`.
     Stopping {
-        /// When the order to stop is sent, or sent again.
+        /// When the stop command is sent, or sent again.
         next_try: Moment,
-        /// When the worker confirmed the order.
+        /// When the worker confirmed the stop command.
         confirmed: Option<Moment>,
     },
 }
 
-/// What kind of task a run is of.
+/// Kind of a run's task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RunKind {
     /// Whether it runs until its job is cancelled.
     pub long_running: bool,
-    /// Whether it serves users.
+    /// Whether it serves users and has a tail latency target.
     pub serves: bool,
-    /// Whether it runs on what others leave unused.
+    /// Whether it runs on CPU time that other tasks leave unused.
     pub opportunistic: bool,
 }
 
@@ -58,16 +58,16 @@
     }
 }
 
-/// Runs on a worker by kind.
+/// Number of runs on a worker by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RunCounts {
-    /// Runs that last until their jobs are cancelled.
+    /// Runs of long-running tasks.
     pub long_running: u32,
-    /// Processors that these take, in thousandths of a core.
+    /// CPU that these reserve, in thousandths of a core.
     pub long_running_milli: u32,
     /// Runs that serve users.
     pub serving: u32,
-    /// Runs on what others leave unused.
+    /// Runs on CPU time that other tasks leave unused.
     pub opportunistic: u32,
 }
 
@@ -90,36 +90,36 @@
 /// A run on a worker.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Its number.
+    /// Number of the run.
     pub number: RunNumber,
-    /// What is happening to it.
+    /// Phase of the run.
     pub phase: RunPhase,
-    /// When it was ordered or first seen.
+    /// When it was started, or reported first if a previous owner started it.
     pub since: Moment,
-    /// When the order to start it was given up without an answer.
+    /// When the start command timed out.
     pub start_unanswered_at: Option<Moment>,
-    /// Whether an earlier owner ordered it, and may have ordered it to end.
+    /// Whether a previous owner started it, and may have sent a stop command.
     pub is_adopted: bool,
-    /// When the worker confirmed it.
+    /// When the worker confirmed the run.
     pub confirmed: Option<Moment>,
-    /// What kind of task it is of.
+    /// Kind of its task.
     pub kind: RunKind,
-    /// What it takes of the worker's room.
+    /// Resources that it reserves on the worker.
     pub reserved: Resources,
-    /// What it counts against its team's limit.
+    /// Resources that count against its team's quota.
     pub quota_usage: Resources,
     /// Progress in percent.
     pub percent: u8,
     /// When the progress last changed.
     pub last_progress: Moment,
-    /// Last reading, see [`crate::clients::RunningRun`].
+    /// Last reported load, see [`crate::clients::RunningRun::load_metric`].
     pub load_metric: u32,
-    /// Share of its speed at which it may work, in percent.
+    /// Share of full speed to which it is limited, in percent.
     pub speed_percent: u8,
 }
 
 impl Run {
-    /// Whether an order to stop it was given.
+    /// Whether it is being stopped.
     pub fn is_stopping(&self) -> bool {
         matches!(self.phase, RunPhase::Stopping { .. })
     }
@@ -129,85 +129,85 @@
     }
 }
 
-/// Whether a look is on its way.
+/// When a worker is polled next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PollPhase {
-    /// The next one is due at this moment.
+    /// The next poll is due at this moment.
     DueAt(Moment),
-    /// One is on its way.
+    /// A poll is in flight.
     InFlight,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Debug)]
 pub struct Worker {
-    /// What it says of itself.
+    /// The worker's entry in the store.
     pub entry: WorkerEntry,
-    /// Where it is called.
+    /// Address of the incarnation.
     pub address: WorkerAddress,
-    /// Part of the workers in the store to which it belongs.
+    /// Shard of the worker records in the store.
     pub shard: WorkerShard,
-    /// Whether the platform lists it.
+    /// Whether the current list of workers contains it.
     pub is_listed: bool,
-    /// Whether this life is over.
+    /// Whether this incarnation has ended.
     pub is_gone: bool,
-    /// Whether the store names it as a worker that was given tasks.
+    /// Whether the store records it as a worker that may have been given tasks.
     pub is_recorded: bool,
-    /// Whether it has answered under this owner's token since the last failed look.
+    /// Whether it has responded under this owner's token since the last failed poll.
     pub is_confirmed: bool,
-    /// Whether it has ever answered under this owner's token.
+    /// Whether it has ever responded under this owner's token.
     pub was_confirmed: bool,
-    /// Whether earlier owners may have given it tasks.
+    /// Whether previous owners may have started runs on it.
     pub may_have_earlier_runs: bool,
-    /// When it stopped answering.
+    /// When it stopped responding.
     pub unresponsive_since: Option<Moment>,
-    /// Whether it gets no more work because its machine is about to be moved or maintained.
+    /// Whether it gets no new work because its machine is about to be moved or maintained.
     pub is_cordoned: bool,
-    /// Whether its machine is still to be maintained in a wave.
+    /// Whether its machine has yet to be maintained in a wave.
     pub is_maintenance_due: bool,
-    /// Whether its machine was ordered to move or to be maintained.
+    /// Whether its machine was commanded to move or to be maintained.
     pub is_leaving: bool,
-    /// When such an order was accepted.
+    /// When such a command was accepted.
     pub leaving_since: Option<Moment>,
-    /// What was ordered, runs, or is being stopped there.
+    /// Runs that are starting, in progress or being stopped.
     pub runs: HashMap<TaskId, Run>,
-    /// Sum of what the runs take.
+    /// Resources reserved by the runs.
     pub reserved: Resources,
-    /// The runs by kind.
+    /// Number of runs by kind.
     pub counts: RunCounts,
-    /// Number of the last end that was taken in.
+    /// Number of the last run end received.
     pub last_end_seen: u64,
-    /// Ends that were taken in and may not be stored: the number and the order among the ends of
-    /// all workers.
+    /// Run ends whose effect may not be stored yet: the number on this worker, and the position
+    /// among the ends received from all workers.
     pub ends_unstored: VecDeque<(u64, u64)>,
-    /// Counts the lives under this id.
+    /// Number of earlier incarnations under this id.
     pub incarnation: u32,
-    /// Number of the last end whose effect is in the store.
+    /// Number of the last run end whose effect is stored.
     pub last_end_stored: u64,
-    /// Looks.
+    /// When it is polled next.
     pub poll: PollPhase,
-    /// When the latest look that was answered had been sent.
+    /// When the latest answered poll was sent.
     pub poll_sent: Moment,
-    /// Looks that failed since the last one that succeeded.
+    /// Polls that failed since the last successful one.
     pub failed_polls: u32,
-    /// When it last answered.
+    /// When it last responded.
     pub last_answered: Option<Moment>,
-    /// When nothing runs there any more unless the lease is extended.
+    /// When the lease of its runs expires, unless it is extended.
     pub lease_expires: Moment,
-    /// When it may be given work again after it had no room or was unwell.
+    /// When it may get new work again after it lacked capacity or was unhealthy.
     pub blocked_until: Moment,
-    /// When the last run there ended.
+    /// When the last run on it ended.
     pub last_run_ended: Option<Moment>,
-    /// When the pace of its opportunistic tasks is decided next.
+    /// When its opportunistic runs are throttled next.
     pub throttle_due: Moment,
-    /// Recent ends: the job and whether it failed, the latest last.
+    /// Recent run ends, latest last: the job and whether the run failed.
     pub recent_ends: Vec<(u64, bool)>,
     clock: Option<(Duration, Moment)>,
     lease_until: Duration,
 }
 
 impl Worker {
-    /// A worker that was listed; what an earlier owner started there may run until `lease_expires`.
+    /// A listed worker; runs that a previous owner started there may last until `lease_expires`.
     pub fn new(entry: WorkerEntry, lease_expires: Moment, now: Moment) -> Self {
         let address = WorkerAddress { id: entry.id.clone(), address: entry.address };
         Self {
@@ -246,25 +246,25 @@
         }
     }
 
-    /// Notes an answer with the worker's clock.
+    /// Stores the worker's clock as of a response received at `received`.
     pub fn set_clock(&mut self, clock: Duration, received: Moment) {
         self.clock = Some((clock, received));
         self.last_answered = Some(received);
     }
 
-    /// Extends the lease of everything there by `lease_max` from now and returns its end on the
-    /// worker's clock; `None` while that clock is unknown.
+    /// Extends the lease of all runs to `lease_max` from now. Returns its end on the worker's
+    /// clock; `None` while that clock is unknown.
     pub fn extend_lease(&mut self, lease_max: Duration, now: Moment) -> Option<Duration> {
         let (clock, received) = self.clock?;
         let until = clock + now.saturating_sub(received) + lease_max;
         self.lease_until = self.lease_until.max(until);
-        let left = self.lease_until.saturating_sub(clock);
-        let slow = left * 100 / (100 - CLOCK_SLOW_PERCENT);
-        self.lease_expires = self.lease_expires.max(received + slow + EXPIRY_MARGIN);
+        let remaining = self.lease_until.saturating_sub(clock);
+        let remaining_if_slow = remaining * 100 / (100 - CLOCK_SLOW_PERCENT);
+        self.lease_expires = self.lease_expires.max(received + remaining_if_slow + EXPIRY_MARGIN);
         Some(self.lease_until)
     }
 
-    /// Forgets what was known of the former life at this address.
+    /// Resets what was known of the previous incarnation at this address.
     pub fn start_incarnation(&mut self, started_unix: Option<Duration>, now: Moment) {
         self.entry.started_unix = started_unix;
         self.last_end_seen = 0;
@@ -277,25 +277,26 @@
         self.recent_ends.clear();
     }
 
-    /// Notes that the effects of all ends before one are in the store.
-    pub fn mark_ends_stored(&mut self, open_since: u64) {
-        while let Some((number, order)) = self.ends_unstored.front().copied()
-            && order < open_since
+    /// Marks the run ends as stored that were received before position `first_unstored`.
+    pub fn mark_ends_stored(&mut self, first_unstored: u64) {
+        while let Some((number, position)) = self.ends_unstored.front().copied()
+            && position < first_unstored
         {
             self.last_end_stored = self.last_end_stored.max(number);
             self.ends_unstored.pop_front();
         }
     }
 
-    /// What is free of its room.
+    /// Capacity that is not reserved.
     pub fn free_resources(&self) -> Resources {
         self.entry.capacity.minus(&self.reserved)
     }
 
-    /// Whether it may be given work now. One lost look is no reason against it: an order carries
-    /// the owner's token, and the next look shows whether its life is still the same.
+    /// Whether it may be given work now. A single failed poll doesn't rule it out: start commands
+    /// carry the owner's token, and the next poll shows whether the incarnation is the same.
     pub fn is_usable(&self, now: Moment) -> bool {
-        let answers = self.last_answered.is_some_and(|at| now.saturating_sub(at) < ANSWER_AGE_MAX);
+        let has_recent_response =
+            self.last_answered.is_some_and(|at| now.saturating_sub(at) < RESPONSE_AGE_MAX);
         self.is_listed
             && !self.is_gone
             && self.is_recorded
@@ -303,11 +304,11 @@
             && (self.is_confirmed || self.failed_polls <= FAILED_POLLS_MAX)
             && !self.is_cordoned
             && !self.entry.is_draining
-            && answers
+            && has_recent_response
             && self.blocked_until <= now
     }
 
-    /// Label of its rack.
+    /// The worker's rack, if known.
     pub fn rack(&self) -> Option<&Arc<str>> {
         self.entry.rack()
     }
