--- a/crates/event/src/event.rs
+++ b/crates/event/src/event.rs
@@ -44,7 +44,9 @@
     };
 }
 
-/// Logs a numbered event with key-value pairs, each shown with `Display`.
+/// Logs a numbered event with key-value pairs, each formatted with `Display`.
+///
+/// The log target is the module path, or the one given as the first argument `target: TARGET`.
 ///
 /// `emit!(DispatchEvent::InstanceEjected, instance = id, failures = count)`
 #[macro_export]
--- a/crates/jobs/tests/emulator/mod.rs
+++ b/crates/jobs/tests/emulator/mod.rs
@@ -138,7 +138,7 @@
 }
 
 impl Emulator {
-    /// Creates an emulation whose first owner starts at once, with workers of 16 cores.
+    /// Creates an emulation whose first owner starts immediately, with workers of 16 cores.
     pub fn new(seed: u64, workers: usize, limit: Resources, faults: Faults) -> Self {
         let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
         let new_worker = |number| EmulatedWorker::new(number, capacity);
@@ -188,7 +188,7 @@
         self.schedule(delay + gap, Event::OwnerStart);
     }
 
-    /// Adds an accepted job, which the current owner sees at once.
+    /// Adds an accepted job, which the current owner receives immediately.
     pub fn submit(&mut self, id: JobId, record: JobRecord) {
         self.jobs.insert(id, record.clone());
         let (now, revision) = (self.now, u64::MAX);
--- a/crates/jobs/tests/harness/mod.rs
+++ b/crates/jobs/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Test harness of the scheduler, with workers that execute every command at once.
+//! Test harness of the scheduler, with workers that execute every command immediately.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -19,7 +19,7 @@
 /// Store revision of jobs that were accepted after the owner's term started.
 pub const REVISION_AFTER_TAKEOVER: u64 = u64::MAX;
 
-/// A scheduler and workers that execute its commands at once.
+/// A scheduler and workers that execute its commands immediately.
 pub struct SchedulerHarness {
     pub scheduler: Scheduler,
     pub now: Duration,
@@ -87,7 +87,7 @@
         self.scheduler.add_job(id, job(steps), REVISION_AFTER_TAKEOVER, None, self.now);
     }
 
-    /// Advances the time by `length`, with every command executed at once.
+    /// Advances the time by `length`, with every command executed immediately.
     pub fn run_for(&mut self, length: Duration) {
         let end = self.now + length;
         while self.now < end {
--- a/crates/jobs/tests/service.rs
+++ b/crates/jobs/tests/service.rs
@@ -93,31 +93,31 @@
 #[tokio::test]
 async fn an_instance_with_a_claim_delay_leaves_an_initially_free_ownership_to_another() {
     let platform = platform_with_workers(1).await;
-    let _weak = platform.client("weak").start_delayed_owner("weak", ms(400));
+    let _delayed = platform.client("delayed").start_delayed_owner("delayed", ms(400));
     tokio::time::sleep(ms(100)).await;
-    let _strong = platform.client("strong").start_owner("strong");
+    let _prompt = platform.client("prompt").start_owner("prompt");
     tokio::time::sleep(ms(600)).await;
     let owner_record = platform.store.get(OWNER_KEY).await.expect("store").expect("an owner");
-    assert!(owner_record.value.starts_with(b"strong "), "{:?}", owner_record.value);
+    assert!(owner_record.value.starts_with(b"prompt "), "{:?}", owner_record.value);
 }
 
 #[tokio::test]
 async fn an_instance_with_a_claim_delay_leaves_an_ownership_freed_during_an_outage_to_another() {
     let platform = platform_with_workers(1).await;
-    let owner_record = Transaction::default().put(OWNER_KEY, "former 1", None);
-    platform.store.commit(owner_record).await.expect("held");
-    let weak = platform.client("weak");
-    let _weak = weak.start_delayed_owner("weak", ms(400));
+    let owner_record = Transaction::default().put(OWNER_KEY, "previous 1", None);
+    platform.store.commit(owner_record).await.expect("record of the previous owner");
+    let delayed = platform.client("delayed");
+    let _delayed = delayed.start_delayed_owner("delayed", ms(400));
     tokio::time::sleep(ms(500)).await;
-    weak.store.faults().cut_off("weak", Partition::Requests);
+    delayed.store.faults().cut_off("delayed", Partition::Requests);
     platform.store.commit(Transaction::default().delete(OWNER_KEY)).await.expect("free");
     platform.store.faults().compact();
-    weak.store.faults().reconnect("weak");
+    delayed.store.faults().reconnect("delayed");
     tokio::time::sleep(ms(200)).await;
-    let _strong = platform.client("strong").start_owner("strong");
+    let _prompt = platform.client("prompt").start_owner("prompt");
     tokio::time::sleep(ms(600)).await;
     let owner_record = platform.store.get(OWNER_KEY).await.expect("store").expect("an owner");
-    assert!(owner_record.value.starts_with(b"strong "), "{:?}", owner_record.value);
+    assert!(owner_record.value.starts_with(b"prompt "), "{:?}", owner_record.value);
 }
 
 #[tokio::test]
