--- a/crates/jobs/tests/site/mod.rs
+++ b/crates/jobs/tests/clients/mod.rs
@@ -1,4 +1,4 @@
-//! A site of stand-ins: the in-memory store, and workers in this process.
+//! Platform clients for tests: the in-memory store, and emulated workers in this process.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
@@ -26,31 +26,38 @@
 use crate::emulator::worker::EmulatedWorker;
 use crate::emulator::{SERVICE, TEAM, config, cores, ms, settings};
 
-/// How long each task takes.
+/// Run time of each task.
 const TASK_TIME: Duration = Duration::from_millis(40);
 
+/// Platform clients of one instance.
 #[derive(Debug, Clone)]
-pub struct TestSite {
+pub struct TestClients {
     pub store: MemoryStore,
     pub workers: TestWorkers,
 }
 
+/// Client of the emulated workers. Clones share the workers.
 #[derive(Debug, Clone)]
 pub struct TestWorkers {
     pub list: Arc<Mutex<Vec<EmulatedWorker>>>,
+    /// Jobs by id, from which the workers read the resources of a task.
     jobs: Arc<Mutex<BTreeMap<JobId, JobRecord>>>,
+    /// All accepted starts.
     pub starts: Arc<Mutex<Vec<(TaskId, RunNumber)>>>,
-    /// Workers whose connections were given up.
-    pub forgotten: Arc<Mutex<BTreeSet<WorkerId>>>,
+    /// Workers whose connections were closed.
+    pub disconnected: Arc<Mutex<BTreeSet<WorkerId>>>,
 }
 
+/// Formats with plain text records.
 #[derive(Debug, Clone)]
 pub struct TestFormats;
 
+/// Client of machines and of the placement policy that has no machines and no tickets.
 #[derive(Debug, Clone)]
-pub struct Nothing;
+pub struct NullClient;
 
-impl TestSite {
+impl TestClients {
+    /// Creates clients of an empty store and of these workers.
     pub fn new(workers: usize) -> Self {
         let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
         let list = (0..workers).map(|number| EmulatedWorker::new(number, capacity)).collect();
@@ -58,20 +65,20 @@
             list: Arc::new(Mutex::new(list)),
             jobs: Arc::default(),
             starts: Arc::default(),
-            forgotten: Arc::default(),
+            disconnected: Arc::default(),
         };
         Self { store: MemoryStore::default(), workers }
     }
 
-    /// The site as another instance sees it, whose calls to the store can be disturbed alone.
+    /// Returns clients for another instance; store faults can be injected for this instance alone.
     pub fn client(&self, name: &str) -> Self {
         Self { store: self.store.client(name).with_timeout(ms(150)), ..self.clone() }
     }
 
-    /// Writes a configuration of one queue and these keys.
+    /// Writes a configuration with one queue and these API keys.
     pub async fn configure(&self, version: u64, keys: &[&str]) {
-        let held = self.store.get(TestFormats::CONFIG_KEY).await.expect("store");
-        let compare = held.map_or(cassiafold_platform::Compare::Absent, |record| {
+        let existing = self.store.get(TestFormats::CONFIG_KEY).await.expect("store");
+        let compare = existing.map_or(cassiafold_platform::Compare::Absent, |record| {
             cassiafold_platform::Compare::Revision(record.revision)
         });
         let text = format!("{version} {}", keys.join(" "));
@@ -79,7 +86,8 @@
         self.store.write(write).await.expect("store");
     }
 
-    pub async fn list_workers(&self) {
+    /// Writes the entries of all workers to the store.
+    pub async fn register_workers(&self) {
         let ids: Vec<WorkerId> = {
             let list = self.workers.list.lock().expect("lock");
             list.iter().map(|worker| worker.id.clone()).collect()
@@ -91,26 +99,27 @@
         }
     }
 
-    /// Lets a worker go for good: it answers no more, and its report is removed.
-    pub async fn lose_worker(&self, id: &str) {
+    /// Crashes a worker for good and deletes its entry from the store.
+    pub async fn remove_worker(&self, id: &str) {
         self.workers.with(id, EmulatedWorker::crash);
         let key = format!("{}{id}", TestFormats::WORKERS_PREFIX);
         self.store.commit(Transaction::default().delete(key)).await.expect("store");
     }
 
+    /// Creates a job API and starts its watch of the desired state.
     pub fn api(&self) -> JobApi<Self> {
         let (sender, desired_states) = DesiredStateSender::new();
         tokio::spawn(desired_state::follow(self.clone(), sender.clone()));
         JobApi::new(self.clone(), desired_states, sender, JobsMetrics::default())
     }
 
-    /// Starts an owner, which stops with the token.
-    pub fn owner(&self, instance: &str) -> CancellationToken {
-        self.weak_owner(instance, ms(0))
+    /// Starts an owner. Cancelling the returned token stops it.
+    pub fn start_owner(&self, instance: &str) -> CancellationToken {
+        self.start_delayed_owner(instance, ms(0))
     }
 
-    /// Starts an owner that claims after a delay.
-    pub fn weak_owner(&self, instance: &str, claim_delay: Duration) -> CancellationToken {
+    /// Starts an owner that claims ownership only after a delay.
+    pub fn start_delayed_owner(&self, instance: &str, claim_delay: Duration) -> CancellationToken {
         let stop = CancellationToken::new();
         let (sender, desired_states): (DesiredStateSender, watch::Receiver<Arc<DesiredState>>) =
             DesiredStateSender::new();
@@ -140,10 +149,10 @@
 }
 
 impl TestWorkers {
-    fn with<T>(&self, id: &str, act: impl FnOnce(&mut EmulatedWorker) -> T) -> T {
+    fn with<T>(&self, id: &str, action: impl FnOnce(&mut EmulatedWorker) -> T) -> T {
         let mut list = self.list.lock().expect("lock");
         let worker = list.iter_mut().find(|worker| *worker.id == *id).expect("known worker");
-        act(worker)
+        action(worker)
     }
 }
 
@@ -154,7 +163,7 @@
         request: PollRequest,
     ) -> Result<PollResponse, PollError> {
         tokio::time::sleep(ms(5)).await;
-        self.with(&worker.id, |one| one.poll(request, since_boot()))
+        self.with(&worker.id, |worker| worker.poll(request, since_boot()))
     }
 
     async fn start(
@@ -172,7 +181,7 @@
         run: RunNumber,
         token: FencingToken,
     ) -> CommandOutcome {
-        self.with(&worker.id, |one| one.stop(task, run, token, since_boot()))
+        self.with(&worker.id, |worker| worker.stop(task, run, token, since_boot()))
     }
 
     async fn throttle(
@@ -187,7 +196,7 @@
     }
 
     fn forget(&self, worker: &WorkerAddress) {
-        self.forgotten.lock().expect("lock").insert(worker.id.clone());
+        self.disconnected.lock().expect("lock").insert(worker.id.clone());
     }
 }
 
@@ -195,20 +204,20 @@
     fn start_one(&self, worker: &WorkerAddress, request: &StartRequest) -> CommandOutcome {
         let (task, run, now) = (request.task, request.run, since_boot());
         let jobs = self.jobs.lock().expect("lock").clone();
-        let outcome = self.with(&worker.id, |one| one.start(request, now, &jobs));
+        let outcome = self.with(&worker.id, |worker| worker.start(request, now, &jobs));
         if outcome == CommandOutcome::Accepted {
             self.starts.lock().expect("lock").push((task, run));
             let (workers, id) = (self.clone(), worker.id.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(TASK_TIME).await;
-                workers.with(&id, |one| one.finish(task, run, false, since_boot()));
+                workers.with(&id, |worker| worker.finish(task, run, false, since_boot()));
             });
         }
         outcome
     }
 
-    /// Tells the workers what the tasks of a job need.
-    pub fn know(&self, id: JobId, record: JobRecord) {
+    /// Registers with the workers which resources the tasks of a job need.
+    pub fn add_job(&self, id: JobId, record: JobRecord) {
         self.jobs.lock().expect("lock").insert(id, record);
     }
 }
@@ -242,7 +251,7 @@
     }
 }
 
-impl MachineClient for Nothing {
+impl MachineClient for NullClient {
     async fn list(&self) -> Option<Vec<Machine>> {
         None
     }
@@ -256,17 +265,17 @@
     }
 }
 
-impl PolicyClient for Nothing {
+impl PolicyClient for NullClient {
     async fn request_tickets(&self, _: StepId, _: Vec<WorkerId>) -> Option<PolicyResponse> {
         None
     }
 }
 
-impl PlatformClients for TestSite {
+impl PlatformClients for TestClients {
     type Store = MemoryStore;
     type WorkerClient = TestWorkers;
-    type MachineClient = Nothing;
-    type PolicyClient = Nothing;
+    type MachineClient = NullClient;
+    type PolicyClient = NullClient;
     type Formats = TestFormats;
 
     fn store(&self) -> &MemoryStore {
@@ -277,12 +286,12 @@
         &self.workers
     }
 
-    fn machines(&self) -> &Nothing {
-        &Nothing
+    fn machines(&self) -> &NullClient {
+        &NullClient
     }
 
-    fn policy(&self) -> &Nothing {
-        &Nothing
+    fn policy(&self) -> &NullClient {
+        &NullClient
     }
 
     fn formats(&self) -> &TestFormats {
--- a/crates/jobs/tests/emulator/event.rs
+++ b/crates/jobs/tests/emulator/event.rs
@@ -1,4 +1,4 @@
-//! What happens in the emulation, in order of time.
+//! Events of the emulation, ordered by time.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -9,15 +9,16 @@
 use cassiafold_jobs::scheduler::WriteBatch;
 use cassiafold_jobs::spec::{RunNumber, TaskId};
 
-/// The life of a worker that has received an order; what it carries out late dies with it.
+/// Incarnation of a worker to which a command was sent. A delayed command is dropped if the worker
+/// has restarted since.
 #[derive(Debug, Clone, Copy)]
-pub struct Life {
+pub struct Incarnation {
     pub worker: usize,
-    pub born: Duration,
+    pub started_at: Duration,
 }
 
-/// A look on its way to a worker.
-pub struct SentLook {
+/// A poll request in flight to a worker.
+pub struct SentPoll {
     pub owner: u64,
     pub slot: usize,
     pub is_out_of_band: bool,
@@ -26,10 +27,10 @@
     pub sent: Duration,
 }
 
-/// Something that happens at a moment.
+/// An event of the emulation.
 pub enum Event {
-    Poll(SentLook),
-    LookDone {
+    Poll(SentPoll),
+    PollDone {
         owner: u64,
         slot: usize,
         is_out_of_band: bool,
@@ -39,9 +40,9 @@
     Start {
         owner: u64,
         slot: usize,
-        to: Life,
+        target: Incarnation,
         request: StartRequest,
-        answers: bool,
+        responds: bool,
     },
     StartDone {
         owner: u64,
@@ -53,10 +54,10 @@
     Stop {
         owner: u64,
         slot: usize,
-        to: Life,
+        target: Incarnation,
         task: TaskId,
         run: RunNumber,
-        answers: bool,
+        responds: bool,
     },
     StopDone {
         owner: u64,
@@ -65,11 +66,11 @@
         run: RunNumber,
         outcome: CommandOutcome,
     },
-    Flushed {
+    WriteCommitted {
         owner: u64,
-        flush: WriteBatch,
+        batch: WriteBatch,
     },
-    RunEnds {
+    RunFinished {
         worker: usize,
         task: TaskId,
         run: RunNumber,
@@ -80,12 +81,12 @@
     Restart {
         worker: usize,
     },
-    OwnerDies,
-    OwnerComes,
+    OwnerCrash,
+    OwnerStart,
     Tick,
 }
 
-/// An event with its moment and its number, the earliest first.
+/// An event with its time and sequence number, which order the queue with the earliest first.
 pub struct Scheduled(pub Reverse<(Duration, u64)>, pub Event);
 
 impl PartialEq for Scheduled {
--- a/crates/jobs/tests/emulator/faults.rs
+++ b/crates/jobs/tests/emulator/faults.rs
@@ -1,52 +1,60 @@
-//! Which calls are lost and which come late.
+//! Random loss and delay of calls.
 
 use std::time::Duration;
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// Shares of calls and runs that go wrong.
+/// Probabilities of faults of calls and runs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Orders that are never carried out nor answered.
-    pub lost: f64,
-    /// Orders that are carried out seconds later and not answered.
-    pub late: f64,
-    /// Orders that are carried out and not answered.
-    pub unanswered: f64,
-    /// Looks that are lost.
-    pub blind: f64,
+    /// Commands that are neither executed nor get a response.
+    pub command_lost: f64,
+    /// Commands that are executed seconds later and get no response.
+    pub command_late: f64,
+    /// Commands that are executed in time but get no response.
+    pub command_unanswered: f64,
+    /// Polls that get no response.
+    pub poll_lost: f64,
     /// Runs that fail.
-    pub failing: f64,
+    pub run_failed: f64,
 }
 
-/// An order that is never carried out is carried out after the end of every test.
+/// Delay of a command that is never executed: longer than every test.
 const NEVER: Duration = Duration::from_secs(100_000);
 
 impl Faults {
+    /// No faults.
     pub fn none() -> Self {
         Self::default()
     }
 
-    pub fn many() -> Self {
-        Self { lost: 0.03, late: 0.04, unanswered: 0.04, blind: 0.03, failing: 0.05 }
+    /// Faults of every kind.
+    pub fn all() -> Self {
+        Self {
+            command_lost: 0.03,
+            command_late: 0.04,
+            command_unanswered: 0.04,
+            poll_lost: 0.03,
+            run_failed: 0.05,
+        }
     }
 
-    /// When an order is carried out, and whether it is answered.
-    pub fn order(&self, random: &mut StdRng, latency: Duration) -> (Duration, bool) {
+    /// Delay until a command is executed, and whether it gets a response.
+    pub fn command_delivery(&self, random: &mut StdRng, latency: Duration) -> (Duration, bool) {
         let roll: f64 = random.random();
-        if roll < self.lost {
+        if roll < self.command_lost {
             return (NEVER, false);
         }
-        if roll < self.lost + self.late {
+        if roll < self.command_lost + self.command_late {
             return (Duration::from_millis(random.random_range(2_000..12_000)), false);
         }
-        (latency, roll >= self.lost + self.late + self.unanswered)
+        (latency, roll >= self.command_lost + self.command_late + self.command_unanswered)
     }
 
-    /// How long a look takes, and whether it is answered.
-    pub fn poll(&self, random: &mut StdRng) -> (Duration, bool) {
-        let is_lost = random.random_bool(self.blind);
+    /// Delay until the result of a poll arrives, and whether the poll gets a response.
+    pub fn poll_delivery(&self, random: &mut StdRng) -> (Duration, bool) {
+        let is_lost = random.random_bool(self.poll_lost);
         let millis = if is_lost { 800 } else { random.random_range(1..40) };
         (Duration::from_millis(millis), !is_lost)
     }
--- a/crates/jobs/tests/desk/mod.rs
+++ b/crates/jobs/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler with workers that do what they are told, for single situations.
+//! Test harness of the scheduler, with workers that execute every command immediately.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -16,28 +16,28 @@
 use crate::emulator::worker::EmulatedWorker;
 use crate::emulator::{SERVICE, config, cores, job, ms, settings, step};
 
-/// Revision of jobs that were accepted after the owner had begun.
-pub const LATE: u64 = u64::MAX;
+/// Store revision of jobs that were accepted after the owner's term started.
+pub const REVISION_AFTER_TAKEOVER: u64 = u64::MAX;
 
-/// A scheduler with workers that carry out what they are told at once.
-pub struct Desk {
+/// A scheduler and workers that execute its commands immediately.
+pub struct SchedulerHarness {
     pub scheduler: Scheduler,
     pub now: Duration,
     pub running: HashMap<WorkerSlot, Vec<(TaskId, u32)>>,
-    pub machine_orders: Vec<MachineCommand>,
-    pub listed: Vec<Machine>,
+    pub machine_commands: Vec<MachineCommand>,
+    pub listed_machines: Vec<Machine>,
 }
 
-impl Desk {
-    /// A scheduler with workers that have been looked at.
+impl SchedulerHarness {
+    /// Creates a harness whose workers have been polled.
     pub fn new(workers: usize, term: OwnerTerm) -> Self {
-        let mut desk = Self::begin(workers, term);
-        desk.pass(ms(3_500));
-        desk
+        let mut harness = Self::at_term_start(workers, term);
+        harness.run_for(ms(3_500));
+        harness
     }
 
-    /// A scheduler at the begin of its tenure.
-    pub fn begin(workers: usize, term: OwnerTerm) -> Self {
+    /// Creates a harness at the start of an owner's term.
+    pub fn at_term_start(workers: usize, term: OwnerTerm) -> Self {
         let now = ms(100_000);
         let mut scheduler = Scheduler::new(settings(), term, now);
         let mut config = (*config(Resources::default())).clone();
@@ -47,15 +47,16 @@
         let capacity = Resources { memory_bytes: 64 << 30, ..cores(16) };
         let make = |number| EmulatedWorker::new(number, capacity).entry();
         scheduler.set_workers((0..workers).map(make).collect(), now);
-        Self::of(scheduler, now)
+        Self::from_scheduler(scheduler, now)
     }
 
-    /// A desk around a scheduler.
-    pub fn of(scheduler: Scheduler, now: Duration) -> Self {
+    /// Creates a harness for an existing scheduler.
+    pub fn from_scheduler(scheduler: Scheduler, now: Duration) -> Self {
         let running = HashMap::new();
-        Self { scheduler, now, running, machine_orders: Vec::new(), listed: Vec::new() }
+        Self { scheduler, now, running, machine_commands: Vec::new(), listed_machines: Vec::new() }
     }
 
+    /// Machines of the service, each with the worker of the same number.
     pub fn machines(count: usize, state: MachineState) -> Vec<Machine> {
         let make = |number: usize| Machine {
             id: format!("m{number}").into(),
@@ -69,60 +70,64 @@
         (0..count).map(make).collect()
     }
 
-    /// Machines in the spare pool, which run no workers.
+    /// Machines of the spare pool, which run no workers.
     pub fn spare_machines(count: usize) -> Vec<Machine> {
         let spare = |machine| Machine { service: "spare".into(), worker: None, ..machine };
         Self::machines(count, MachineState::Up).into_iter().map(spare).collect()
     }
 
-    pub fn list(&mut self, machines: Vec<Machine>) {
-        self.listed = machines.clone();
+    /// Passes a list of machines to the scheduler.
+    pub fn set_machines(&mut self, machines: Vec<Machine>) {
+        self.listed_machines = machines.clone();
         self.scheduler.set_machines(machines, self.now, self.now);
     }
 
+    /// Adds a job that was accepted in the current term.
     pub fn submit(&mut self, id: JobId, steps: Vec<StepSpec>) {
-        self.scheduler.add_job(id, job(steps), LATE, None, self.now);
+        self.scheduler.add_job(id, job(steps), REVISION_AFTER_TAKEOVER, None, self.now);
     }
 
-    /// Lets time pass in which each order is carried out.
-    pub fn pass(&mut self, length: Duration) {
+    /// Advances the time by `length`, with every command executed immediately.
+    pub fn run_for(&mut self, length: Duration) {
         let end = self.now + length;
         while self.now < end {
-            for order in self.scheduler.plan(Duration::ZERO, self.now) {
-                self.carry_out(order);
+            for command in self.scheduler.plan(Duration::ZERO, self.now) {
+                self.execute(command);
             }
-            self.write();
+            self.commit_writes();
             self.now += ms(10);
         }
     }
 
-    /// Lets time pass in which no worker answers.
-    pub fn pass_silently(&mut self, length: Duration) {
+    /// Advances the time by `length`, with no response to any poll.
+    pub fn run_without_responses(&mut self, length: Duration) {
         let error = PollError::NoAnswer("timeout".into());
         let end = self.now + length;
         while self.now < end {
-            for order in self.scheduler.plan(Duration::ZERO, self.now) {
-                match order {
+            for command in self.scheduler.plan(Duration::ZERO, self.now) {
+                match command {
                     Command::Poll { worker, .. } => {
                         let _ = self.scheduler.poll_request(worker, false, self.now);
                         self.scheduler.handle_poll_failure(worker, false, &error, self.now);
                     }
-                    order => self.carry_out(order),
+                    command => self.execute(command),
                 }
             }
-            self.write();
+            self.commit_writes();
             self.now += ms(10);
         }
     }
 
-    fn write(&mut self) {
-        if let Some(flush) = self.scheduler.next_write_batch(self.now) {
-            self.scheduler.handle_write_committed(&flush, self.now);
+    /// Commits the next write, if there is one.
+    fn commit_writes(&mut self) {
+        if let Some(batch) = self.scheduler.next_write_batch(self.now) {
+            self.scheduler.handle_write_committed(&batch, self.now);
         }
     }
 
-    pub fn carry_out(&mut self, order: Command) {
-        match order {
+    /// Executes one command and passes its outcome to the scheduler.
+    pub fn execute(&mut self, command: Command) {
+        match command {
             Command::Poll { worker, is_out_of_band } => {
                 let _ = self.scheduler.poll_request(worker, is_out_of_band, self.now);
                 let rows = self.running.get(&worker).cloned().unwrap_or_default();
@@ -163,27 +168,30 @@
                     self.now,
                 );
             }
-            Command::Machine(order) => self.machine_orders.push(order),
+            Command::Machine(command) => self.machine_commands.push(command),
             Command::Throttle { .. } | Command::QueryPolicy(_) => {}
         }
     }
 
+    /// Number of runs on all workers.
     pub fn running(&self) -> usize {
         self.running.values().map(Vec::len).sum()
     }
 
-    pub fn wave_of(&mut self, machines: &[usize], concurrent_max: usize) {
+    /// Sets a wave for these machines with a time limit of 20 s.
+    pub fn set_wave(&mut self, machines: &[usize], concurrent_max: usize) {
         let machines = machines.iter().map(|number| format!("m{number}").into()).collect();
         let wave = Wave { number: 1, machines, time_limit: ms(20_000), concurrent_max };
         self.scheduler.set_waves(&[wave], self.now);
     }
 }
 
+/// A step of long-running tasks, one of which may be unavailable at a time.
 pub fn long_running(tasks: u32, per_worker_max: Option<u32>) -> StepSpec {
     StepSpec { long_running: true, unavailable_max: Some(1), per_worker_max, ..step(tasks, 2, &[]) }
 }
 
-/// The stored state of a job that an earlier owner was about to start, with what it says of tasks.
-pub fn touched(tasks: Vec<TaskRecord>) -> StateRecord {
+/// Stored state of a job that a previous owner may have started, with the records of its tasks.
+pub fn state_from_previous_owner(tasks: Vec<TaskRecord>) -> StateRecord {
     StateRecord { state: JobState::Running, team: None, ended: Vec::new(), tasks }
 }
--- a/crates/jobs/tests/overload.rs
+++ b/crates/jobs/tests/overload.rs
@@ -1,4 +1,4 @@
-//! What the owner does while much more waits for the store than usual.
+//! Behavior of the owner with many more unwritten changes than usual.
 
 mod emulator;
 
@@ -7,13 +7,15 @@
 use self::emulator::faults::Faults;
 use self::emulator::{Emulator, job, ms, settings, step};
 
-/// Jobs that come at once: ten times what a busy owner has on hand.
+/// Number of jobs submitted at the same time: ten times the usual number of jobs of a busy owner.
 const BACKLOG: JobId = 2_000;
+/// Number of tasks of each job.
 const TASKS_EACH: u32 = 2;
 const WORKERS: usize = 300;
-/// How long a write takes for a busy owner beside a store that answers within a few milliseconds.
+/// Latency of a write at a busy owner; the store itself responds within a few milliseconds.
 const BUSY_WRITE_MS: u64 = 40;
 
+/// An emulation that has polled all workers.
 fn deployment() -> Emulator {
     let mut emulator = Emulator::new(1, WORKERS, Resources::default(), Faults::none());
     emulator.run(ms(3_000));
@@ -26,21 +28,22 @@
     }
 }
 
-/// Guards against SHORT: accepted jobs waited for their first write beside idle workers.
+/// Guards against unserved load: accepted jobs waited for their first write while workers were
+/// idle.
 #[test]
-fn a_backlog_of_accepted_jobs_has_started_two_seconds_later() {
+fn all_tasks_of_a_backlog_have_started_after_two_seconds() {
     let mut emulator = deployment();
-    emulator.write_time = ms(BUSY_WRITE_MS);
+    emulator.write_latency = ms(BUSY_WRITE_MS);
     submit_backlog(&mut emulator);
     emulator.run(ms(2_000));
-    let waiting = BACKLOG as usize * TASKS_EACH as usize - emulator.starts;
-    assert_eq!(waiting, 0, "tasks that have not begun");
-    assert_eq!(emulator.broken, Vec::<String>::new());
+    let waiting = BACKLOG as usize * TASKS_EACH as usize - emulator.start_count;
+    assert_eq!(waiting, 0, "tasks that have not started");
+    assert_eq!(emulator.violations, Vec::<String>::new());
 }
 
-/// Guards against the class of SHORT: the ended jobs of a busy hour stayed in the store.
+/// Guards against a growing store: jobs that ended during an hour of high load stayed in it.
 #[test]
-fn ended_jobs_are_removed_as_fast_as_they_came() {
+fn ended_jobs_are_deleted_as_fast_as_they_arrived() {
     let mut emulator = Emulator::new(1, 20, Resources::default(), Faults::none());
     emulator.run(ms(3_000));
     let ended_within = ms(10_000);
@@ -49,33 +52,34 @@
     }
     emulator.run(ended_within);
     assert_eq!(emulator.ended_jobs(), BACKLOG as usize / 2);
-    emulator.write_time = ms(BUSY_WRITE_MS);
+    emulator.write_latency = ms(BUSY_WRITE_MS);
     emulator.run(settings().status_retention);
-    assert_eq!(emulator.ended_jobs(), 0, "ended jobs that are kept too long");
+    assert_eq!(emulator.ended_jobs(), 0, "ended jobs kept beyond the retention time");
 }
 
-/// Guards against the class of SHORT: a new owner could use few of many workers for a second.
+/// Guards against unserved load after a change of owner: for a second, the new owner could use only
+/// a few of many workers.
 #[test]
-fn a_new_owner_may_use_all_workers_within_300_ms() {
+fn a_new_owner_can_use_all_workers_within_300_ms() {
     let mut emulator = Emulator::new(1, WORKERS, Resources::default(), Faults::none());
-    emulator.write_time = ms(BUSY_WRITE_MS);
+    emulator.write_latency = ms(BUSY_WRITE_MS);
     emulator.run(ms(300));
     assert_eq!(emulator.usable_workers(), WORKERS);
 }
 
-/// Guards against SHORT: looks that showed the same ends again kept the owner busy.
+/// Guards against an owner that is kept busy by polls that return the same run ends again.
 #[test]
-fn ends_that_cannot_be_stored_are_not_asked_for_again_and_again() {
-    /// Looks a second at workers of which nothing can be acknowledged.
-    const REPEATED_POLLS_PER_S: usize = 2_000;
+fn workers_with_run_ends_that_cannot_be_stored_are_not_polled_all_the_time() {
+    /// Limit of the redundant polls per second while no run end can be acknowledged.
+    const REDUNDANT_POLLS_PER_S_MAX: usize = 2_000;
     let mut emulator = deployment();
     submit_backlog(&mut emulator);
     emulator.run(ms(1_000));
-    emulator.write_time = ms(1_000_000);
-    // All that runs has ended by then, and been shown once.
+    emulator.write_latency = ms(1_000_000);
+    // By then all runs have ended and each end was reported once.
     emulator.run(ms(3_000));
-    let before = emulator.repeated_looks;
+    let before = emulator.redundant_polls;
     emulator.run(ms(4_000));
-    let looks_per_s = (emulator.repeated_looks - before) / 4;
-    assert!(looks_per_s <= REPEATED_POLLS_PER_S, "{looks_per_s} looks a second");
+    let polls_per_s = (emulator.redundant_polls - before) / 4;
+    assert!(polls_per_s <= REDUNDANT_POLLS_PER_S_MAX, "{polls_per_s} polls a second");
 }
--- a/crates/jobs/tests/writes.rs
+++ b/crates/jobs/tests/writes.rs
@@ -1,35 +1,35 @@
-//! What the owner writes first when more has changed than one write takes.
+//! Priority of the owner's writes when more has changed than fits into one write.
 
-mod desk;
 mod emulator;
+mod harness;
 
 use cassiafold_jobs::clients::{EndedRun, PollResponse, RunEnd};
 use cassiafold_jobs::record::{WORKERS_PREFIX, WorkerRecord, state_key};
 use cassiafold_jobs::scheduler::{OwnerTerm, WriteBatch, WriteUrgency};
 use cassiafold_jobs::spec::JobId;
 
-use self::desk::Desk;
 use self::emulator::worker::EmulatedWorker;
 use self::emulator::{cores, ms, step};
+use self::harness::SchedulerHarness;
 
-/// Jobs of two tasks, each with one that has just ended.
+/// Number of jobs with two tasks, of which one has just ended.
 const JOBS: u64 = 40;
 
-/// A desk at which tasks of many jobs have ended since the last write.
-fn busy() -> Desk {
-    busy_with(JOBS)
+/// A harness in which tasks of many jobs have ended since the last write.
+fn harness_with_run_ends() -> SchedulerHarness {
+    harness_with_run_ends_of(JOBS)
 }
 
-fn busy_with(jobs: u64) -> Desk {
-    let mut desk = Desk::new(8, OwnerTerm::default());
+fn harness_with_run_ends_of(jobs: u64) -> SchedulerHarness {
+    let mut harness = SchedulerHarness::new(8, OwnerTerm::default());
     for job in 1..=jobs {
-        desk.submit(job, vec![step(2, 1, &[])]);
+        harness.submit(job, vec![step(2, 1, &[])]);
     }
-    desk.pass(ms(300));
-    let running = std::mem::take(&mut desk.running);
+    harness.run_for(ms(300));
+    let running = std::mem::take(&mut harness.running);
     for (slot, mut runs) in running {
         runs.sort_unstable();
-        let (ended, left): (Vec<_>, Vec<_>) =
+        let (ended, remaining): (Vec<_>, Vec<_>) =
             runs.into_iter().partition(|(task, _)| task.index == 0);
         let row = |(number, (task, run))| EndedRun {
             number,
@@ -39,47 +39,51 @@
             checkpoint: None,
         };
         let ended = (1..).zip(ended).map(row).collect();
-        desk.running.insert(slot, left);
-        let poll = PollResponse { clock: desk.now, ended, ..PollResponse::default() };
-        desk.scheduler.handle_poll_response(slot, false, desk.now, desk.now, poll);
+        harness.running.insert(slot, remaining);
+        let poll = PollResponse { clock: harness.now, ended, ..PollResponse::default() };
+        harness.scheduler.handle_poll_response(slot, false, harness.now, harness.now, poll);
     }
-    desk
+    harness
 }
 
-fn holds(flush: &WriteBatch, job: JobId) -> bool {
-    flush.puts.iter().any(|(key, _)| *key == state_key(job))
+fn contains_state(batch: &WriteBatch, job: JobId) -> bool {
+    batch.puts.iter().any(|(key, _)| *key == state_key(job))
 }
 
 #[test]
-fn a_start_that_waits_for_the_store_does_not_queue_behind_the_progress_of_others() {
-    let mut desk = busy();
+fn a_start_is_written_before_the_progress_of_other_jobs() {
+    let mut harness = harness_with_run_ends();
     let new = JOBS + 1;
-    desk.submit(new, vec![step(1, 1, &[])]);
-    let _ = desk.scheduler.plan(ms(0), desk.now);
-    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    assert!(holds(&flush, new));
+    harness.submit(new, vec![step(1, 1, &[])]);
+    let _ = harness.scheduler.plan(ms(0), harness.now);
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    assert!(contains_state(&batch, new));
 }
 
 #[test]
-fn the_ends_that_wait_longest_are_written_though_starts_wait() {
-    let mut desk = busy();
+fn the_oldest_run_ends_are_written_even_while_starts_wait() {
+    let mut harness = harness_with_run_ends();
     for new in JOBS + 1..JOBS + 50 {
-        desk.submit(new, vec![step(1, 1, &[])]);
+        harness.submit(new, vec![step(1, 1, &[])]);
     }
-    let _ = desk.scheduler.plan(ms(0), desk.now);
-    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    assert!((1..=JOBS).any(|job| holds(&flush, job)));
-    assert_eq!(desk.scheduler.write_urgency(), WriteUrgency::High, "more starts wait");
+    let _ = harness.scheduler.plan(ms(0), harness.now);
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    assert!((1..=JOBS).any(|job| contains_state(&batch, job)));
+    assert_eq!(
+        harness.scheduler.write_urgency(),
+        WriteUrgency::High,
+        "more starts wait for a write"
+    );
 }
 
 #[test]
-fn a_worker_that_comes_has_few_others_written_again() {
-    let mut desk = Desk::new(600, OwnerTerm::default());
+fn a_new_worker_causes_few_other_workers_to_be_rewritten() {
+    let mut harness = SchedulerHarness::new(600, OwnerTerm::default());
     let capacity = cores(16);
     let entries = (0..601).map(|number| EmulatedWorker::new(number, capacity).entry());
-    desk.scheduler.set_workers(entries.collect(), desk.now);
-    let flush = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    let parts = flush.puts.iter().filter(|(key, _)| key.starts_with(WORKERS_PREFIX));
+    harness.scheduler.set_workers(entries.collect(), harness.now);
+    let batch = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    let parts = batch.puts.iter().filter(|(key, _)| key.starts_with(WORKERS_PREFIX));
     let written = parts.map(|(_, bytes)| {
         let workers: Vec<WorkerRecord> = serde_json::from_slice(bytes).expect("workers");
         workers.len()
@@ -88,43 +92,43 @@
     assert!((1..=40).contains(&written), "{written} workers");
 }
 
-/// Jobs of which more than one write at a time is made.
+/// Number of jobs for which several writes are in flight at the same time.
 const MANY_JOBS: u64 = 60;
 
-/// The highest end that is acknowledged to any worker.
-fn acknowledged(desk: &mut Desk) -> u64 {
-    let now = desk.now;
-    let looks = (0..8).map(|slot| desk.scheduler.poll_request(slot, true, now));
-    looks.map(|poll| poll.acknowledged).max().expect("workers")
+/// Highest run end that is acknowledged to any worker.
+fn acknowledged(harness: &mut SchedulerHarness) -> u64 {
+    let now = harness.now;
+    let polls = (0..8).map(|slot| harness.scheduler.poll_request(slot, true, now));
+    polls.map(|poll| poll.acknowledged).max().expect("workers")
 }
 
 #[test]
-fn an_end_is_acknowledged_only_when_no_older_one_is_in_a_write_under_way() {
-    let mut desk = busy_with(MANY_JOBS);
-    let first = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    let second = desk.scheduler.next_write_batch(desk.now).expect("another write beside it");
-    desk.scheduler.handle_write_committed(&second, desk.now);
-    assert_eq!(acknowledged(&mut desk), 0);
-    desk.scheduler.handle_write_committed(&first, desk.now);
-    assert!(acknowledged(&mut desk) > 0);
+fn a_run_end_is_acknowledged_only_when_no_older_one_is_in_a_write_in_flight() {
+    let mut harness = harness_with_run_ends_of(MANY_JOBS);
+    let first = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    let second = harness.scheduler.next_write_batch(harness.now).expect("a second write in flight");
+    harness.scheduler.handle_write_committed(&second, harness.now);
+    assert_eq!(acknowledged(&mut harness), 0);
+    harness.scheduler.handle_write_committed(&first, harness.now);
+    assert!(acknowledged(&mut harness) > 0);
 }
 
 #[test]
-fn a_state_does_not_overtake_an_older_one_of_its_job_that_is_under_way() {
-    let mut desk = busy_with(MANY_JOBS);
-    let first = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    let job = (1..=MANY_JOBS).find(|job| holds(&first, *job)).expect("a state");
-    desk.scheduler.cancel(job, desk.now);
-    let second = desk.scheduler.next_write_batch(desk.now).expect("another write beside it");
-    assert!(!holds(&second, job));
-    desk.scheduler.handle_write_committed(&first, desk.now);
-    let third = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    assert!(holds(&third, job));
+fn a_state_is_not_written_while_an_older_one_of_its_job_is_in_flight() {
+    let mut harness = harness_with_run_ends_of(MANY_JOBS);
+    let first = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    let job = (1..=MANY_JOBS).find(|job| contains_state(&first, *job)).expect("a state");
+    harness.scheduler.cancel(job, harness.now);
+    let second = harness.scheduler.next_write_batch(harness.now).expect("a second write in flight");
+    assert!(!contains_state(&second, job));
+    harness.scheduler.handle_write_committed(&first, harness.now);
+    let third = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    assert!(contains_state(&third, job));
 }
 
 #[test]
-fn a_few_states_wait_for_the_write_that_is_under_way() {
-    let mut desk = busy();
-    let _first = desk.scheduler.next_write_batch(desk.now).expect("a write");
-    assert_eq!(desk.scheduler.next_write_batch(desk.now), None);
+fn a_few_states_wait_for_the_write_in_flight() {
+    let mut harness = harness_with_run_ends();
+    let _first = harness.scheduler.next_write_batch(harness.now).expect("a write");
+    assert_eq!(harness.scheduler.next_write_batch(harness.now), None);
 }
