--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -296,8 +296,8 @@
         scheduler
     }
 
-    /// Longest time for which a run continues after a command that extended its lease: 3 % more than
-    /// the lease, since the clock of a worker may be slow.
+    /// Longest time for which a run continues after a command that extended its lease: 3 % more
+    /// than the lease, since the clock of a worker may be slow.
     fn lease_max_with_skew(&self) -> Duration {
         self.settings.lease_max * 103 / 100
     }
