--- a/crates/fleet/src/advance.rs
+++ b/crates/fleet/src/advance.rs
@@ -3,7 +3,7 @@
 //! A drain completes when every entry instance has confirmed it and no request runs on the
 //! instance. If the drain of a healthy instance times out, the instance goes back into service and
 //! its requests continue. If the drain of a failing instance times out, which takes at least the
-//! longest deadline of its requests, the instance is rebooted.
+//! longest deadline of its requests, the instance is rebooted as soon as the drain is confirmed.
 
 use std::time::Duration;
 
