--- a/crates/jobs/src/arrivals.rs
+++ b/crates/jobs/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! How much work arrives for each service, and how that changes.
+//! Arrival rate of work per service, and its trend.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -6,27 +6,28 @@
 use cassiafold_config::ServiceId;
 use cassiafold_platform::Moment;
 
-/// Length of a bin of arrivals.
-const BIN: Duration = Duration::from_millis(125);
-/// Bins over which the present rate is taken. As many before them tell how it changes.
+/// Width of a bin of arrivals.
+const BIN_WIDTH: Duration = Duration::from_millis(125);
+/// Bins in the current window, over which the arrival rate is taken. The window before it has as
+/// many, for the trend.
 const RATE_BINS: usize = 6;
 
-/// Work that arrives for each service.
+/// Recent arrivals of work per service.
 #[derive(Debug, Default)]
 pub struct Arrivals {
-    services: HashMap<ServiceId, Recent>,
+    services: HashMap<ServiceId, RecentArrivals>,
 }
 
-/// Work of one job.
+/// Estimated work of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Work {
-    /// All its work.
+    /// Total work, in core-seconds.
     pub core_seconds: f64,
-    /// Most cores that it can use at once.
+    /// Most cores that the job can use at once.
     pub cores_max: f64,
 }
 
-/// What arrived within one bin.
+/// Arrivals within one bin.
 #[derive(Debug)]
 struct Bin {
     number: u128,
@@ -36,49 +37,49 @@
     largest: Work,
 }
 
-/// Bins in which something arrived, the latest last.
+/// Bins with arrivals, latest last.
 #[derive(Debug, Default)]
-struct Recent {
+struct RecentArrivals {
     bins: VecDeque<Bin>,
 }
 
-/// Jobs that arrived in two windows, one after the other.
+/// Number of jobs that arrived in two consecutive windows.
 #[derive(Debug, Clone, Copy)]
 struct Counts {
-    before: f64,
-    present: f64,
+    previous: f64,
+    current: f64,
 }
 
 fn bin_of(now: Moment) -> u128 {
-    now.as_millis() / BIN.as_millis()
+    now.as_millis() / BIN_WIDTH.as_millis()
 }
 
-/// The first of the `count` bins that end at `now`.
+/// Number of the first of the `count` bins that end at `now`.
 fn first_bin(now: Moment, count: usize) -> u128 {
     bin_of(now).saturating_sub(count as u128 - 1)
 }
 
 fn window() -> Duration {
-    BIN.mul_f64(RATE_BINS as f64)
+    BIN_WIDTH.mul_f64(RATE_BINS as f64)
 }
 
 impl Counts {
-    /// How many jobs more there are in the present window, as far as it is more than chance.
-    fn rise(self) -> f64 {
-        (self.present - self.before - self.chance()).max(0.0)
+    /// Increase of the number of jobs from one window to the next, beyond random variation.
+    fn excess_increase(self) -> f64 {
+        (self.current - self.previous - self.random_variation()).max(0.0)
     }
 
     fn is_falling(self) -> bool {
-        self.before - self.present > self.chance()
+        self.previous - self.current > self.random_variation()
     }
 
-    /// Standard deviation of the difference where demand is steady.
-    fn chance(self) -> f64 {
-        (self.before + self.present).sqrt()
+    /// Standard deviation of the difference at a steady arrival rate.
+    fn random_variation(self) -> f64 {
+        (self.previous + self.current).sqrt()
     }
 }
 
-impl Recent {
+impl RecentArrivals {
     fn record(&mut self, work: Work, now: Moment) {
         let first = first_bin(now, 2 * RATE_BINS);
         while self.bins.front().is_some_and(|bin| bin.number < first) {
@@ -100,22 +101,23 @@
         }
     }
 
-    /// The bins of the present window.
-    fn present(&self, now: Moment) -> impl Iterator<Item = &Bin> {
+    /// Bins of the current window.
+    fn current_bins(&self, now: Moment) -> impl Iterator<Item = &Bin> {
         let first = first_bin(now, RATE_BINS);
         self.bins.iter().filter(move |bin| bin.number >= first)
     }
 
-    /// Rate of the present window, in cores.
+    /// Arrival rate over the current window, in cores.
     ///
-    /// Answers the load pattern of a single large job: it counts with the cores that it can use
-    /// and not with all its work, which its steps do one after the other.
+    /// The largest job counts at most with the cores that it can use, not with its total work,
+    /// which its steps do one after the other. Otherwise a single large job would raise the rate
+    /// too far.
     fn rate(&self, now: Moment) -> f64 {
         let window_s = window().as_secs_f64();
-        let largest = self.present(now).map(|bin| bin.largest);
+        let largest = self.current_bins(now).map(|bin| bin.largest);
         let largest = largest.max_by(|a, b| a.core_seconds.total_cmp(&b.core_seconds));
         let largest = largest.unwrap_or_default();
-        let all: f64 = self.present(now).map(|bin| bin.core_seconds).sum();
+        let all: f64 = self.current_bins(now).map(|bin| bin.core_seconds).sum();
         let others = all - largest.core_seconds;
         others / window_s + (largest.core_seconds / window_s).min(largest.cores_max)
     }
@@ -124,36 +126,36 @@
         let first = first_bin(now, 2 * RATE_BINS);
         let both = self.bins.iter().filter(|bin| bin.number >= first);
         let both: f64 = both.map(|bin| f64::from(bin.jobs)).sum();
-        let present = self.present(now).map(|bin| f64::from(bin.jobs)).sum();
-        Counts { before: both - present, present }
+        let current = self.current_bins(now).map(|bin| f64::from(bin.jobs)).sum();
+        Counts { previous: both - current, current }
     }
 }
 
 impl Arrivals {
-    /// Notes a job with its estimated work.
+    /// Records a job's estimated work.
     pub fn record(&mut self, service: &ServiceId, work: Work, now: Moment) {
         self.services.entry(service.clone()).or_default().record(work, now);
     }
 
-    /// Rate at which work arrives for a service, in cores.
+    /// Arrival rate of work of a service, in cores.
     pub fn rate(&self, service: &str, now: Moment) -> f64 {
         self.services.get(service).map_or(0.0, |recent| recent.rate(now))
     }
 
-    /// Rate at which work will arrive for a service after `lead` if it goes on rising as it does,
-    /// in cores.
+    /// Arrival rate of work of a service after `lead`, in cores, if it goes on rising as it does
+    /// now.
     ///
-    /// Answers the load pattern of demand that rises for some seconds: machines that are ordered
-    /// by the present rate come too late for it. A rise counts as far as it exceeds what chance
-    /// brings in numbers of jobs.
+    /// Machines that are commanded by the current rate arrive too late for demand that rises over
+    /// several seconds. An increase counts only as far as it exceeds the random variation of the
+    /// number of jobs.
     pub fn predicted_rate(&self, service: &str, lead: Duration, now: Moment) -> f64 {
         let Some(recent) = self.services.get(service) else { return 0.0 };
         let counts = recent.counts(now);
         let windows = lead.as_secs_f64() / window().as_secs_f64();
-        recent.rate(now) * (1.0 + counts.rise() / counts.present.max(1.0) * windows)
+        recent.rate(now) * (1.0 + counts.excess_increase() / counts.current.max(1.0) * windows)
     }
 
-    /// Whether fewer jobs arrive for a service than a moment ago, by more than chance brings.
+    /// Whether the number of arriving jobs falls, beyond random variation.
     pub fn is_falling(&self, service: &str, now: Moment) -> bool {
         self.services.get(service).is_some_and(|recent| recent.counts(now).is_falling())
     }
--- a/crates/jobs/src/balance.rs
+++ b/crates/jobs/src/balance.rs
@@ -1,4 +1,4 @@
-//! How many machines each service should have, and which machines move.
+//! Number of machines that each service needs, and the choice of machines to move.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -7,25 +7,25 @@
 use cassiafold_config::{InstanceId, ServiceId};
 use cassiafold_platform::Moment;
 
-/// Part of a machine's processors that short tasks can fill.
+/// Part of a machine's CPU that short tasks can use.
 const USABLE_PART: f64 = 0.9;
-/// Time within which waiting work should be done, in seconds.
+/// Time within which waiting work is to be done, in seconds.
 const BACKLOG_TIME_S: f64 = 1.5;
 /// Machines that a service keeps beyond its need.
 pub const SURPLUS_MACHINES: usize = 1;
 
-/// What a service asks of its machines, in cores.
+/// Load of a service, in cores unless the field says otherwise.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Rate at which work arrives.
+    /// Arrival rate of work.
     pub arriving: f64,
-    /// Short tasks that run.
+    /// Running short tasks.
     pub running: f64,
-    /// Work of short tasks that wait, in core-seconds.
+    /// Work of waiting short tasks, in core-seconds.
     pub waiting_core_s: f64,
     /// Long-running tasks.
     pub long_running: f64,
-    /// Rate at which work will arrive when a machine that is ordered now has come.
+    /// Predicted arrival rate of work when a machine that is commanded now becomes available.
     pub expected: f64,
 }
 
@@ -40,82 +40,81 @@
 impl Load {
     /// Cores that serve this load without a lasting queue.
     ///
-    /// Answers the load pattern of a turn: the rate decides, and what has queued up before the
-    /// machines came is worked off within a second or two.
+    /// The arrival rate decides. What queued up before the machines became available is done within
+    /// a second or two.
     pub fn cores(&self) -> f64 {
         let rate = self.arriving.max(self.running).max(self.expected);
         self.long_running + (rate + self.waiting_core_s / BACKLOG_TIME_S) / USABLE_PART
     }
 }
 
-/// How long a need counts after it was last seen, before machines go to the spare pool.
-const NEED_MEMORY: Duration = Duration::from_millis(2_500);
+/// How long a past need counts before machines go to the spare pool.
+const NEED_RETENTION: Duration = Duration::from_millis(2_500);
 
-/// The same while demand falls.
-const FALLING_MEMORY: Duration = Duration::from_millis(500);
+/// How long a past need counts while demand falls.
+const FALLING_NEED_RETENTION: Duration = Duration::from_millis(500);
 
-/// The greatest need of a service within the last seconds.
+/// Greatest need of a service in the last seconds.
 ///
-/// Answers the load pattern of demand that dips for a moment within a turn: machines that would
-/// be wanted back at once stay.
+/// Keeps the machines through a short dip of the demand, since they would be needed again at once.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PeakNeed {
-    seen: VecDeque<(Moment, usize)>,
-    /// Whether demand has been seen to fall.
+    needs: VecDeque<(Moment, usize)>,
+    /// Whether demand has fallen since the first need was recorded.
     has_fallen: bool,
 }
 
 impl PeakNeed {
-    /// Notes a need and returns the greatest one that still counts; while demand falls, fewer of
-    /// the earlier ones do.
+    /// Records a need and returns the greatest one that still counts. While demand falls, past
+    /// needs count for a shorter time.
     pub fn record(&mut self, needed: usize, is_falling: bool, now: Moment) -> usize {
-        self.seen.push_back((now, needed));
-        while self.seen.front().is_some_and(|(at, _)| now >= *at + NEED_MEMORY) {
-            self.seen.pop_front();
+        self.needs.push_back((now, needed));
+        while self.needs.front().is_some_and(|(at, _)| now >= *at + NEED_RETENTION) {
+            self.needs.pop_front();
         }
         self.has_fallen |= is_falling;
-        let memory = if is_falling { FALLING_MEMORY } else { NEED_MEMORY };
-        let counting = self.seen.iter().filter(|(at, _)| now < *at + memory);
-        counting.map(|(_, needed)| *needed).max().unwrap_or(needed)
+        let retention = if is_falling { FALLING_NEED_RETENTION } else { NEED_RETENTION };
+        let counted = self.needs.iter().filter(|(at, _)| now < *at + retention);
+        counted.map(|(_, needed)| *needed).max().unwrap_or(needed)
     }
 
-    /// Whether demand has been seen to fall since the first need was noted.
+    /// Whether demand has fallen since the first need was recorded.
     ///
-    /// Answers the load pattern of demand that has not come yet: the machines that a service was
-    /// given at first are all that it has when it comes.
+    /// Before that, demand may not have started yet, and the machines that a service was given
+    /// initially are all that it has when demand starts.
     pub fn has_fallen(&self) -> bool {
         self.has_fallen
     }
 }
 
-/// A service and its machines.
+/// A service with its machines and its need.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Pool {
     /// Whether its machines are off.
     pub is_spare: bool,
-    /// Whether it may lose machines to the spare pool; to a service that wants them it always
-    /// may.
+    /// Whether machines may move to the spare pool. They may always move to a service that needs
+    /// them.
     pub may_shrink: bool,
-    /// Machines that it will have once all orders are carried out.
+    /// Number of machines once all commanded moves are done.
     pub machines: usize,
-    /// Machines that can leave at once: nothing runs there.
+    /// Machines on which nothing runs, and which can therefore move now.
     pub idle: Vec<InstanceId>,
-    /// Machines that it needs.
+    /// Number of machines that it needs.
     pub needed: usize,
-    /// What it asks of them.
+    /// Load of the service.
     pub load: Load,
 }
 
-/// A machine that moves.
+/// Move of a machine to another service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Move {
     /// The machine.
     pub machine: InstanceId,
-    /// Service that it moves to.
+    /// Service to which it moves.
     pub service: ServiceId,
 }
 
-/// Number of machines of `cores_each` that give `cores`.
+/// Number of machines with `cores_each` cores that provide `cores`.
 pub fn machines_for(cores: f64, cores_each: f64) -> usize {
     if cores_each <= 0.0 {
         return 0;
@@ -123,33 +122,32 @@
     (cores / cores_each).ceil().max(0.0) as usize
 }
 
-/// Chooses the moves that bring machines to where they are needed, and idle ones to the spare
-/// pool.
+/// Chooses the moves of machines to services that need them, and of idle machines to the spare
+/// pool; at most `moves_max`.
 ///
-/// Answers the load pattern of services that ask in turn for more than they have: the one with
-/// the greatest want is served first, from the spare pool before others' idle machines. At most
-/// `moves_max` are chosen.
+/// The service that lacks most machines comes first. It gets spare machines before idle ones of
+/// other services. This suits demand peaks that pass from one service to another.
 pub fn choose_moves(pools: &BTreeMap<ServiceId, Pool>, moves_max: usize) -> Vec<Move> {
     let mut pools = pools.clone();
     let mut moves = Vec::new();
     while moves.len() < moves_max
-        && let Some(service) = most_wanting(&pools)
+        && let Some(service) = neediest_service(&pools)
     {
         let Some(donor) = donor(&pools, &service) else { break };
-        moves.extend(shift(&mut pools, &donor, &service));
+        moves.extend(move_machine(&mut pools, &donor, &service));
     }
-    let Some(spare) = spare_of(&pools) else { return moves };
+    let Some(spare) = spare_service(&pools) else { return moves };
     while moves.len() < moves_max
-        && let Some(donor) = most_idle(&pools)
+        && let Some(donor) = largest_surplus(&pools)
     {
-        moves.extend(shift(&mut pools, &donor, &spare));
+        moves.extend(move_machine(&mut pools, &donor, &spare));
     }
     moves
 }
 
-fn most_wanting(pools: &BTreeMap<ServiceId, Pool>) -> Option<ServiceId> {
-    let wanting = pools.iter().filter(|(_, pool)| !pool.is_spare && pool.machines < pool.needed);
-    let most = wanting.max_by_key(|(_, pool)| pool.needed - pool.machines);
+fn neediest_service(pools: &BTreeMap<ServiceId, Pool>) -> Option<ServiceId> {
+    let short = pools.iter().filter(|(_, pool)| !pool.is_spare && pool.machines < pool.needed);
+    let most = short.max_by_key(|(_, pool)| pool.needed - pool.machines);
     most.map(|(service, _)| service.clone())
 }
 
@@ -158,8 +156,8 @@
     if let Some((service, _)) = spare {
         return Some(service.clone());
     }
-    let giving = pools.iter().filter(|(service, pool)| *service != to && has_surplus(pool));
-    let most = giving.max_by_key(|(_, pool)| (pool.may_shrink, pool.machines - pool.needed));
+    let donors = pools.iter().filter(|(service, pool)| *service != to && has_surplus(pool));
+    let most = donors.max_by_key(|(_, pool)| (pool.may_shrink, pool.machines - pool.needed));
     most.map(|(service, _)| service.clone())
 }
 
@@ -167,20 +165,24 @@
     !pool.is_spare && !pool.idle.is_empty() && pool.machines > pool.needed + SURPLUS_MACHINES
 }
 
-fn most_idle(pools: &BTreeMap<ServiceId, Pool>) -> Option<ServiceId> {
-    let giving = pools.iter().filter(|(_, pool)| pool.may_shrink && has_surplus(pool));
-    let most = giving.max_by_key(|(_, pool)| pool.machines - pool.needed);
+fn largest_surplus(pools: &BTreeMap<ServiceId, Pool>) -> Option<ServiceId> {
+    let donors = pools.iter().filter(|(_, pool)| pool.may_shrink && has_surplus(pool));
+    let most = donors.max_by_key(|(_, pool)| pool.machines - pool.needed);
     most.map(|(service, _)| service.clone())
 }
 
-fn spare_of(pools: &BTreeMap<ServiceId, Pool>) -> Option<ServiceId> {
+fn spare_service(pools: &BTreeMap<ServiceId, Pool>) -> Option<ServiceId> {
     pools.iter().find(|(_, pool)| pool.is_spare).map(|(service, _)| service.clone())
 }
 
-fn shift(pools: &mut BTreeMap<ServiceId, Pool>, from: &ServiceId, to: &ServiceId) -> Option<Move> {
-    let giving = pools.get_mut(from)?;
-    let machine = giving.idle.pop()?;
-    giving.machines = giving.machines.saturating_sub(1);
+fn move_machine(
+    pools: &mut BTreeMap<ServiceId, Pool>,
+    from: &ServiceId,
+    to: &ServiceId,
+) -> Option<Move> {
+    let source = pools.get_mut(from)?;
+    let machine = source.idle.pop()?;
+    source.machines = source.machines.saturating_sub(1);
     pools.get_mut(to)?.machines += 1;
     Some(Move { machine, service: to.clone() })
 }
--- a/crates/jobs/src/coalescing.rs
+++ b/crates/jobs/src/coalescing.rs
@@ -1,4 +1,4 @@
-//! How long a busy process lets news gather before it looks at its sockets again.
+//! Coalescing of wakeups: a busy process delays polling its sockets, to handle messages in batches.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,23 +6,23 @@
 
 use cassiafold_platform::Moment;
 
-/// Messages a second from which on news gathers.
-const BUSY_MESSAGES_PER_S: f64 = 500.0;
-/// Time for which news gathers.
+/// Message rate per second from which wakeups are delayed.
+const COALESCING_MESSAGES_PER_S: f64 = 500.0;
+/// Delay of a wakeup.
 const COALESCING_DELAY: Duration = Duration::from_millis(4);
-/// Time over which messages are counted.
-const COUNT_TIME: Duration = Duration::from_millis(50);
+/// Interval over which messages are counted.
+const COUNT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The time for which news gathers, shared by the owner's loop, which knows the load, and by the
-/// runtime, which waits. Clones share it.
+/// Delay of wakeups. The owner's loop, which knows the message rate, sets it, and the runtime
+/// applies it. Clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct WakeupCoalescing {
     delay_us: Arc<AtomicU64>,
 }
 
 impl WakeupCoalescing {
-    /// Lets news gather if the process is busy. The runtime of one thread calls it before it waits
-    /// for its sockets: nothing else is to be done then.
+    /// Sleeps for the delay, if the process is busy. The single-threaded runtime calls it before it
+    /// waits for its sockets, when it has nothing else to do.
     pub fn wait(&self) {
         let delay_us = self.delay_us.load(Ordering::Relaxed);
         if delay_us > 0 {
@@ -36,16 +36,16 @@
     }
 }
 
-/// How long news gathers at a rate of messages.
+/// Delay of wakeups at a message rate.
 ///
-/// Answers the load pattern of hundreds of workers that answer at any moment: a process that wakes
-/// for each answer spends its time on waking. What comes within a few milliseconds is taken in
+/// With hundreds of workers that respond at random moments, a process that wakes up for each
+/// response spends its time on wakeups. Messages that arrive within a few milliseconds are handled
 /// together.
 pub fn coalescing_delay(messages_per_s: f64) -> Duration {
-    if messages_per_s < BUSY_MESSAGES_PER_S { Duration::ZERO } else { COALESCING_DELAY }
+    if messages_per_s < COALESCING_MESSAGES_PER_S { Duration::ZERO } else { COALESCING_DELAY }
 }
 
-/// Counts messages and sets the time for which news gathers; none any more once it is dropped.
+/// Counts messages and sets the delay of wakeups; resets it to zero when dropped.
 #[derive(Debug)]
 pub(crate) struct MessageRate {
     coalescing: WakeupCoalescing,
@@ -63,11 +63,11 @@
     }
 
     pub(crate) fn update(&mut self, now: Moment) {
-        let length = now.saturating_sub(self.since);
-        if length < COUNT_TIME {
+        let interval = now.saturating_sub(self.since);
+        if interval < COUNT_INTERVAL {
             return;
         }
-        self.coalescing.set(coalescing_delay(f64::from(self.messages) / length.as_secs_f64()));
+        self.coalescing.set(coalescing_delay(f64::from(self.messages) / interval.as_secs_f64()));
         self.since = now;
         self.messages = 0;
     }
--- a/crates/jobs/src/delay.rs
+++ b/crates/jobs/src/delay.rs
@@ -1,24 +1,24 @@
-//! Why tasks that could run do not, and for how long.
+//! Time for which ready tasks of a job wait, by cause.
 
 use std::fmt;
 use std::time::Duration;
 
-/// What tasks that are ready wait for.
+/// What a ready task waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DelayCause {
-    /// The store has not yet been told that the job begins.
+    /// The store doesn't record yet that the job has started.
     Store,
-    /// It is not known what an earlier owner has started.
+    /// It is not known which runs a previous owner has started.
     PreviousOwner,
-    /// Too little time has passed since a run failed or was refused.
+    /// The delay after a failed or refused run has not passed.
     Retry,
-    /// The team has as much running as it may.
+    /// The team has reached its quota.
     Limit,
-    /// No worker has room, or none may run the task.
+    /// No worker that may run the task has enough free capacity.
     Capacity,
 }
 
-/// Time for which a job had ready tasks that waited, by cause.
+/// Time for which a job had waiting ready tasks, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Delays {
     store: Duration,
@@ -29,7 +29,7 @@
 }
 
 impl Delays {
-    /// Adds a time.
+    /// Adds to the time of a cause.
     pub fn add(&mut self, cause: DelayCause, time: Duration) {
         let sum = match cause {
             DelayCause::Store => &mut self.store,
--- a/crates/jobs/src/metrics.rs
+++ b/crates/jobs/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics of the desk and of the owner.
+//! Metrics of the job API and of the owner.
 //!
-//! Labels are queues, teams and outcomes; queues and teams come from the configuration, which
+//! Labels are queues, teams and outcomes. Queues and teams come from the configuration, which
 //! bounds their number.
 
 use std::sync::Arc;
@@ -21,28 +21,28 @@
 const FIRST_BUCKET_S: f64 = 0.002;
 /// Number of buckets, each twice as wide as the one before.
 const BUCKETS: u16 = 12;
-/// Label of calls without queue or team.
+/// Label value of calls without queue or team.
 const NONE: &str = "none";
 
 /// Labels of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// What was asked for.
+    /// Kind of the request.
     pub call: &'static str,
     /// The queue.
     pub queue: Arc<str>,
     /// The team.
     pub team: Arc<str>,
-    /// How it was answered.
+    /// Outcome of the request.
     pub outcome: &'static str,
 }
 
-/// Label of an outcome.
+/// Labels of an outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
-    /// Kind of the order.
+    /// Kind of the request or command.
     pub order: &'static str,
-    /// Its outcome.
+    /// Outcome of the request or command.
     pub outcome: &'static str,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl JobsMetrics {
-    /// Adds all metrics to a registry.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("calls", "Requests of callers", self.calls.clone());
         registry.register_with_unit(
@@ -102,7 +102,7 @@
         );
     }
 
-    /// Counts a caller's request.
+    /// Records a caller's request.
     pub fn record_call(
         &self,
         call: &'static str,
@@ -118,7 +118,7 @@
         self.call_seconds.get_or_create(&labels).observe(taken.as_secs_f64());
     }
 
-    /// Counts an order to a worker.
+    /// Counts a command to a worker.
     pub fn count_command(&self, order: &'static str, outcome: CommandOutcome) {
         let outcome = match outcome {
             CommandOutcome::Accepted => "accepted",
@@ -129,7 +129,7 @@
         self.orders.get_or_create(&OutcomeLabels { order, outcome }).inc();
     }
 
-    /// Counts an order to a machine.
+    /// Counts a command to a machine.
     pub fn count_machine_command(&self, order: &'static str, outcome: MachineOutcome) {
         let outcome = match outcome {
             MachineOutcome::Accepted => "accepted",
@@ -141,7 +141,7 @@
         self.orders.get_or_create(&OutcomeLabels { order, outcome }).inc();
     }
 
-    /// Counts a look at a worker.
+    /// Counts a poll of a worker.
     pub fn count_poll(&self, is_answered: bool) {
         let outcome = if is_answered { "answered" } else { "failed" };
         self.orders.get_or_create(&OutcomeLabels { order: "look", outcome }).inc();
@@ -160,7 +160,7 @@
         self.ends.get_or_create(&OutcomeLabels { order: "run", outcome }).inc();
     }
 
-    /// Notes that this instance has become the owner, or is no longer.
+    /// Records whether this instance is the owner.
     pub fn set_is_owner(&self, owns: bool) {
         self.owns.set(i64::from(owns));
         if owns {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Notes the configuration in force.
+    /// Records the version of the configuration in force.
     pub fn set_config_version(&self, version: u64) {
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
     }
--- a/crates/jobs/src/outage.rs
+++ b/crates/jobs/src/outage.rs
@@ -1,11 +1,11 @@
-//! One log line when a dependency is lost, and one when it is regained.
+//! Logs when the store becomes unavailable and when it is available again, once each.
 
 use cassiafold_event::emit;
 use cassiafold_platform::StoreError;
 
 use crate::event::JobsEvent;
 
-/// Whether the store answers one of its users.
+/// Log of the store's outages, for one user of the store.
 #[derive(Debug)]
 pub struct OutageLog {
     user: &'static str,
@@ -13,12 +13,12 @@
 }
 
 impl OutageLog {
-    /// No outage, for a user of the store.
+    /// A log without an outage, for a user of the store.
     pub fn new(user: &'static str) -> Self {
         Self { user, failures: 0 }
     }
 
-    /// Notes a failed call.
+    /// Records a failed call.
     pub fn record_failure(&mut self, error: &StoreError) {
         if self.failures == 0 {
             emit!(JobsEvent::StoreLost, user = self.user, error = error);
@@ -26,7 +26,7 @@
         self.failures += 1;
     }
 
-    /// Notes a call that succeeded.
+    /// Records a successful call.
     pub fn record_success(&mut self) {
         if self.failures > 0 {
             emit!(JobsEvent::StoreRegained, user = self.user, failures = self.failures);
--- a/crates/jobs/src/placement.rs
+++ b/crates/jobs/src/placement.rs
@@ -1,39 +1,39 @@
-//! On which worker a task is started.
+//! Choice of the worker on which a task starts.
 
 use std::sync::Arc;
 
 use crate::job::WorkerSlot;
 use crate::spec::Resources;
 
-/// A worker as the placement sees it.
+/// A worker that may be chosen.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
     /// The worker.
     pub slot: WorkerSlot,
-    /// All its resources.
+    /// Total resources.
     pub capacity: Resources,
-    /// What is free of them.
+    /// Resources that are not reserved.
     pub free: Resources,
-    /// Its labels, of which the second names its rack.
+    /// Labels: the machine type, then the rack.
     pub labels: Arc<[Arc<str>]>,
-    /// Tasks of the same step there.
+    /// Tasks of the same step on it.
     pub same_step: u32,
-    /// Tasks there that run until their jobs are cancelled.
+    /// Long-running tasks on it.
     pub long_running: u32,
-    /// Tasks there that serve users.
+    /// Tasks on it that serve users.
     pub serving: u32,
-    /// Tasks there that run on what others leave unused.
+    /// Opportunistic tasks on it.
     pub opportunistic: u32,
-    /// Whether most of what it ran lately failed there.
+    /// Whether most of the recent runs on it failed.
     pub is_suspect: bool,
-    /// Whether its machine is still to be maintained in a wave.
+    /// Whether its machine has yet to be maintained in a wave.
     pub is_maintenance_due: bool,
 }
 
-/// What a task asks for.
+/// What a task requires of its worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskRequirements {
-    /// Resources that it takes from a worker's room.
+    /// Resources that it reserves.
     pub reserved: Resources,
     /// Label that the worker must have.
     pub label: Option<Arc<str>>,
@@ -43,29 +43,29 @@
     pub per_worker_max: Option<u32>,
     /// Whether it runs until its job is cancelled.
     pub long_running: bool,
-    /// Whether it serves users of its own.
+    /// Whether it serves users.
     pub serves: bool,
-    /// Whether it runs on what others leave unused.
+    /// Whether it runs on CPU time that other tasks leave unused.
     pub opportunistic: bool,
 }
 
 impl Candidate {
-    /// Whether a task may be started there now.
+    /// Whether a task may start on it now.
     fn admits(&self, requirements: &TaskRequirements) -> bool {
         requirements.reserved.fits(&self.free) && self.qualifies(requirements)
     }
 
-    /// Whether a task may run there at all, once there is room.
+    /// Whether a task may run on it once there is enough free capacity.
     fn qualifies(&self, requirements: &TaskRequirements) -> bool {
-        let labelled = requirements.label.as_ref().is_none_or(|label| self.labels.contains(label));
-        let apart = requirements.per_worker_max.is_none_or(|most| self.same_step < most);
-        labelled && apart
+        let has_label = requirements.label.as_ref().is_none_or(|label| self.labels.contains(label));
+        let is_below_max = requirements.per_worker_max.is_none_or(|most| self.same_step < most);
+        has_label && is_below_max
     }
 
-    /// Rank of the worker for a task; the lowest is taken.
+    /// Rank of the worker for a task; the lowest rank is chosen.
     fn rank(&self, requirements: &TaskRequirements, avoided_workers: &[WorkerSlot]) -> Rank {
         let data_rack = requirements.data_rack.as_ref();
-        let disturbance = match (requirements.serves, requirements.opportunistic) {
+        let interference = match (requirements.serves, requirements.opportunistic) {
             (true, _) => 2 * self.opportunistic + self.serving,
             (_, true) => 4 * self.serving + self.opportunistic,
             _ => 0,
@@ -73,59 +73,60 @@
         Rank {
             is_suspect: self.is_suspect,
             is_avoided: avoided_workers.contains(&self.slot),
-            must_move_again: requirements.long_running && self.is_maintenance_due,
-            far_from_data: data_rack.is_some_and(|rack| !self.labels.contains(rack)),
-            disturbance,
-            settles_anew: self.long_running == 0,
+            would_move_again: requirements.long_running && self.is_maintenance_due,
+            is_far_from_data: data_rack.is_some_and(|rack| !self.labels.contains(rack)),
+            interference,
+            has_no_long_running: self.long_running == 0,
             free_milli: self.free.processors_milli,
         }
     }
 }
 
-/// Reasons against a worker, the weightiest first.
+/// Reasons not to choose a worker, most important first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     is_suspect: bool,
     is_avoided: bool,
-    must_move_again: bool,
-    far_from_data: bool,
-    disturbance: u32,
-    settles_anew: bool,
+    would_move_again: bool,
+    is_far_from_data: bool,
+    interference: u32,
+    has_no_long_running: bool,
     free_milli: u32,
 }
 
 /// Chooses a worker for a task.
 ///
-/// Answers the load pattern of short tasks beside tasks that serve users: each kind goes where it
-/// is disturbed least, and among equals to the worker with the least left. Long-running tasks
-/// gather on few workers, and short ones fill these first, so that the other machines become free
-/// to move as soon as demand falls. Workers on which the task failed before come last.
+/// Tasks that serve users and opportunistic tasks go where they interfere least; among equal
+/// workers the one with the least free CPU is chosen. Long-running tasks are packed onto few
+/// workers, and short tasks fill these first, so that the other machines become free to move as
+/// soon as demand falls. Workers on which the task failed come last.
 ///
-/// Answers the load pattern of a wave over machines with long-running tasks, of which only a few
-/// may be away at once: a task that has to leave goes where no maintenance is due, so that it
-/// moves once.
+/// During a wave over machines with long-running tasks, only a few of these tasks may be
+/// unavailable at once. A task that has to leave a machine therefore goes to one whose maintenance
+/// is not due, so that it moves only once.
 pub fn choose_worker<'a>(
     requirements: &TaskRequirements,
     candidates: impl Iterator<Item = &'a Candidate>,
     avoided_workers: &[WorkerSlot],
 ) -> Option<WorkerSlot> {
-    let fitting = candidates.filter(|candidate| candidate.admits(requirements));
-    fitting
+    let suitable = candidates.filter(|candidate| candidate.admits(requirements));
+    suitable
         .min_by_key(|candidate| candidate.rank(requirements, avoided_workers))
         .map(|candidate| candidate.slot)
 }
 
-/// Demands that found no room in a pass.
+/// Requirements that found no worker in a placement pass.
 ///
-/// Answers the load pattern of hundreds of jobs that wait for a few workers: what asks for no less
-/// than another that found no room is not tried again.
+/// With hundreds of jobs that wait for a few workers, a task that needs at least as much as one
+/// that found no worker is not tried in the same pass.
 #[derive(Debug, Default)]
 pub struct UnplaceableRequirements {
     smallest: Vec<Resources>,
 }
 
 impl UnplaceableRequirements {
-    /// Notes a demand that found no room. Only one that any worker could meet tells of others.
+    /// Records requirements that found no worker. Those that exclude some workers by label or by
+    /// number of tasks say nothing about other tasks.
     pub fn record(&mut self, requirements: &TaskRequirements) {
         if requirements.label.is_none() && requirements.per_worker_max.is_none() {
             self.smallest.retain(|other| !requirements.reserved.fits(other));
@@ -133,29 +134,29 @@
         }
     }
 
-    /// Whether no demand was noted.
+    /// Whether nothing was recorded.
     pub fn is_empty(&self) -> bool {
         self.smallest.is_empty()
     }
 
-    /// Whether a demand finds no room either.
+    /// Whether a task that reserves `reserved` can't find a worker either.
     pub fn covers(&self, reserved: &Resources) -> bool {
         self.smallest.iter().any(|small| small.fits(reserved))
     }
 }
 
-/// Chooses the worker whose room is kept for a task that fits nowhere now.
+/// Chooses the worker whose free capacity is kept for a task that fits nowhere now.
 ///
-/// Answers the load pattern of a few large tasks among many small ones, which would otherwise
-/// take each bit of room as it becomes free.
+/// Otherwise many small tasks would take any capacity that becomes free, and a large task would
+/// never start.
 pub fn choose_reservation(
     requirements: &TaskRequirements,
     candidates: &[Candidate],
 ) -> Option<WorkerSlot> {
-    let fitting = candidates.iter().filter(|candidate| {
+    let suitable = candidates.iter().filter(|candidate| {
         requirements.reserved.fits(&candidate.capacity)
             && candidate.qualifies(requirements)
             && !candidate.is_suspect
     });
-    fitting.max_by_key(|candidate| candidate.free.processors_milli).map(|candidate| candidate.slot)
+    suitable.max_by_key(|candidate| candidate.free.processors_milli).map(|candidate| candidate.slot)
 }
--- a/crates/jobs/src/step_order.rs
+++ b/crates/jobs/src/step_order.rs
@@ -1,4 +1,4 @@
-//! Which waiting step is served next.
+//! Order in which waiting steps are placed.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -7,58 +7,58 @@
 
 use crate::spec::StepId;
 
-/// A step with tasks that wait.
+/// A step with waiting tasks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingStep {
     /// The step.
     pub step: StepId,
-    /// Rank of its queue; 0 comes first.
+    /// Priority of its queue; 0 comes first.
     pub priority: u8,
-    /// Whether it runs until it is cancelled.
+    /// Whether it is long-running.
     pub long_running: bool,
-    /// Whether its team has sent more than its weight allows.
+    /// Whether its team had exceeded its share when the job was accepted.
     pub exceeds_share: bool,
     /// When its job was accepted.
     pub accepted: Moment,
-    /// When it could first start.
+    /// When it became ready.
     pub ready_since: Moment,
-    /// When its job stops being worth its full value.
+    /// Deadline of its job, by the latency objective.
     pub objective: Moment,
-    /// Longest chain of work that its job has left.
+    /// Critical path of the job's remaining steps.
     pub critical_path_left: Duration,
-    /// Work that its job has left, in core-seconds.
+    /// Estimated remaining work of its job, in core-seconds.
     pub work_left: f64,
 }
 
 impl WaitingStep {
-    /// Whether the job can still meet its objective if it starts now.
-    fn is_hopeful(&self, now: Moment) -> bool {
+    /// Whether the job can still meet its objective if the step starts now.
+    fn can_meet_objective(&self, now: Moment) -> bool {
         now + self.critical_path_left <= self.objective
     }
 
-    /// Class of the contender; lower ones are served first.
+    /// Class of the step; lower classes are placed first.
     fn class(&self, now: Moment) -> (bool, u8, bool, bool) {
-        (!self.long_running, self.priority, self.exceeds_share, !self.is_hopeful(now))
+        (!self.long_running, self.priority, self.exceeds_share, !self.can_meet_objective(now))
     }
 }
 
-/// Order of two contenders, the one to serve first being less.
+/// Compares two waiting steps; the one to place first is less.
 ///
-/// Answers the load pattern of a queue that for some seconds asks for several times its pool: of
-/// the jobs that can still meet their objective the smallest come first, so that most of them
-/// meet it; those that cannot follow in order of age, so that none waits for ever.
+/// Among jobs that can still meet their objective, those with the least remaining work come first,
+/// so that most meet it while a queue asks for several times its pool. Jobs that can't meet it
+/// follow by age, so that none starves.
 pub fn compare(one: &WaitingStep, other: &WaitingStep, now: Moment) -> Ordering {
     let (class, other_class) = (one.class(now), other.class(now));
     class.cmp(&other_class).then_with(|| {
-        let hopeful = !class.3;
-        match hopeful && !one.long_running {
+        let can_meet_objective = !class.3;
+        match can_meet_objective && !one.long_running {
             true => one.work_left.total_cmp(&other.work_left),
             false => one.accepted.cmp(&other.accepted),
         }
     })
 }
 
-/// Puts contenders into the order in which they are served.
+/// Sorts steps into the order in which they are placed.
 pub fn sort(waiting_steps: &mut [WaitingStep], now: Moment) {
     waiting_steps
         .sort_by(|one, other| compare(one, other, now).then_with(|| one.step.cmp(&other.step)));
--- a/crates/jobs/src/throttle.rs
+++ b/crates/jobs/src/throttle.rs
@@ -1,26 +1,26 @@
-//! How fast tasks may work that run on what others leave unused.
+//! Speed of opportunistic tasks beside tasks that serve users.
 
-/// Share of the tail target above which opportunistic tasks beside it are slowed down.
+/// Share of the tail latency target above which opportunistic tasks on the worker are slowed down.
 const LOAD_HIGH: f64 = 0.95;
-/// Share of the tail target below which they are let go faster.
+/// Share of the tail latency target below which they are sped up.
 const LOAD_LOW: f64 = 0.75;
-/// Paces below this come to a halt, in percent.
-const PACE_MIN_PERCENT: u8 = 10;
-/// By how much a pace rises at once, in percent.
-const PACE_RISE_PERCENT: u8 = 15;
+/// Lowest speed other than zero, in percent; the task is paused below it.
+const SPEED_MIN_PERCENT: u8 = 10;
+/// Step by which the speed rises, in percent.
+const SPEED_STEP_PERCENT: u8 = 15;
 
-/// The next pace of an opportunistic task beside tasks whose tail latency is `load` times their
-/// target.
+/// Next speed of an opportunistic task, in percent, beside tasks whose tail latency is `load` times
+/// its target.
 ///
-/// Answers the load pattern of users whose load changes within seconds: the pace is halved at
-/// once when their tail nears its target, and rises again step by step.
+/// The speed is halved at once when the tail latency nears its target, and rises step by step,
+/// since the users' load changes within seconds.
 pub fn next_speed_percent(percent: u8, load: f64) -> u8 {
     if load > LOAD_HIGH {
         let halved = percent / 2;
-        return if halved < PACE_MIN_PERCENT { 0 } else { halved };
+        return if halved < SPEED_MIN_PERCENT { 0 } else { halved };
     }
     if load < LOAD_LOW {
-        return percent.saturating_add(PACE_RISE_PERCENT).min(100);
+        return percent.saturating_add(SPEED_STEP_PERCENT).min(100);
     }
     percent
 }
