--- a/crates/jobs/src/api.rs
+++ b/crates/jobs/src/api.rs
@@ -6,8 +6,8 @@
 //! nothing of it can be in the store, now or later.
 
 mod admission;
-mod answer;
 mod count;
+mod response;
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -25,7 +25,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use self::admission::AuthorizedCall;
-pub use self::answer::{
+pub use self::response::{
     Call, CancelResponse, CountResponse, Denial, JobStateResponse, SubmitResponse, Target,
 };
 use crate::cluster::ClusterConfig;
@@ -45,17 +45,17 @@
 const ATTEMPTS_MAX: u32 = 3;
 /// Timeout of the first attempt of a store call; the next attempt uses another connection. The
 /// timeout doubles with each attempt, so that a slow store has time to respond.
-const FIRST_ATTEMPT: Duration = Duration::from_millis(200);
+const FIRST_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Timeout of a read that checks whether the store is available.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time between two such reads.
-const CHECK_GAP: Duration = Duration::from_millis(60);
+const CHECK_INTERVAL: Duration = Duration::from_millis(60);
 /// Delay between two attempts of a store call.
-const ATTEMPT_GAP: Duration = Duration::from_millis(40);
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 /// Number of final states that are cached.
 const FINAL_STATES_MAX: usize = 4_096;
 /// Part of a caller's timeout that is reserved for sending the response.
-const ANSWER_MARGIN: Duration = Duration::from_millis(60);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(60);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::desk";
 
@@ -67,9 +67,9 @@
     sender: DesiredStateSender,
     metrics: JobsMetrics,
     /// Whether the store is unavailable and is being checked.
-    is_silent: Arc<AtomicBool>,
-    waiting: Mutex<Option<(Moment, Arc<WaitingRecord>)>>,
-    finals: Mutex<HashMap<JobId, (JobState, Option<TeamId>)>>,
+    is_store_unavailable: Arc<AtomicBool>,
+    cached_waiting: Mutex<Option<(Moment, Arc<WaitingRecord>)>>,
+    final_states: Mutex<HashMap<JobId, (JobState, Option<TeamId>)>>,
     /// When the configuration was last read for a caller.
     config_read: Mutex<Moment>,
 }
@@ -87,9 +87,9 @@
             desired_states,
             sender,
             metrics,
-            is_silent: Arc::default(),
-            waiting: Mutex::default(),
-            finals: Mutex::default(),
+            is_store_unavailable: Arc::default(),
+            cached_waiting: Mutex::default(),
+            final_states: Mutex::default(),
             config_read: Mutex::new(Moment::ZERO),
         }
     }
@@ -99,20 +99,23 @@
     pub fn is_ready(&self, age_max: Duration) -> bool {
         let desired_state = self.desired_states.borrow().clone();
         let age = since_boot().saturating_sub(desired_state.confirmed);
-        desired_state.config.is_some() && age < age_max && !self.is_store_silent()
+        desired_state.config.is_some() && age < age_max && !self.is_store_unavailable()
     }
 
     /// Whether a store call got no response and no check has succeeded since.
-    fn is_store_silent(&self) -> bool {
-        self.is_silent.load(Ordering::Relaxed)
+    fn is_store_unavailable(&self) -> bool {
+        self.is_store_unavailable.load(Ordering::Relaxed)
     }
 
     /// Records whether a store call got a response. If not, checks the store until it is available.
-    fn heard<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
+    fn track_availability<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
         let is_lost =
             matches!(result, Err(StoreError::OutcomeUnknown(_) | StoreError::Unavailable(_)));
-        if is_lost && !self.is_silent.swap(true, Ordering::Relaxed) {
-            tokio::spawn(wait_for_store(self.platform.store().clone(), self.is_silent.clone()));
+        if is_lost && !self.is_store_unavailable.swap(true, Ordering::Relaxed) {
+            tokio::spawn(wait_for_store(
+                self.platform.store().clone(),
+                self.is_store_unavailable.clone(),
+            ));
         }
         result
     }
@@ -131,14 +134,14 @@
 
     /// Accepts a job, if the caller may submit it and the store accepts the write.
     pub async fn submit(&self, call: &Call, spec: JobSpec) -> SubmitResponse {
-        let began = Instant::now();
-        let answer = self.submit_once(call, spec).await;
-        self.record_call("submit", call, answer.name(), began.elapsed());
-        answer
+        let started = Instant::now();
+        let response = self.submit_once(call, spec).await;
+        self.record_call("submit", call, response.name(), started.elapsed());
+        response
     }
 
     async fn submit_once(&self, call: &Call, spec: JobSpec) -> SubmitResponse {
-        let deadline = call.deadline - ANSWER_MARGIN;
+        let deadline = call.deadline - RESPONSE_MARGIN;
         let mut unanswered = 0;
         loop {
             let authorized = match self.authorize_fresh(call).await {
@@ -148,14 +151,15 @@
             let Target::Job(id) = authorized.target else {
                 return SubmitResponse::Denied(Denial::NoJob);
             };
-            if unanswered == 0 && self.is_store_silent() {
-                return refuse(id, "the store does not answer");
+            if unanswered == 0 && self.is_store_unavailable() {
+                return refuse(id, "the store is unavailable");
             }
-            let patience = FIRST_ATTEMPT * (1 << unanswered);
-            let attempt = timeout(patience, self.store_job(&authorized, id, &spec)).await;
-            let lost = || Err(StoreError::OutcomeUnknown("no answer yet".into()));
-            match self.heard(attempt.unwrap_or_else(|_| lost())) {
-                Ok(Stored::Created) => {
+            let attempt_timeout = FIRST_ATTEMPT_TIMEOUT * (1 << unanswered);
+            let attempt = timeout(attempt_timeout, self.store_job(&authorized, id, &spec)).await;
+            let no_response =
+                || Err(StoreError::OutcomeUnknown("no response before the timeout".into()));
+            match self.track_availability(attempt.unwrap_or_else(|_| no_response())) {
+                Ok(StoreOutcome::Created) => {
                     emit!(
                         target: LOG_TARGET,
                         JobsEvent::JobAccepted,
@@ -166,8 +170,8 @@
                     );
                     return SubmitResponse::Accepted;
                 }
-                Ok(Stored::Present) => return SubmitResponse::Accepted,
-                Ok(Stored::ConfigChanged) => continue,
+                Ok(StoreOutcome::Present) => return SubmitResponse::Accepted,
+                Ok(StoreOutcome::ConfigChanged) => continue,
                 Err(StoreError::Unavailable(reason)) if unanswered == 0 => {
                     return refuse(id, &reason);
                 }
@@ -182,10 +186,10 @@
                     );
                 }
             }
-            if unanswered >= ATTEMPTS_MAX || Instant::now() + ATTEMPT_GAP >= deadline {
+            if unanswered >= ATTEMPTS_MAX || Instant::now() + RETRY_DELAY >= deadline {
                 return SubmitResponse::Unknown;
             }
-            sleep(ATTEMPT_GAP).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -194,7 +198,7 @@
         authorized: &AuthorizedCall,
         id: JobId,
         spec: &JobSpec,
-    ) -> Result<Stored, StoreError> {
+    ) -> Result<StoreOutcome, StoreError> {
         let record = JobRecord {
             queue: authorized.queue.id.clone(),
             service: authorized.queue.service.clone(),
@@ -209,23 +213,23 @@
             .expect(S::Formats::CONFIG_KEY, Compare::Revision(authorized.config_revision))
             .put(key.clone(), bytes, None);
         match self.platform.store().commit(transaction).await? {
-            TransactionOutcome::Written(_) => Ok(Stored::Created),
+            TransactionOutcome::Written(_) => Ok(StoreOutcome::Created),
             TransactionOutcome::Conflict(records) => {
                 if records.iter().any(|record| record.key == key) {
-                    return Ok(Stored::Present);
+                    return Ok(StoreOutcome::Present);
                 }
-                self.adopt(&records);
-                Ok(Stored::ConfigChanged)
+                self.apply_config_record(&records);
+                Ok(StoreOutcome::ConfigChanged)
             }
         }
     }
 
     /// Stores the cancellation of a job.
     pub async fn cancel(&self, call: &Call) -> CancelResponse {
-        let began = Instant::now();
-        let answer = self.cancel_once(call).await;
-        self.record_call("cancel", call, answer.name(), began.elapsed());
-        answer
+        let started = Instant::now();
+        let response = self.cancel_once(call).await;
+        self.record_call("cancel", call, response.name(), started.elapsed());
+        response
     }
 
     async fn cancel_once(&self, call: &Call) -> CancelResponse {
@@ -236,12 +240,12 @@
         let Target::Job(id) = authorized.target else {
             return CancelResponse::Denied(Denial::NoJob);
         };
-        let deadline = call.deadline - ANSWER_MARGIN;
+        let deadline = call.deadline - RESPONSE_MARGIN;
         loop {
-            if self.is_store_silent() {
+            if self.is_store_unavailable() {
                 return CancelResponse::Unknown;
             }
-            match self.heard(self.store_cancel(id, authorized.team.as_ref()).await) {
+            match self.track_availability(self.store_cancel(id, authorized.team.as_ref()).await) {
                 Ok(true) => {
                     emit!(
                         target: LOG_TARGET,
@@ -251,7 +255,7 @@
                     return CancelResponse::Accepted;
                 }
                 Ok(false) => return CancelResponse::NoSuchJob,
-                Err(error) if Instant::now() + ATTEMPT_GAP >= deadline => {
+                Err(error) if Instant::now() + RETRY_DELAY >= deadline => {
                     emit!(
                         target: LOG_TARGET,
                         JobsEvent::StateUnknown,
@@ -260,14 +264,14 @@
                     );
                     return CancelResponse::Unknown;
                 }
-                Err(_) => sleep(ATTEMPT_GAP).await,
+                Err(_) => sleep(RETRY_DELAY).await,
             }
         }
     }
 
     async fn store_cancel(&self, id: JobId, team: Option<&TeamId>) -> Result<bool, StoreError> {
         let Some(record) = self.platform.store().get(&job_key(id)).await? else { return Ok(false) };
-        if !owns(&record, team) {
+        if !may_access_record(&record, team) {
             return Ok(false);
         }
         let transaction = Transaction::default()
@@ -279,10 +283,10 @@
 
     /// Returns the state of a job.
     pub async fn job_state(&self, call: &Call) -> JobStateResponse {
-        let began = Instant::now();
-        let answer = self.job_state_once(call).await;
-        self.record_call("look", call, answer.name(), began.elapsed());
-        answer
+        let started = Instant::now();
+        let response = self.job_state_once(call).await;
+        self.record_call("look", call, response.name(), started.elapsed());
+        response
     }
 
     async fn job_state_once(&self, call: &Call) -> JobStateResponse {
@@ -293,15 +297,15 @@
         let Target::Job(id) = authorized.target else {
             return JobStateResponse::Denied(Denial::NoJob);
         };
-        let deadline = call.deadline - ANSWER_MARGIN;
+        let deadline = call.deadline - RESPONSE_MARGIN;
         loop {
-            if self.final_state(id).is_none() && self.is_store_silent() {
+            if self.final_state(id).is_none() && self.is_store_unavailable() {
                 return JobStateResponse::Unknown;
             }
-            match self.heard(self.read_state(id, authorized.team.as_ref()).await) {
+            match self.track_availability(self.read_state(id, authorized.team.as_ref()).await) {
                 Ok(Some(state)) => return JobStateResponse::State(state),
                 Ok(None) => return JobStateResponse::NoSuchJob,
-                Err(error) if Instant::now() + ATTEMPT_GAP >= deadline => {
+                Err(error) if Instant::now() + RETRY_DELAY >= deadline => {
                     emit!(
                         target: LOG_TARGET,
                         JobsEvent::StateUnknown,
@@ -310,7 +314,7 @@
                     );
                     return JobStateResponse::Unknown;
                 }
-                Err(_) => sleep(ATTEMPT_GAP).await,
+                Err(_) => sleep(RETRY_DELAY).await,
             }
         }
     }
@@ -321,31 +325,31 @@
         team: Option<&TeamId>,
     ) -> Result<Option<JobState>, StoreError> {
         if let Some((state, of_team)) = self.final_state(id) {
-            return Ok(may_see(of_team.as_ref(), team).then_some(state));
+            return Ok(may_access(of_team.as_ref(), team).then_some(state));
         }
         if let Some(record) = self.platform.store().get(&state_key(id)).await? {
             let state = StateRecord::try_from(&record.value[..])
                 .map_err(|error| StoreError::Malformed(error.to_string().into()))?;
-            self.keep_final(id, &state);
-            return Ok(may_see(state.team.as_ref(), team).then_some(state.state));
+            self.cache_final_state(id, &state);
+            return Ok(may_access(state.team.as_ref(), team).then_some(state.state));
         }
         let record = self.platform.store().get(&job_key(id)).await?;
-        Ok(record.filter(|record| owns(record, team)).map(|_| JobState::Queued))
+        Ok(record.filter(|record| may_access_record(record, team)).map(|_| JobState::Queued))
     }
 
     fn final_state(&self, id: JobId) -> Option<(JobState, Option<TeamId>)> {
-        self.finals.lock().unwrap_or_else(PoisonError::into_inner).get(&id).cloned()
+        self.final_states.lock().unwrap_or_else(PoisonError::into_inner).get(&id).cloned()
     }
 
-    fn keep_final(&self, id: JobId, record: &StateRecord) {
+    fn cache_final_state(&self, id: JobId, record: &StateRecord) {
         if !record.state.is_final() {
             return;
         }
-        let mut finals = self.finals.lock().unwrap_or_else(PoisonError::into_inner);
-        if finals.len() >= FINAL_STATES_MAX {
-            finals.clear();
+        let mut final_states = self.final_states.lock().unwrap_or_else(PoisonError::into_inner);
+        if final_states.len() >= FINAL_STATES_MAX {
+            final_states.clear();
         }
-        finals.insert(id, (record.state, record.team.clone()));
+        final_states.insert(id, (record.state, record.team.clone()));
     }
 
     /// Returns what the path of a call names, if the call is allowed.
@@ -360,13 +364,13 @@
 }
 
 /// Reads from the store until it responds.
-async fn wait_for_store<S: Store>(store: S, is_silent: Arc<AtomicBool>) {
+async fn wait_for_store<S: Store>(store: S, is_store_unavailable: Arc<AtomicBool>) {
     loop {
         if let Ok(Ok(_)) = timeout(CHECK_TIMEOUT, store.get(WAITING_KEY)).await {
-            is_silent.store(false, Ordering::Relaxed);
+            is_store_unavailable.store(false, Ordering::Relaxed);
             return;
         }
-        sleep(CHECK_GAP).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
@@ -381,7 +385,7 @@
     SubmitResponse::Refused(STORE_RETRY_AFTER)
 }
 
-enum Stored {
+enum StoreOutcome {
     Created,
     Present,
     ConfigChanged,
@@ -396,11 +400,11 @@
 
 /// Whether a team may access what another team owns. Anything without an owner is accessible to
 /// all.
-fn may_see(owner: Option<&TeamId>, team: Option<&TeamId>) -> bool {
+fn may_access(owner: Option<&TeamId>, team: Option<&TeamId>) -> bool {
     owner.is_none() || team.is_none() || owner == team
 }
 
-fn owns(record: &Record, team: Option<&TeamId>) -> bool {
+fn may_access_record(record: &Record, team: Option<&TeamId>) -> bool {
     let owner = JobRecord::try_from(&record.value[..]).ok().and_then(|record| record.team);
-    may_see(owner.as_ref(), team)
+    may_access(owner.as_ref(), team)
 }
--- a/crates/jobs/src/api/admission.rs
+++ b/crates/jobs/src/api/admission.rs
@@ -54,15 +54,16 @@
     }
 
     async fn read_config(&self) -> Result<(), StoreError> {
-        if self.is_store_silent() {
-            return Err(StoreError::Unavailable("the store does not answer".into()));
+        if self.is_store_unavailable() {
+            return Err(StoreError::Unavailable("the store is unavailable".into()));
         }
-        let asked = since_boot();
+        let requested_at = since_boot();
         let reading = timeout(CONFIG_TIMEOUT, self.platform.store().get(S::Formats::CONFIG_KEY));
-        let lost = || Err(StoreError::OutcomeUnknown("no answer yet".into()));
-        let record = self.heard(reading.await.unwrap_or_else(|_| lost()))?;
-        self.adopt(record.as_slice());
-        *self.config_read.lock().unwrap_or_else(PoisonError::into_inner) = asked;
+        let no_response =
+            || Err(StoreError::OutcomeUnknown("no response before the timeout".into()));
+        let record = self.track_availability(reading.await.unwrap_or_else(|_| no_response()))?;
+        self.apply_config_record(record.as_slice());
+        *self.config_read.lock().unwrap_or_else(PoisonError::into_inner) = requested_at;
         Ok(())
     }
 
@@ -81,7 +82,7 @@
     }
 
     /// Applies the configuration, if it is among the records.
-    pub(super) fn adopt(&self, records: &[Record]) {
+    pub(super) fn apply_config_record(&self, records: &[Record]) {
         for record in records.iter().filter(|record| *record.key == *S::Formats::CONFIG_KEY) {
             match self.platform.formats().operator_item(record) {
                 Ok(OperatorItem::Config(config)) => {
--- a/crates/jobs/src/api/count.rs
+++ b/crates/jobs/src/api/count.rs
@@ -24,18 +24,18 @@
 impl<S: PlatformClients> JobApi<S> {
     /// Returns the number of a queue's waiting jobs.
     pub async fn waiting_jobs(&self, call: &Call) -> CountResponse {
-        let began = Instant::now();
-        let answer = self.count_once(call).await;
-        self.record_call("count", call, answer.name(), began.elapsed());
-        answer
+        let started = Instant::now();
+        let response = self.waiting_jobs_once(call).await;
+        self.record_call("count", call, response.name(), started.elapsed());
+        response
     }
 
-    async fn count_once(&self, call: &Call) -> CountResponse {
+    async fn waiting_jobs_once(&self, call: &Call) -> CountResponse {
         let authorized = match self.authorize_fresh(call).await {
             Ok(authorized) => authorized,
             Err(denial) => return CountResponse::Denied(denial),
         };
-        match self.waiting().await {
+        match self.read_waiting_record().await {
             Ok(waiting) if is_outdated(&waiting, unix_now()) => {
                 emit!(target: LOG_TARGET, JobsEvent::CountOutdated, queue = authorized.queue.id);
                 CountResponse::Unknown
@@ -53,10 +53,10 @@
         }
     }
 
-    async fn waiting(&self) -> Result<Arc<WaitingRecord>, StoreError> {
+    async fn read_waiting_record(&self) -> Result<Arc<WaitingRecord>, StoreError> {
         let now = since_boot();
-        let kept = self.waiting.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        if let Some((at, record)) = kept
+        let cached = self.cached_waiting.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        if let Some((at, record)) = cached
             && now.saturating_sub(at) < WAITING_AGE_MAX
         {
             return Ok(record);
@@ -67,8 +67,8 @@
                 .map_err(|error| StoreError::Malformed(error.to_string().into()))?,
         };
         let record = Arc::new(record);
-        let mut kept = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        *kept = Some((now, record.clone()));
+        let mut cached = self.cached_waiting.lock().unwrap_or_else(PoisonError::into_inner);
+        *cached = Some((now, record.clone()));
         Ok(record)
     }
 }
--- a/crates/jobs/src/owner.rs
+++ b/crates/jobs/src/owner.rs
@@ -23,9 +23,9 @@
 
 use self::claim::Ownership;
 use self::execute::Outcome;
-use self::usage::{Usage, Work};
-use self::watch_store::{Followed, Inbox, Listing, Reports};
-use self::write::{Writer, Written};
+use self::usage::{LoopPhase, LoopStats};
+use self::watch_store::{InboxPrefix, StoreUpdate, WorkerList, WorkersPrefix};
+use self::write::{WriteOutcome, Writer};
 use crate::clients::WorkerClient;
 use crate::coalescing::{MessageRate, WakeupCoalescing};
 use crate::desired_state::DesiredState;
@@ -41,11 +41,11 @@
 /// Time between them while starts or callers wait for them.
 const URGENT_WRITE_INTERVAL: Duration = Duration::from_millis(12);
 /// Timeout of the last writes before the ownership is released.
-const LAST_WRITES_MAX: Duration = Duration::from_millis(400);
+const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time between two lists of machines while they are needed.
 const MACHINES_INTERVAL: Duration = Duration::from_millis(700);
 /// Capacity of the message channel of the owner's loop.
-const QUEUE_LENGTH: usize = 4_096;
+const CHANNEL_CAPACITY: usize = 4_096;
 
 /// Settings of an owner.
 #[derive(Debug, Clone)]
@@ -81,7 +81,7 @@
         let token = claimed.token;
         emit!(JobsEvent::OwnerBegan, token = token);
         settings.metrics.set_is_owner(true);
-        let reason = place(&platform, &settings, desired_states.clone(), claimed, &stop).await;
+        let reason = run_term(&platform, &settings, desired_states.clone(), claimed, &stop).await;
         settings.metrics.set_is_owner(false);
         emit!(JobsEvent::OwnerEnded, token = token, reason = reason);
     }
@@ -90,27 +90,27 @@
 /// Input of the owner's loop.
 enum Message {
     Outcome(Outcome),
-    Followed(Followed),
-    Written(Written),
+    StoreUpdate(StoreUpdate),
+    WriteOutcome(WriteOutcome),
 }
 
 /// State of the owner's loop during one term.
-struct Office<S: PlatformClients> {
+struct OwnerLoop<S: PlatformClients> {
     platform: S,
     scheduler: Scheduler,
     lease: LeaseValidity,
     sender: mpsc::Sender<Message>,
-    workers: Listing,
+    workers: WorkerList,
     writer: Writer<S>,
-    written: Moment,
-    machines_asked: Option<Moment>,
+    last_write: Moment,
+    machines_requested: Option<Moment>,
     is_fenced: bool,
     metrics: JobsMetrics,
-    usage: Usage,
+    loop_stats: LoopStats,
     rate: MessageRate,
 }
 
-async fn place<S: PlatformClients>(
+async fn run_term<S: PlatformClients>(
     platform: &S,
     settings: &OwnerSettings,
     mut desired_states: watch::Receiver<Arc<DesiredState>>,
@@ -123,73 +123,78 @@
         loaded = loading => loaded,
         () = lease.ended() => return "lease ended while loading",
         () = stop.cancelled() => {
-            give_back(lease).await;
+            release_ownership(lease).await;
             return "stopped while loading";
         }
     };
-    let (sender, mut messages) = mpsc::channel(QUEUE_LENGTH);
-    let mut office = Office {
+    let (sender, mut messages) = mpsc::channel(CHANNEL_CAPACITY);
+    let mut owner_loop = OwnerLoop {
         platform: platform.clone(),
         scheduler: loaded.scheduler,
         lease: lease.validity(),
-        workers: Listing::new(loaded.workers),
+        workers: WorkerList::new(loaded.workers),
         writer: Writer::new(platform.clone(), token, loaded.sequences),
         sender: sender.clone(),
-        written: since_boot(),
-        machines_asked: None,
+        last_write: since_boot(),
+        machines_requested: None,
         is_fenced: false,
         metrics: settings.metrics.clone(),
-        usage: Usage::new(since_boot()),
+        loop_stats: LoopStats::new(since_boot()),
         rate: MessageRate::new(settings.coalescing.clone(), since_boot()),
     };
-    let reports = Reports { platform: platform.clone() };
-    let _following = [
+    let workers_prefix = WorkersPrefix { platform: platform.clone() };
+    let _watch_tasks = [
         spawn(watch_store::watch_store(
             platform.clone(),
-            Inbox,
+            InboxPrefix,
             loaded.inbox_revision,
             sender.clone(),
         )),
-        spawn(watch_store::watch_store(platform.clone(), reports, loaded.workers_revision, sender)),
+        spawn(watch_store::watch_store(
+            platform.clone(),
+            workers_prefix,
+            loaded.workers_revision,
+            sender,
+        )),
     ];
-    office.apply_desired_state(&desired_states.borrow_and_update().clone());
-    office.workers.read_first(platform);
-    office.list_workers();
+    owner_loop.apply_desired_state(&desired_states.borrow_and_update().clone());
+    owner_loop.workers.decode_initial(platform);
+    owner_loop.update_workers();
     let reason = loop {
         let now = since_boot();
-        let due = office.scheduler.next_due(now);
+        let due = owner_loop.scheduler.next_due(now);
         let first = tokio::select! {
             message = messages.recv() => match message {
                 Some(message) => Some(message),
-                None => break "queue closed",
+                None => break "message channel closed",
             },
             changed = desired_states.changed() => match changed {
                 Ok(()) => {
-                    office.apply_desired_state(&desired_states.borrow_and_update().clone());
+                    owner_loop.apply_desired_state(&desired_states.borrow_and_update().clone());
                     None
                 }
-                Err(_) => break "view closed",
+                Err(_) => break "desired state channel closed",
             },
             () = sleep(due.saturating_sub(now)) => None,
             () = lease.ended() => break "lease ended",
             () = stop.cancelled() => break "stopped",
         };
-        office.take_in_all(first, &mut messages);
-        if office.is_fenced {
-            break "a later owner was obeyed";
+        owner_loop.handle_messages(first, &mut messages);
+        if owner_loop.is_fenced {
+            break "fenced by a later owner";
         }
-        office.usage.record_pass(due, since_boot());
-        office.act();
+        owner_loop.loop_stats.record_pass(due, since_boot());
+        owner_loop.run_pass();
     };
     if stop.is_cancelled() {
-        office.finish(&mut messages).await;
-        give_back(lease).await;
+        owner_loop.finish(&mut messages).await;
+        release_ownership(lease).await;
     }
-    office.close();
+    owner_loop.close();
     reason
 }
 
-async fn give_back<S: cassiafold_platform::Store>(lease: LeaseKeeper<S>) {
+async fn release_ownership<S: cassiafold_platform::Store>(lease: LeaseKeeper<S>) {
     if let Err(error) = lease.close().await {
         emit!(JobsEvent::StoreLost, error = error);
     }
@@ -204,7 +209,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-impl<S: PlatformClients> Office<S> {
+impl<S: PlatformClients> OwnerLoop<S> {
     fn apply_desired_state(&mut self, desired_state: &DesiredState) {
         let now = since_boot();
         if let Some(config) = &desired_state.config {
@@ -215,47 +220,47 @@
     }
 
     /// Handles a message and all others that are in the channel.
-    fn take_in_all(&mut self, first: Option<Message>, messages: &mut mpsc::Receiver<Message>) {
-        let begun = since_boot();
+    fn handle_messages(&mut self, first: Option<Message>, messages: &mut mpsc::Receiver<Message>) {
+        let started = since_boot();
         let mut next = first;
         while let Some(message) = next.or_else(|| messages.try_recv().ok()) {
-            self.take_in(message);
-            self.usage.count_message();
+            self.handle_message(message);
+            self.loop_stats.count_message();
             self.rate.count_message();
             next = None;
         }
-        self.usage.record(Work::TakeIn, begun);
+        self.loop_stats.record(LoopPhase::Messages, started);
     }
 
-    fn take_in(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = since_boot();
         match message {
-            Message::Outcome(outcome) => self.take_outcome(outcome, now),
-            Message::Followed(followed) => self.take_followed(followed, now),
-            Message::Written(written) => self.take_written(written),
+            Message::Outcome(outcome) => self.handle_outcome(outcome, now),
+            Message::StoreUpdate(update) => self.apply_store_update(update, now),
+            Message::WriteOutcome(outcome) => self.handle_write_outcome(outcome),
         }
     }
 
-    fn take_followed(&mut self, followed: Followed, now: Moment) {
-        match followed {
-            Followed::Job { id, record, revision } => {
+    fn apply_store_update(&mut self, update: StoreUpdate, now: Moment) {
+        match update {
+            StoreUpdate::Job { id, record, revision } => {
                 self.scheduler.add_job(id, *record, revision, None, now);
             }
-            Followed::Cancel(id) => self.scheduler.cancel(id, now),
-            Followed::WorkerEntries(change) => {
+            StoreUpdate::Cancel(id) => self.scheduler.cancel(id, now),
+            StoreUpdate::WorkerEntries(change) => {
                 self.workers.apply(change, now);
                 self.scheduler.set_workers(self.workers.entries(now), now);
             }
         }
     }
 
-    fn list_workers(&mut self) {
+    fn update_workers(&mut self) {
         let now = since_boot();
         self.scheduler.set_workers(self.workers.entries(now), now);
     }
 
     /// Executes what is due.
-    fn act(&mut self) {
+    fn run_pass(&mut self) {
         let now = since_boot();
         self.rate.update(now);
         if self.workers.is_due(now) {
@@ -263,18 +268,18 @@
         }
         if self.lease.is_valid() {
             let commands = self.scheduler.plan(unix_now(), now);
-            let planned = self.usage.record(Work::Plan, now);
-            self.carry_out(commands, now);
+            let planned = self.loop_stats.record(LoopPhase::Plan, now);
+            self.execute(commands, now);
             self.list_machines(now);
-            self.usage.record(Work::CarryOut, planned);
+            self.loop_stats.record(LoopPhase::Commands, planned);
         }
-        let begun = since_boot();
+        let started = since_boot();
         self.write(now);
-        self.usage.record(Work::Write, begun);
+        self.loop_stats.record(LoopPhase::Write, started);
         for address in self.scheduler.take_retired_addresses() {
             self.platform.workers().forget(&address);
         }
-        self.usage.report(now, || self.scheduler.backlog(now));
+        self.loop_stats.report(now, || self.scheduler.backlog(now));
     }
 
     /// Closes the connections to all workers; the next owner opens its own.
@@ -286,16 +291,16 @@
 
     /// Writes what is left before the ownership is released.
     async fn finish(&mut self, messages: &mut mpsc::Receiver<Message>) {
-        let deadline = since_boot() + LAST_WRITES_MAX;
+        let deadline = since_boot() + LAST_WRITES_TIMEOUT;
         loop {
-            self.written = Moment::ZERO;
+            self.last_write = Moment::ZERO;
             self.write(since_boot());
             if !self.writer.is_busy() {
                 return;
             }
             let left = deadline.saturating_sub(since_boot());
             match timeout(left, messages.recv()).await {
-                Ok(Some(Message::Written(written))) => self.take_written(written),
+                Ok(Some(Message::WriteOutcome(outcome))) => self.handle_write_outcome(outcome),
                 Ok(Some(_)) => {}
                 Ok(None) | Err(_) => return,
             }
--- a/crates/jobs/src/owner/claim.rs
+++ b/crates/jobs/src/owner/claim.rs
@@ -15,7 +15,7 @@
 use crate::record::OWNER_KEY;
 
 /// Delay between two attempts to reach the store.
-const RETRY: Duration = Duration::from_millis(120);
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// A claimed ownership.
 pub(super) struct Ownership<S: PlatformClients> {
@@ -37,7 +37,7 @@
         match try_claim(platform, settings).await {
             Ok(Some(ownership)) => return ownership,
             Ok(None) => {}
-            Err(_) => sleep(RETRY).await,
+            Err(_) => sleep(RETRY_DELAY).await,
         }
     }
 }
--- a/crates/jobs/src/owner/execute.rs
+++ b/crates/jobs/src/owner/execute.rs
@@ -5,7 +5,7 @@
 
 use cassiafold_platform::{Moment, since_boot};
 
-use super::{MACHINES_INTERVAL, Message, Office};
+use super::{MACHINES_INTERVAL, Message, OwnerLoop};
 use crate::clients::{
     CommandOutcome, MachineClient, MachineOutcome, PolicyClient, PolicyResponse, PollError,
     PollResponse, Refusal, StartRequest, WorkerClient,
@@ -50,7 +50,7 @@
     },
 }
 
-impl<S: PlatformClients> Office<S> {
+impl<S: PlatformClients> OwnerLoop<S> {
     /// Spawns a call, and sends its outcome to the owner's loop.
     fn run(&self, call: impl Future<Output = Outcome> + Send + 'static) {
         let sender = self.sender.clone();
@@ -62,7 +62,7 @@
     }
 
     /// Executes commands; the starts on one worker go into one request.
-    pub(super) fn carry_out(&mut self, commands: Vec<Command>, now: Moment) {
+    pub(super) fn execute(&mut self, commands: Vec<Command>, now: Moment) {
         let mut starts: BTreeMap<WorkerSlot, Vec<StartRequest>> = BTreeMap::new();
         for command in commands {
             match command {
@@ -161,12 +161,12 @@
 
     /// Lists the machines, if they are needed and the last list is old.
     pub(super) fn list_machines(&mut self, now: Moment) {
-        let is_due = self.machines_asked.is_none_or(|at| now >= at + MACHINES_INTERVAL)
+        let is_due = self.machines_requested.is_none_or(|at| now >= at + MACHINES_INTERVAL)
             || self.scheduler.take_machine_list_request();
         if !is_due || !self.scheduler.needs_machine_list() {
             return;
         }
-        self.machines_asked = Some(now);
+        self.machines_requested = Some(now);
         let machines = self.platform.machines().clone();
         self.run(async move {
             let sent = since_boot();
@@ -200,11 +200,11 @@
         }
     }
 
-    pub(super) fn take_outcome(&mut self, outcome: Outcome, now: Moment) {
+    pub(super) fn handle_outcome(&mut self, outcome: Outcome, now: Moment) {
         self.count(&outcome);
         match outcome {
             Outcome::Poll { worker, is_out_of_band, sent, result: Ok(poll) } => {
-                self.usage.count_poll(self.scheduler.has_only_known_ends(worker, &poll));
+                self.loop_stats.count_poll(self.scheduler.has_only_known_ends(worker, &poll));
                 self.scheduler.handle_poll_response(worker, is_out_of_band, sent, now, poll);
             }
             Outcome::Poll { worker, is_out_of_band, result: Err(error), .. } => {
--- a/crates/jobs/src/owner/load.rs
+++ b/crates/jobs/src/owner/load.rs
@@ -28,12 +28,12 @@
 use crate::spec::{JobId, RunNumber};
 
 /// Delay between two attempts to read the store.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Number of run numbers per task that one owner may use.
-const RUNS_PER_TENURE: RunNumber = 1_000;
+const RUN_NUMBERS_PER_TERM: RunNumber = 1_000;
 
 /// Records that are decoded before the task yields, so that the lease is renewed in time.
-const RECORDS_AT_ONCE: usize = 32;
+const RECORDS_PER_YIELD: usize = 32;
 
 /// State with which an owner starts.
 pub(super) struct Loaded {
@@ -58,7 +58,7 @@
             Ok(loaded) => return loaded,
             Err(error) => outage.record_failure(&error),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
@@ -78,11 +78,11 @@
         store.get(COMMANDED_MACHINES_KEY),
         store.list(S::Formats::WORKERS_PREFIX),
     )?;
-    let sequence = begin_chains(platform, token, sequence).await?;
+    let sequence = start_chains(platform, token, sequence).await?;
     let known_workers = read_workers(&known.records)?;
     let waves: WavesRecord = read_json(waves)?;
     let commanded_machines: CommandedMachinesRecord = read_json(commanded_machines)?;
-    let run_number_base = RunNumber::try_from(sequence.tenure).unwrap_or(0) * RUNS_PER_TENURE;
+    let run_number_base = RunNumber::try_from(sequence.tenure).unwrap_or(0) * RUN_NUMBERS_PER_TERM;
     let now = since_boot();
     let instance = Arc::clone(instance);
     let tenure = OwnerTerm {
@@ -97,7 +97,7 @@
     let mut scheduler = Scheduler::new(settings, tenure, now);
     let states = read_states(&states.records).await;
     for (number, record) in inbox.records.iter().enumerate() {
-        if number % RECORDS_AT_ONCE == 0 {
+        if number % RECORDS_PER_YIELD == 0 {
             yield_now().await;
         }
         let Some(id) = parse_job_key(&record.key, JOB_PREFIX) else { continue };
@@ -144,7 +144,7 @@
 async fn read_states(records: &[Record]) -> HashMap<JobId, StateRecord> {
     let mut states = HashMap::with_capacity(records.len());
     for (number, record) in records.iter().enumerate() {
-        if number % RECORDS_AT_ONCE == 0 {
+        if number % RECORDS_PER_YIELD == 0 {
             yield_now().await;
         }
         let Some(id) = parse_job_key(&record.key, STATE_PREFIX) else { continue };
@@ -158,15 +158,17 @@
 
 /// Starts this owner's write chains, so that no late write of a previous owner is applied. All
 /// chains start in one transaction, and therefore at one revision.
-async fn begin_chains<S: PlatformClients>(
+async fn start_chains<S: PlatformClients>(
     platform: &S,
     token: FencingToken,
     stored: Option<Record>,
 ) -> Result<Sequence, StoreError> {
-    let former = stored.as_ref().map(Sequence::read).transpose()?;
-    let next = match former {
-        Some(former) if former.token == token => Sequence { number: former.number + 1, ..former },
-        Some(former) => Sequence { token, tenure: former.tenure + 1, number: 0, revision: 0 },
+    let previous = stored.as_ref().map(Sequence::read).transpose()?;
+    let next = match previous {
+        Some(previous) if previous.token == token => {
+            Sequence { number: previous.number + 1, ..previous }
+        }
+        Some(previous) => Sequence { token, tenure: previous.tenure + 1, number: 0, revision: 0 },
         None => Sequence { token, tenure: 0, number: 0, revision: 0 },
     };
     let compare = stored.map_or(Compare::Absent, |record| Compare::Revision(record.revision));
@@ -179,7 +181,7 @@
     match platform.store().commit(transaction).await? {
         TransactionOutcome::Written(revision) => Ok(Sequence { revision, ..next }),
         TransactionOutcome::Conflict(_) => {
-            Err(StoreError::OutcomeUnknown("another write came between".into()))
+            Err(StoreError::OutcomeUnknown("the sequence key was changed by another write".into()))
         }
     }
 }
--- a/crates/jobs/src/owner/usage.rs
+++ b/crates/jobs/src/owner/usage.rs
@@ -13,20 +13,20 @@
 
 /// A phase of the loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Work {
+pub(super) enum LoopPhase {
     /// Handling of messages.
-    TakeIn,
+    Messages,
     /// Planning of commands.
     Plan,
     /// Spawning the tasks that execute the commands.
-    CarryOut,
+    Commands,
     /// Collecting state to write.
     Write,
 }
 
 /// Statistics since the last report.
 #[derive(Debug)]
-pub(super) struct Usage {
+pub(super) struct LoopStats {
     since: Moment,
     spent: [Duration; 4],
     passes: u32,
@@ -34,12 +34,12 @@
     late_max: Duration,
     writes: u32,
     states_written: usize,
-    write_flight: Duration,
+    write_latency: Duration,
     looks: u32,
     looks_repeated: u32,
 }
 
-impl Usage {
+impl LoopStats {
     pub(super) fn new(now: Moment) -> Self {
         Self {
             since: now,
@@ -49,17 +49,17 @@
             late_max: Duration::ZERO,
             writes: 0,
             states_written: 0,
-            write_flight: Duration::ZERO,
+            write_latency: Duration::ZERO,
             looks: 0,
             looks_repeated: 0,
         }
     }
 
-    /// Adds the time since `begun` to a phase. Returns the current time, at which the next phase
+    /// Adds the time since `started` to a phase. Returns the current time, at which the next phase
     /// starts.
-    pub(super) fn record(&mut self, work: Work, begun: Moment) -> Moment {
+    pub(super) fn record(&mut self, phase: LoopPhase, started: Moment) -> Moment {
         let now = since_boot();
-        self.spent[work as usize] += now.saturating_sub(begun);
+        self.spent[phase as usize] += now.saturating_sub(started);
         now
     }
 
@@ -74,11 +74,11 @@
         self.late_max = self.late_max.max(now.saturating_sub(due));
     }
 
-    /// Counts a write of `states` states that took `flight`.
-    pub(super) fn record_write(&mut self, states: usize, flight: Duration) {
+    /// Counts a write of `states` states that took `latency`.
+    pub(super) fn record_write(&mut self, states: usize, latency: Duration) {
         self.writes += 1;
         self.states_written += states;
-        self.write_flight += flight;
+        self.write_latency += latency;
     }
 
     /// Counts a successful poll. `is_repeated` tells that it reported only run ends that were
@@ -106,7 +106,7 @@
             write_ms = write,
             writes = self.writes,
             states_written = self.states_written,
-            write_flight_ms = self.write_flight.as_millis(),
+            write_flight_ms = self.write_latency.as_millis(),
             looks = self.looks,
             looks_repeated = self.looks_repeated,
             jobs_live = backlog.jobs_live,
--- a/crates/jobs/src/owner/watch_store.rs
+++ b/crates/jobs/src/owner/watch_store.rs
@@ -18,76 +18,77 @@
 use crate::spec::JobId;
 
 /// Delay between two attempts to reach the store.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Delay after changes of accepted jobs, so that the next ones are received together.
-const INBOX_GAP: Duration = Duration::from_millis(15);
+const INBOX_DELAY: Duration = Duration::from_millis(15);
 /// Delay after changes of workers' entries.
-const WORKERS_GAP: Duration = Duration::from_millis(250);
+const WORKERS_DELAY: Duration = Duration::from_millis(250);
 /// How long workers are kept whose entries are missing after a store outage.
-const RETURN_GRACE: Duration = Duration::from_millis(2_300);
+const MISSING_ENTRY_RETENTION: Duration = Duration::from_millis(2_300);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::owner::follow";
 
 /// An update from the store.
-pub(super) enum Followed {
+pub(super) enum StoreUpdate {
     /// A job was accepted.
     Job { id: JobId, record: Box<JobRecord>, revision: Revision },
     /// A job was cancelled.
     Cancel(JobId),
     /// Workers' entries have changed.
-    WorkerEntries(WorkersChange),
+    WorkerEntries(EntriesChange),
 }
 
 /// A change of the workers' entries.
-pub(super) enum WorkersChange {
+pub(super) enum EntriesChange {
     /// All entries, listed after a store outage.
-    All(Vec<(Arc<str>, WorkerEntry)>),
+    Listed(Vec<(Arc<str>, WorkerEntry)>),
     /// Entries that were written or removed.
-    Some(Vec<(Arc<str>, Option<WorkerEntry>)>),
+    Changed(Vec<(Arc<str>, Option<WorkerEntry>)>),
 }
 
 /// A prefix that is watched.
-pub(super) trait Feed: Send + 'static {
+pub(super) trait WatchedPrefix: Send + 'static {
     /// Prefix of the keys.
     const PREFIX: &'static str;
     /// Delay after changes, so that the next ones are received together.
-    const GAP: Duration;
+    const CHANGE_DELAY: Duration;
 
     /// Updates from a list of all records, after a store outage.
-    fn all(&self, records: &[Record]) -> Vec<Followed>;
+    fn from_list(&self, records: &[Record]) -> Vec<StoreUpdate>;
 
     /// Updates from changes.
-    fn some(&self, changes: &[Change]) -> Vec<Followed>;
+    fn from_changes(&self, changes: &[Change]) -> Vec<StoreUpdate>;
 }
 
 /// Accepted jobs and cancellations.
-pub(super) struct Inbox;
+pub(super) struct InboxPrefix;
 
 /// Entries of the workers.
-pub(super) struct Reports<S: PlatformClients> {
+pub(super) struct WorkersPrefix<S: PlatformClients> {
     pub(super) platform: S,
 }
 
 /// Sends the updates of a prefix after a revision, until the channel is closed.
-pub(super) async fn watch_store<S: PlatformClients, F: Feed>(
+pub(super) async fn watch_store<S: PlatformClients, F: WatchedPrefix>(
     platform: S,
-    feed: F,
+    prefix: F,
     from: Revision,
     sender: mpsc::Sender<Message>,
 ) {
     let mut after = Some(from);
     let mut outage = OutageLog::new(F::PREFIX);
     while !sender.is_closed() {
-        if let Err(error) = follow_once(&platform, &feed, &mut after, &sender, &mut outage).await {
+        if let Err(error) = follow_once(&platform, &prefix, &mut after, &sender, &mut outage).await
+        {
             outage.record_failure(&error);
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-async fn follow_once<S: PlatformClients, F: Feed>(
+async fn follow_once<S: PlatformClients, F: WatchedPrefix>(
     platform: &S,
-    feed: &F,
+    prefix: &F,
     after: &mut Option<Revision>,
     sender: &mpsc::Sender<Message>,
     outage: &mut OutageLog,
@@ -96,61 +97,65 @@
         Some(revision) => revision,
         None => {
             let snapshot = platform.store().list(F::PREFIX).await?;
-            send(feed.all(&snapshot.records), sender).await;
+            send(prefix.from_list(&snapshot.records), sender).await;
             snapshot.revision
         }
     };
     let mut changes = platform.store().watch(F::PREFIX, from).await?;
     while !sender.is_closed() {
-        let news = changes.next().await?;
+        let updates = changes.next().await?;
         outage.record_success();
-        send(feed.some(&news), sender).await;
-        sleep(F::GAP).await;
+        send(prefix.from_changes(&updates), sender).await;
+        sleep(F::CHANGE_DELAY).await;
     }
     Ok(())
 }
 
-async fn send(news: Vec<Followed>, sender: &mpsc::Sender<Message>) {
-    for followed in news {
+async fn send(updates: Vec<StoreUpdate>, sender: &mpsc::Sender<Message>) {
+    for update in updates {
         // The loop may have ended.
-        let _ = sender.send(Message::Followed(followed)).await;
+        let _ = sender.send(Message::StoreUpdate(update)).await;
     }
 }
 
-impl Feed for Inbox {
+impl WatchedPrefix for InboxPrefix {
     const PREFIX: &'static str = INBOX_PREFIX;
-    const GAP: Duration = INBOX_GAP;
+    const CHANGE_DELAY: Duration = INBOX_DELAY;
 
-    fn all(&self, records: &[Record]) -> Vec<Followed> {
-        records.iter().filter_map(read_inbox).collect()
+    fn from_list(&self, records: &[Record]) -> Vec<StoreUpdate> {
+        records.iter().filter_map(decode_inbox_record).collect()
     }
 
-    fn some(&self, changes: &[Change]) -> Vec<Followed> {
-        changes.iter().filter_map(|change| read_inbox(change.record.as_ref()?)).collect()
+    fn from_changes(&self, changes: &[Change]) -> Vec<StoreUpdate> {
+        changes.iter().filter_map(|change| decode_inbox_record(change.record.as_ref()?)).collect()
     }
 }
 
-impl<S: PlatformClients> Feed for Reports<S> {
+impl<S: PlatformClients> WatchedPrefix for WorkersPrefix<S> {
     const PREFIX: &'static str = S::Formats::WORKERS_PREFIX;
-    const GAP: Duration = WORKERS_GAP;
+    const CHANGE_DELAY: Duration = WORKERS_DELAY;
 
-    fn all(&self, records: &[Record]) -> Vec<Followed> {
-        vec![Followed::WorkerEntries(WorkersChange::All(read_all(&self.platform, records)))]
+    fn from_list(&self, records: &[Record]) -> Vec<StoreUpdate> {
+        vec![StoreUpdate::WorkerEntries(EntriesChange::Listed(decode_entries(
+            &self.platform,
+            records,
+        )))]
     }
 
-    fn some(&self, changes: &[Change]) -> Vec<Followed> {
-        let some = changes.iter().map(|change| read_change(&self.platform, change)).collect();
-        vec![Followed::WorkerEntries(WorkersChange::Some(some))]
+    fn from_changes(&self, changes: &[Change]) -> Vec<StoreUpdate> {
+        let changed =
+            changes.iter().map(|change| decode_entry_change(&self.platform, change)).collect();
+        vec![StoreUpdate::WorkerEntries(EntriesChange::Changed(changed))]
     }
 }
 
-fn read_inbox(record: &Record) -> Option<Followed> {
+fn decode_inbox_record(record: &Record) -> Option<StoreUpdate> {
     if let Some(id) = parse_job_key(&record.key, CANCEL_PREFIX) {
-        return Some(Followed::Cancel(id));
+        return Some(StoreUpdate::Cancel(id));
     }
     let id = parse_job_key(&record.key, JOB_PREFIX)?;
     match JobRecord::try_from(&record.value[..]) {
-        Ok(job) => Some(Followed::Job { id, record: Box::new(job), revision: record.revision }),
+        Ok(job) => Some(StoreUpdate::Job { id, record: Box::new(job), revision: record.revision }),
         Err(error) => {
             emit!(target: LOG_TARGET, JobsEvent::ItemUnreadable, key = record.key, error = error);
             None
@@ -158,22 +163,25 @@
     }
 }
 
-fn read_all<S: PlatformClients>(platform: &S, records: &[Record]) -> Vec<(Arc<str>, WorkerEntry)> {
+fn decode_entries<S: PlatformClients>(
+    platform: &S,
+    records: &[Record],
+) -> Vec<(Arc<str>, WorkerEntry)> {
     let read = records
         .iter()
-        .filter_map(|record| Some((record.key.clone(), read_worker(platform, record)?)));
+        .filter_map(|record| Some((record.key.clone(), decode_entry(platform, record)?)));
     read.collect()
 }
 
-fn read_change<S: PlatformClients>(
+fn decode_entry_change<S: PlatformClients>(
     platform: &S,
     change: &Change,
 ) -> (Arc<str>, Option<WorkerEntry>) {
-    let entry = change.record.as_ref().and_then(|record| read_worker(platform, record));
+    let entry = change.record.as_ref().and_then(|record| decode_entry(platform, record));
     (change.key.clone(), entry)
 }
 
-fn read_worker<S: PlatformClients>(platform: &S, record: &Record) -> Option<WorkerEntry> {
+fn decode_entry<S: PlatformClients>(platform: &S, record: &Record) -> Option<WorkerEntry> {
     match platform.formats().worker_entry(record) {
         Ok(entry) => Some(entry),
         Err(error) => {
@@ -184,28 +192,28 @@
 }
 
 /// The workers' entries, including those that the store lost during an outage.
-pub(super) struct Listing {
+pub(super) struct WorkerList {
     entries: HashMap<Arc<str>, WorkerEntry>,
     /// Entries that are missing after an outage, and until when they are kept.
     missing: HashMap<Arc<str>, WorkerEntry>,
     missing_until: Option<Moment>,
-    first: Vec<Record>,
+    initial: Vec<Record>,
 }
 
-impl Listing {
-    pub(super) fn new(first: Vec<Record>) -> Self {
-        Self { entries: HashMap::new(), missing: HashMap::new(), missing_until: None, first }
+impl WorkerList {
+    pub(super) fn new(initial: Vec<Record>) -> Self {
+        Self { entries: HashMap::new(), missing: HashMap::new(), missing_until: None, initial }
     }
 
     /// Decodes the entries with which the term started.
-    pub(super) fn read_first<S: PlatformClients>(&mut self, platform: &S) {
-        let records = std::mem::take(&mut self.first);
-        self.entries = read_all(platform, &records).into_iter().collect();
+    pub(super) fn decode_initial<S: PlatformClients>(&mut self, platform: &S) {
+        let records = std::mem::take(&mut self.initial);
+        self.entries = decode_entries(platform, &records).into_iter().collect();
     }
 
-    pub(super) fn apply(&mut self, change: WorkersChange, now: Moment) {
+    pub(super) fn apply(&mut self, change: EntriesChange, now: Moment) {
         match change {
-            WorkersChange::Some(changes) => {
+            EntriesChange::Changed(changes) => {
                 for (key, entry) in changes {
                     self.missing.remove(&key);
                     match entry {
@@ -214,11 +222,11 @@
                     }
                 }
             }
-            WorkersChange::All(all) => {
-                let former = std::mem::replace(&mut self.entries, all.into_iter().collect());
-                self.missing.extend(former);
+            EntriesChange::Listed(listed) => {
+                let previous = std::mem::replace(&mut self.entries, listed.into_iter().collect());
+                self.missing.extend(previous);
                 self.missing.retain(|key, _| !self.entries.contains_key(key));
-                self.missing_until = Some(now + RETURN_GRACE);
+                self.missing_until = Some(now + MISSING_ENTRY_RETENTION);
             }
         }
     }
--- a/crates/jobs/src/owner/write.rs
+++ b/crates/jobs/src/owner/write.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-use super::{ENDS_WRITE_INTERVAL, Message, Office, URGENT_WRITE_INTERVAL, WRITE_INTERVAL};
+use super::{ENDS_WRITE_INTERVAL, Message, OwnerLoop, URGENT_WRITE_INTERVAL, WRITE_INTERVAL};
 use crate::clients::FencingToken;
 use crate::outage::OutageLog;
 use crate::platform_clients::{Formats, PlatformClients};
@@ -23,12 +23,12 @@
 use crate::scheduler::{WriteBatch, WriteUrgency};
 
 /// Delay between two attempts of a write.
-const RETRY: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Timeout of the first attempt of a write; the next attempt uses another connection. The timeout
 /// doubles with each attempt, so that a slow store has time to respond.
-const FIRST_ATTEMPT: Duration = Duration::from_millis(150);
+const FIRST_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Longest timeout of an attempt.
-const ATTEMPT_MAX: Duration = Duration::from_millis(1_200);
+const ATTEMPT_TIMEOUT_MAX: Duration = Duration::from_millis(1_200);
 
 /// Position in a write chain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,18 +57,18 @@
 }
 
 /// Outcome of a write.
-pub(super) enum Written {
+pub(super) enum WriteOutcome {
     /// It was committed.
-    Done { batch: Box<WriteBatch>, sequence: Sequence },
+    Committed { batch: Box<WriteBatch>, sequence: Sequence },
     /// Another instance has become the owner.
-    Deposed,
+    Superseded,
 }
 
 /// A write chain.
 struct Chain {
     sequence: Sequence,
     /// When its write in flight was started.
-    begun: Option<Moment>,
+    started: Option<Moment>,
 }
 
 /// Writer of one owner.
@@ -79,25 +79,25 @@
 }
 
 impl<S: PlatformClients> Writer<S> {
-    /// A writer that continues the chains from `begins`.
-    pub(super) fn new(platform: S, token: FencingToken, begins: Vec<Sequence>) -> Self {
-        let chain = |sequence| Chain { sequence, begun: None };
-        Self { platform, token, chains: begins.into_iter().map(chain).collect() }
+    /// A writer that continues the chains from `first_sequences`.
+    pub(super) fn new(platform: S, token: FencingToken, first_sequences: Vec<Sequence>) -> Self {
+        let chain = |sequence| Chain { sequence, started: None };
+        Self { platform, token, chains: first_sequences.into_iter().map(chain).collect() }
     }
 
     /// Whether a write is in flight.
     pub(super) fn is_busy(&self) -> bool {
-        self.chains.iter().any(|chain| chain.begun.is_some())
+        self.chains.iter().any(|chain| chain.started.is_some())
     }
 
     fn start(&mut self, batch: Box<WriteBatch>, sender: mpsc::Sender<Message>) {
         let chain = &mut self.chains[batch.chain];
-        chain.begun = Some(since_boot());
+        chain.started = Some(since_boot());
         let (platform, token, sequence) = (self.platform.clone(), self.token, chain.sequence);
         tokio::spawn(async move {
-            let written = write(&platform, token, sequence, batch).await;
+            let outcome = write(&platform, token, sequence, batch).await;
             // The loop may have ended.
-            let _ = sender.send(Message::Written(written)).await;
+            let _ = sender.send(Message::WriteOutcome(outcome)).await;
         });
     }
 
@@ -105,44 +105,45 @@
     fn record_done(&mut self, chain: ChainNumber, sequence: Sequence) -> Duration {
         let chain = &mut self.chains[chain];
         chain.sequence = sequence;
-        since_boot().saturating_sub(chain.begun.take().unwrap_or_else(since_boot))
+        since_boot().saturating_sub(chain.started.take().unwrap_or_else(since_boot))
     }
 }
 
 async fn write<S: PlatformClients>(
     platform: &S,
     token: FencingToken,
-    former: Sequence,
+    previous: Sequence,
     batch: Box<WriteBatch>,
-) -> Written {
-    let next = Sequence { number: former.number + 1, ..former };
-    let transaction = transaction(platform, token, former, next, &batch);
+) -> WriteOutcome {
+    let next = Sequence { number: previous.number + 1, ..previous };
+    let transaction = transaction(platform, token, previous, next, &batch);
     let mut outage = OutageLog::new("owner's writes");
-    let mut patience = FIRST_ATTEMPT;
+    let mut attempt_timeout = FIRST_ATTEMPT_TIMEOUT;
     loop {
-        let attempt = timeout(patience, platform.store().commit(transaction.clone())).await;
-        patience = (patience * 2).min(ATTEMPT_MAX);
-        let lost = || Err(StoreError::OutcomeUnknown("no answer yet".into()));
-        match attempt.unwrap_or_else(|_| lost()) {
+        let attempt = timeout(attempt_timeout, platform.store().commit(transaction.clone())).await;
+        attempt_timeout = (attempt_timeout * 2).min(ATTEMPT_TIMEOUT_MAX);
+        let no_response =
+            || Err(StoreError::OutcomeUnknown("no response before the timeout".into()));
+        match attempt.unwrap_or_else(|_| no_response()) {
             Ok(TransactionOutcome::Written(revision)) => {
                 outage.record_success();
-                return Written::Done { batch, sequence: Sequence { revision, ..next } };
+                return WriteOutcome::Committed { batch, sequence: Sequence { revision, ..next } };
             }
             Ok(TransactionOutcome::Conflict(records)) => {
-                return match settle(token, batch.chain, next, &records) {
-                    Some(sequence) => Written::Done { batch, sequence },
-                    None => Written::Deposed,
+                return match committed_sequence(token, batch.chain, next, &records) {
+                    Some(sequence) => WriteOutcome::Committed { batch, sequence },
+                    None => WriteOutcome::Superseded,
                 };
             }
             Err(error) => outage.record_failure(&error),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 /// Sequence of a write whose conditions failed because an earlier attempt of it was committed;
 /// `None` if another owner changed the keys.
-fn settle(
+fn committed_sequence(
     token: FencingToken,
     chain: ChainNumber,
     next: Sequence,
@@ -158,7 +159,7 @@
 fn transaction<S: PlatformClients>(
     platform: &S,
     token: FencingToken,
-    former: Sequence,
+    previous: Sequence,
     next: Sequence,
     batch: &WriteBatch,
 ) -> Transaction {
@@ -170,7 +171,7 @@
     let sequence_key = sequence_key(batch.chain);
     let mut transaction = Transaction::default()
         .expect(OWNER_KEY, Compare::Revision(token))
-        .expect(Arc::clone(&sequence_key), Compare::Revision(former.revision))
+        .expect(Arc::clone(&sequence_key), Compare::Revision(previous.revision))
         .put(sequence_key, sequence, None);
     for (key, value) in &batch.puts {
         transaction = transaction.put(Arc::clone(key), value.clone(), None);
@@ -185,7 +186,7 @@
     transaction
 }
 
-impl<S: PlatformClients> Office<S> {
+impl<S: PlatformClients> OwnerLoop<S> {
     /// Starts the writes that are due.
     pub(super) fn write(&mut self, now: Moment) {
         if !self.scheduler.may_write(now) {
@@ -196,23 +197,23 @@
             WriteUrgency::Normal => ENDS_WRITE_INTERVAL,
             WriteUrgency::Low => WRITE_INTERVAL,
         };
-        if now.saturating_sub(self.written) < interval {
+        if now.saturating_sub(self.last_write) < interval {
             return;
         }
-        self.written = now;
+        self.last_write = now;
         while let Some(batch) = self.scheduler.next_write_batch(now) {
             self.writer.start(Box::new(batch), self.sender.clone());
         }
     }
 
-    pub(super) fn take_written(&mut self, written: Written) {
-        match written {
-            Written::Done { batch, sequence } => {
-                let flight = self.writer.record_done(batch.chain, sequence);
-                self.usage.record_write(batch.states(), flight);
+    pub(super) fn handle_write_outcome(&mut self, outcome: WriteOutcome) {
+        match outcome {
+            WriteOutcome::Committed { batch, sequence } => {
+                let latency = self.writer.record_done(batch.chain, sequence);
+                self.loop_stats.record_write(batch.states(), latency);
                 self.scheduler.handle_write_committed(&batch, since_boot());
             }
-            Written::Deposed => self.is_fenced = true,
+            WriteOutcome::Superseded => self.is_fenced = true,
         }
     }
 }
