--- a/crates/jobs/src/api.rs
+++ b/crates/jobs/src/api.rs
@@ -2,7 +2,7 @@
 //! waiting jobs.
 //!
 //! A job is accepted by one transaction that creates its record, on the condition that the
-//! configuration that authorized it is still in force. A job is refused as never running only if
+//! configuration that auth it is still in force. A job is refused as never running only if
 //! nothing of it can be in the store, now or later.
 
 mod admission;
@@ -126,9 +126,9 @@
     }
 
     fn record_call(&self, kind: &'static str, call: &Call, outcome: &'static str, taken: Duration) {
-        let authorized = self.authorize(call).ok();
-        let queue = authorized.as_ref().map(|authorized| &authorized.queue.id);
-        let team = authorized.as_ref().and_then(|authorized| authorized.team.as_ref());
+        let auth = self.authorize(call).ok();
+        let queue = auth.as_ref().map(|auth| &auth.queue.id);
+        let team = auth.as_ref().and_then(|auth| auth.team.as_ref());
         self.metrics.record_call(kind, queue, team, outcome, taken);
     }
 
@@ -144,18 +144,18 @@
         let deadline = call.deadline - RESPONSE_MARGIN;
         let mut unanswered = 0;
         loop {
-            let authorized = match self.authorize_fresh(call).await {
-                Ok(authorized) => authorized,
+            let auth = match self.authorize_fresh(call).await {
+                Ok(auth) => auth,
                 Err(denial) => return denied(denial, unanswered > 0),
             };
-            let Target::Job(id) = authorized.target else {
+            let Target::Job(id) = auth.target else {
                 return SubmitResponse::Denied(Denial::NoJob);
             };
             if unanswered == 0 && self.is_store_unavailable() {
                 return refuse(id, "the store is unavailable");
             }
             let attempt_timeout = FIRST_ATTEMPT_TIMEOUT * (1 << unanswered);
-            let attempt = timeout(attempt_timeout, self.store_job(&authorized, id, &spec)).await;
+            let attempt = timeout(attempt_timeout, self.store_job(&auth, id, &spec)).await;
             let no_response =
                 || Err(StoreError::OutcomeUnknown("no response before the timeout".into()));
             match self.track_availability(attempt.unwrap_or_else(|_| no_response())) {
@@ -164,9 +164,9 @@
                         target: LOG_TARGET,
                         JobsEvent::JobAccepted,
                         job = format_args!("{id:016x}"),
-                        queue = authorized.queue.id,
-                        team = authorized.team.as_deref().unwrap_or("-"),
-                        config_revision = authorized.config_revision
+                        queue = auth.queue.id,
+                        team = auth.team.as_deref().unwrap_or("-"),
+                        config_revision = auth.config_revision
                     );
                     return SubmitResponse::Accepted;
                 }
@@ -195,14 +195,14 @@
 
     async fn store_job(
         &self,
-        authorized: &AuthorizedCall,
+        auth: &AuthorizedCall,
         id: JobId,
         spec: &JobSpec,
     ) -> Result<StoreOutcome, StoreError> {
         let record = JobRecord {
-            queue: authorized.queue.id.clone(),
-            service: authorized.queue.service.clone(),
-            team: authorized.team.clone(),
+            queue: auth.queue.id.clone(),
+            service: auth.queue.service.clone(),
+            team: auth.team.clone(),
             spec: spec.clone(),
         };
         let bytes =
@@ -210,7 +210,7 @@
         let key = job_key(id);
         let transaction = Transaction::default()
             .expect(key.clone(), Compare::Absent)
-            .expect(S::Formats::CONFIG_KEY, Compare::Revision(authorized.config_revision))
+            .expect(S::Formats::CONFIG_KEY, Compare::Revision(auth.config_revision))
             .put(key.clone(), bytes, None);
         match self.platform.store().commit(transaction).await? {
             TransactionOutcome::Written(_) => Ok(StoreOutcome::Created),
@@ -233,11 +233,11 @@
     }
 
     async fn cancel_once(&self, call: &Call) -> CancelResponse {
-        let authorized = match self.authorize_fresh(call).await {
-            Ok(authorized) => authorized,
+        let auth = match self.authorize_fresh(call).await {
+            Ok(auth) => auth,
             Err(denial) => return CancelResponse::Denied(denial),
         };
-        let Target::Job(id) = authorized.target else {
+        let Target::Job(id) = auth.target else {
             return CancelResponse::Denied(Denial::NoJob);
         };
         let deadline = call.deadline - RESPONSE_MARGIN;
@@ -245,7 +245,7 @@
             if self.is_store_unavailable() {
                 return CancelResponse::Unknown;
             }
-            match self.track_availability(self.store_cancel(id, authorized.team.as_ref()).await) {
+            match self.track_availability(self.store_cancel(id, auth.team.as_ref()).await) {
                 Ok(true) => {
                     emit!(
                         target: LOG_TARGET,
@@ -290,11 +290,11 @@
     }
 
     async fn job_state_once(&self, call: &Call) -> JobStateResponse {
-        let authorized = match self.authorize_fresh(call).await {
-            Ok(authorized) => authorized,
+        let auth = match self.authorize_fresh(call).await {
+            Ok(auth) => auth,
             Err(denial) => return JobStateResponse::Denied(denial),
         };
-        let Target::Job(id) = authorized.target else {
+        let Target::Job(id) = auth.target else {
             return JobStateResponse::Denied(Denial::NoJob);
         };
         let deadline = call.deadline - RESPONSE_MARGIN;
@@ -302,7 +302,7 @@
             if self.final_state(id).is_none() && self.is_store_unavailable() {
                 return JobStateResponse::Unknown;
             }
-            match self.track_availability(self.read_state(id, authorized.team.as_ref()).await) {
+            match self.track_availability(self.read_state(id, auth.team.as_ref()).await) {
                 Ok(Some(state)) => return JobStateResponse::State(state),
                 Ok(None) => return JobStateResponse::NoSuchJob,
                 Err(error) if Instant::now() + RETRY_DELAY >= deadline => {
@@ -354,7 +354,7 @@
 
     /// Returns what the path of a call names, if the call is allowed.
     pub async fn target(&self, call: &Call) -> Result<Target, Denial> {
-        self.authorize_fresh(call).await.map(|authorized| authorized.target)
+        self.authorize_fresh(call).await.map(|auth| auth.target)
     }
 
     /// The configuration in force.
--- a/crates/jobs/src/api/count.rs
+++ b/crates/jobs/src/api/count.rs
@@ -31,21 +31,21 @@
     }
 
     async fn waiting_jobs_once(&self, call: &Call) -> CountResponse {
-        let authorized = match self.authorize_fresh(call).await {
-            Ok(authorized) => authorized,
+        let auth = match self.authorize_fresh(call).await {
+            Ok(auth) => auth,
             Err(denial) => return CountResponse::Denied(denial),
         };
         match self.read_waiting_record().await {
             Ok(waiting) if is_outdated(&waiting, unix_now()) => {
-                emit!(target: LOG_TARGET, JobsEvent::CountOutdated, queue = authorized.queue.id);
+                emit!(target: LOG_TARGET, JobsEvent::CountOutdated, queue = auth.queue.id);
                 CountResponse::Unknown
             }
-            Ok(waiting) => CountResponse::Waiting(count_of(&waiting, &authorized.queue.id)),
+            Ok(waiting) => CountResponse::Waiting(count_of(&waiting, &auth.queue.id)),
             Err(error) => {
                 emit!(
                     target: LOG_TARGET,
                     JobsEvent::StateUnknown,
-                    queue = authorized.queue.id,
+                    queue = auth.queue.id,
                     error = error
                 );
                 CountResponse::Unknown
--- a/crates/jobs/src/desired_state.rs
+++ b/crates/jobs/src/desired_state.rs
@@ -83,14 +83,14 @@
     let mut items: BTreeMap<Arc<str>, OperatorItem> = BTreeMap::new();
     let mut outage = OutageLog::new("operator's view");
     loop {
-        if let Err(error) = follow_once(&platform, &sender, &mut items, &mut outage).await {
+        if let Err(error) = watch_once(&platform, &sender, &mut items, &mut outage).await {
             outage.record_failure(&error);
         }
         sleep(RETRY_DELAY).await;
     }
 }
 
-async fn follow_once<S: PlatformClients>(
+async fn watch_once<S: PlatformClients>(
     platform: &S,
     sender: &DesiredStateSender,
     items: &mut BTreeMap<Arc<str>, OperatorItem>,
--- a/crates/jobs/src/metrics.rs
+++ b/crates/jobs/src/metrics.rs
@@ -60,10 +60,10 @@
 pub struct JobsMetrics {
     calls: Family<CallLabels, Counter>,
     call_seconds: Family<OutcomeLabels, Histogram, DurationBuckets>,
-    orders: Family<OutcomeLabels, Counter>,
+    commands: Family<OutcomeLabels, Counter>,
     ends: Family<OutcomeLabels, Counter>,
-    tenures: Counter,
-    owns: Gauge,
+    terms: Counter,
+    is_owner: Gauge,
     config_version: Gauge,
 }
 
@@ -72,10 +72,10 @@
         Self {
             calls: Family::default(),
             call_seconds: Family::new_with_constructor(DurationBuckets),
-            orders: Family::default(),
+            commands: Family::default(),
             ends: Family::default(),
-            tenures: Counter::default(),
-            owns: Gauge::default(),
+            terms: Counter::default(),
+            is_owner: Gauge::default(),
             config_version: Gauge::default(),
         }
     }
@@ -91,10 +91,10 @@
             Unit::Seconds,
             self.call_seconds.clone(),
         );
-        registry.register("orders", "Orders to workers and machines", self.orders.clone());
+        registry.register("orders", "Orders to workers and machines", self.commands.clone());
         registry.register("ends", "Ends of runs", self.ends.clone());
-        registry.register("tenures", "Tenures as owner", self.tenures.clone());
-        registry.register("owns", "Whether this instance places the jobs", self.owns.clone());
+        registry.register("tenures", "Tenures as owner", self.terms.clone());
+        registry.register("owns", "Whether this instance places the jobs", self.is_owner.clone());
         registry.register(
             "config_version",
             "Version of the configuration in force",
@@ -111,8 +111,8 @@
         outcome: &'static str,
         taken: Duration,
     ) {
-        let text = |name: Option<&Arc<str>>| name.cloned().unwrap_or_else(|| NONE.into());
-        let labels = CallLabels { call, queue: text(queue), team: text(team), outcome };
+        let label = |name: Option<&Arc<str>>| name.cloned().unwrap_or_else(|| NONE.into());
+        let labels = CallLabels { call, queue: label(queue), team: label(team), outcome };
         self.calls.get_or_create(&labels).inc();
         let labels = OutcomeLabels { order: call, outcome };
         self.call_seconds.get_or_create(&labels).observe(taken.as_secs_f64());
@@ -126,7 +126,7 @@
             CommandOutcome::NotSent => "not_sent",
             CommandOutcome::Unknown => "unknown",
         };
-        self.orders.get_or_create(&OutcomeLabels { order, outcome }).inc();
+        self.commands.get_or_create(&OutcomeLabels { order, outcome }).inc();
     }
 
     /// Counts a command to a machine.
@@ -138,13 +138,13 @@
             MachineOutcome::Refused => "refused",
             MachineOutcome::Unknown => "unknown",
         };
-        self.orders.get_or_create(&OutcomeLabels { order, outcome }).inc();
+        self.commands.get_or_create(&OutcomeLabels { order, outcome }).inc();
     }
 
     /// Counts a poll of a worker.
-    pub fn count_poll(&self, is_answered: bool) {
-        let outcome = if is_answered { "answered" } else { "failed" };
-        self.orders.get_or_create(&OutcomeLabels { order: "look", outcome }).inc();
+    pub fn count_poll(&self, is_successful: bool) {
+        let outcome = if is_successful { "answered" } else { "failed" };
+        self.commands.get_or_create(&OutcomeLabels { order: "look", outcome }).inc();
     }
 
     /// Counts the end of a run.
@@ -161,10 +161,10 @@
     }
 
     /// Records whether this instance is the owner.
-    pub fn set_is_owner(&self, owns: bool) {
-        self.owns.set(i64::from(owns));
-        if owns {
-            self.tenures.inc();
+    pub fn set_is_owner(&self, is_owner: bool) {
+        self.is_owner.set(i64::from(is_owner));
+        if is_owner {
+            self.terms.inc();
         }
     }
 
--- a/crates/jobs/src/owner/load.rs
+++ b/crates/jobs/src/owner/load.rs
@@ -85,7 +85,7 @@
     let run_number_base = RunNumber::try_from(sequence.tenure).unwrap_or(0) * RUN_NUMBERS_PER_TERM;
     let now = since_boot();
     let instance = Arc::clone(instance);
-    let tenure = OwnerTerm {
+    let term = OwnerTerm {
         token,
         run_number_base,
         known_workers,
@@ -94,7 +94,7 @@
         instance,
         started_unix: unix_now(),
     };
-    let mut scheduler = Scheduler::new(settings, tenure, now);
+    let mut scheduler = Scheduler::new(settings, term, now);
     let states = read_states(&states.records).await;
     for (number, record) in inbox.records.iter().enumerate() {
         if number % RECORDS_PER_YIELD == 0 {
--- a/crates/jobs/src/owner/usage.rs
+++ b/crates/jobs/src/owner/usage.rs
@@ -35,8 +35,8 @@
     writes: u32,
     states_written: usize,
     write_latency: Duration,
-    looks: u32,
-    looks_repeated: u32,
+    polls: u32,
+    polls_repeated: u32,
 }
 
 impl LoopStats {
@@ -50,8 +50,8 @@
             writes: 0,
             states_written: 0,
             write_latency: Duration::ZERO,
-            looks: 0,
-            looks_repeated: 0,
+            polls: 0,
+            polls_repeated: 0,
         }
     }
 
@@ -84,8 +84,8 @@
     /// Counts a successful poll. `is_repeated` tells that it reported only run ends that were
     /// received before.
     pub(super) fn count_poll(&mut self, is_repeated: bool) {
-        self.looks += 1;
-        self.looks_repeated += u32::from(is_repeated);
+        self.polls += 1;
+        self.polls_repeated += u32::from(is_repeated);
     }
 
     /// Logs the report when it is due.
@@ -107,8 +107,8 @@
             writes = self.writes,
             states_written = self.states_written,
             write_flight_ms = self.write_latency.as_millis(),
-            looks = self.looks,
-            looks_repeated = self.looks_repeated,
+            looks = self.polls,
+            looks_repeated = self.polls_repeated,
             jobs_live = backlog.jobs_live,
             jobs_unannounced = backlog.jobs_awaiting_start_write,
             jobs_unstarted = backlog.jobs_unstarted,
--- a/crates/jobs/src/owner/watch_store.rs
+++ b/crates/jobs/src/owner/watch_store.rs
@@ -78,15 +78,14 @@
     let mut after = Some(from);
     let mut outage = OutageLog::new(F::PREFIX);
     while !sender.is_closed() {
-        if let Err(error) = follow_once(&platform, &prefix, &mut after, &sender, &mut outage).await
-        {
+        if let Err(error) = watch_once(&platform, &prefix, &mut after, &sender, &mut outage).await {
             outage.record_failure(&error);
         }
         sleep(RETRY_DELAY).await;
     }
 }
 
-async fn follow_once<S: PlatformClients, F: WatchedPrefix>(
+async fn watch_once<S: PlatformClients, F: WatchedPrefix>(
     platform: &S,
     prefix: &F,
     after: &mut Option<Revision>,
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -317,9 +317,9 @@
     pub fn add(&mut self, task: TaskId, run: Run) {
         self.reserved = self.reserved.plus(&run.reserved);
         self.counts.add(&run);
-        if let Some(former) = self.runs.insert(task, run) {
-            self.reserved = self.reserved.minus(&former.reserved);
-            self.counts.remove(&former);
+        if let Some(previous) = self.runs.insert(task, run) {
+            self.reserved = self.reserved.minus(&previous.reserved);
+            self.counts.remove(&previous);
         }
     }
 
