--- a/crates/jobs/src/api.rs
+++ b/crates/jobs/src/api.rs
@@ -66,7 +66,7 @@
     desired_states: watch::Receiver<Arc<DesiredState>>,
     sender: DesiredStateSender,
     metrics: JobsMetrics,
-    /// Whether the store is unavailable and is being checked.
+    /// Whether the store is unavailable, in which case it is being checked.
     is_store_unavailable: Arc<AtomicBool>,
     cached_waiting: Mutex<Option<(Moment, Arc<WaitingRecord>)>>,
     final_states: Mutex<HashMap<JobId, (JobState, Option<TeamId>)>>,
@@ -142,19 +142,19 @@
 
     async fn submit_once(&self, call: &Call, spec: JobSpec) -> SubmitResponse {
         let deadline = call.deadline - RESPONSE_MARGIN;
-        let mut unanswered = 0;
+        let mut failed_attempts = 0;
         loop {
             let auth = match self.authorize_fresh(call).await {
                 Ok(auth) => auth,
-                Err(denial) => return denied(denial, unanswered > 0),
+                Err(denial) => return denied(denial, failed_attempts > 0),
             };
             let Target::Job(id) = auth.target else {
                 return SubmitResponse::Denied(Denial::NoJob);
             };
-            if unanswered == 0 && self.is_store_unavailable() {
+            if failed_attempts == 0 && self.is_store_unavailable() {
                 return refuse(id, "the store is unavailable");
             }
-            let attempt_timeout = FIRST_ATTEMPT_TIMEOUT * (1 << unanswered);
+            let attempt_timeout = FIRST_ATTEMPT_TIMEOUT * (1 << failed_attempts);
             let attempt = timeout(attempt_timeout, self.store_job(&auth, id, &spec)).await;
             let no_response =
                 || Err(StoreError::OutcomeUnknown("no response before the timeout".into()));
@@ -172,12 +172,12 @@
                 }
                 Ok(StoreOutcome::Present) => return SubmitResponse::Accepted,
                 Ok(StoreOutcome::ConfigChanged) => continue,
-                Err(StoreError::Unavailable(reason)) if unanswered == 0 => {
+                Err(StoreError::Unavailable(reason)) if failed_attempts == 0 => {
                     return refuse(id, &reason);
                 }
-                Err(StoreError::Unavailable(_)) => unanswered += 1,
+                Err(StoreError::Unavailable(_)) => failed_attempts += 1,
                 Err(error) => {
-                    unanswered += 1;
+                    failed_attempts += 1;
                     emit!(
                         target: LOG_TARGET,
                         JobsEvent::JobUnsettled,
@@ -186,7 +186,7 @@
                     );
                 }
             }
-            if unanswered >= ATTEMPTS_MAX || Instant::now() + RETRY_DELAY >= deadline {
+            if failed_attempts >= ATTEMPTS_MAX || Instant::now() + RETRY_DELAY >= deadline {
                 return SubmitResponse::Unknown;
             }
             sleep(RETRY_DELAY).await;
@@ -237,9 +237,7 @@
             Ok(auth) => auth,
             Err(denial) => return CancelResponse::Denied(denial),
         };
-        let Target::Job(id) = auth.target else {
-            return CancelResponse::Denied(Denial::NoJob);
-        };
+        let Target::Job(id) = auth.target else { return CancelResponse::Denied(Denial::NoJob) };
         let deadline = call.deadline - RESPONSE_MARGIN;
         loop {
             if self.is_store_unavailable() {
@@ -294,9 +292,7 @@
             Ok(auth) => auth,
             Err(denial) => return JobStateResponse::Denied(denial),
         };
-        let Target::Job(id) = auth.target else {
-            return JobStateResponse::Denied(Denial::NoJob);
-        };
+        let Target::Job(id) = auth.target else { return JobStateResponse::Denied(Denial::NoJob) };
         let deadline = call.deadline - RESPONSE_MARGIN;
         loop {
             if self.final_state(id).is_none() && self.is_store_unavailable() {
--- a/crates/jobs/src/owner/execute.rs
+++ b/crates/jobs/src/owner/execute.rs
@@ -61,7 +61,7 @@
         });
     }
 
-    /// Executes commands; the starts on one worker go into one request.
+    /// Executes commands; the starts on one worker are sent in one call.
     pub(super) fn execute(&mut self, commands: Vec<Command>, now: Moment) {
         let mut starts: BTreeMap<WorkerSlot, Vec<StartRequest>> = BTreeMap::new();
         for command in commands {
--- a/crates/jobs/src/owner/watch_store.rs
+++ b/crates/jobs/src/owner/watch_store.rs
@@ -54,10 +54,10 @@
     const CHANGE_DELAY: Duration;
 
     /// Updates from a list of all records, after a store outage.
-    fn from_list(&self, records: &[Record]) -> Vec<StoreUpdate>;
+    fn updates_from_list(&self, records: &[Record]) -> Vec<StoreUpdate>;
 
     /// Updates from changes.
-    fn from_changes(&self, changes: &[Change]) -> Vec<StoreUpdate>;
+    fn updates_from_changes(&self, changes: &[Change]) -> Vec<StoreUpdate>;
 }
 
 /// Accepted jobs and cancellations.
@@ -96,7 +96,7 @@
         Some(revision) => revision,
         None => {
             let snapshot = platform.store().list(F::PREFIX).await?;
-            send(prefix.from_list(&snapshot.records), sender).await;
+            send(prefix.updates_from_list(&snapshot.records), sender).await;
             snapshot.revision
         }
     };
@@ -104,7 +104,7 @@
     while !sender.is_closed() {
         let updates = changes.next().await?;
         outage.record_success();
-        send(prefix.from_changes(&updates), sender).await;
+        send(prefix.updates_from_changes(&updates), sender).await;
         sleep(F::CHANGE_DELAY).await;
     }
     Ok(())
@@ -121,11 +121,11 @@
     const PREFIX: &'static str = INBOX_PREFIX;
     const CHANGE_DELAY: Duration = INBOX_DELAY;
 
-    fn from_list(&self, records: &[Record]) -> Vec<StoreUpdate> {
+    fn updates_from_list(&self, records: &[Record]) -> Vec<StoreUpdate> {
         records.iter().filter_map(decode_inbox_record).collect()
     }
 
-    fn from_changes(&self, changes: &[Change]) -> Vec<StoreUpdate> {
+    fn updates_from_changes(&self, changes: &[Change]) -> Vec<StoreUpdate> {
         changes.iter().filter_map(|change| decode_inbox_record(change.record.as_ref()?)).collect()
     }
 }
@@ -134,14 +134,14 @@
     const PREFIX: &'static str = S::Formats::WORKERS_PREFIX;
     const CHANGE_DELAY: Duration = WORKERS_DELAY;
 
-    fn from_list(&self, records: &[Record]) -> Vec<StoreUpdate> {
+    fn updates_from_list(&self, records: &[Record]) -> Vec<StoreUpdate> {
         vec![StoreUpdate::WorkerEntries(EntriesChange::Listed(decode_entries(
             &self.platform,
             records,
         )))]
     }
 
-    fn from_changes(&self, changes: &[Change]) -> Vec<StoreUpdate> {
+    fn updates_from_changes(&self, changes: &[Change]) -> Vec<StoreUpdate> {
         let changed =
             changes.iter().map(|change| decode_entry_change(&self.platform, change)).collect();
         vec![StoreUpdate::WorkerEntries(EntriesChange::Changed(changed))]
