--- a/crates/jobs/src/api/count.rs
+++ b/crates/jobs/src/api/count.rs
@@ -1,4 +1,4 @@
-//! How many of a queue's jobs wait, as the owner has counted them.
+//! Number of a queue's waiting jobs, as counted by the owner.
 
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -13,38 +13,39 @@
 use crate::platform_clients::PlatformClients;
 use crate::record::{WAITING_KEY, WaitingRecord};
 
-/// How long a count of waiting jobs is used again.
+/// How long a count is cached.
 const WAITING_AGE_MAX: Duration = Duration::from_millis(400);
-/// Counts older than this are not shown. An owner counts each second; clocks of instances differ.
+/// Age from which a count is not reported. The owner counts every second; the clocks of instances
+/// differ.
 const COUNT_AGE_MAX: Duration = Duration::from_millis(4_000);
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_jobs::desk::count";
 
 impl<S: PlatformClients> JobApi<S> {
-    /// Number of a queue's jobs that wait.
+    /// Returns the number of a queue's waiting jobs.
     pub async fn waiting_jobs(&self, call: &Call) -> CountResponse {
-        let began = Instant::now();
-        let answer = self.count_once(call).await;
-        self.record_call("count", call, answer.name(), began.elapsed());
-        answer
+        let started = Instant::now();
+        let response = self.waiting_jobs_once(call).await;
+        self.record_call("count", call, response.name(), started.elapsed());
+        response
     }
 
-    async fn count_once(&self, call: &Call) -> CountResponse {
-        let authorized = match self.authorize_fresh(call).await {
-            Ok(authorized) => authorized,
+    async fn waiting_jobs_once(&self, call: &Call) -> CountResponse {
+        let auth = match self.authorize_fresh(call).await {
+            Ok(auth) => auth,
             Err(denial) => return CountResponse::Denied(denial),
         };
-        match self.waiting().await {
+        match self.read_waiting_record().await {
             Ok(waiting) if is_outdated(&waiting, unix_now()) => {
-                emit!(target: LOG_TARGET, JobsEvent::CountOutdated, queue = authorized.queue.id);
+                emit!(target: LOG_TARGET, JobsEvent::CountOutdated, queue = auth.queue.id);
                 CountResponse::Unknown
             }
-            Ok(waiting) => CountResponse::Waiting(count_of(&waiting, &authorized.queue.id)),
+            Ok(waiting) => CountResponse::Waiting(count_of(&waiting, &auth.queue.id)),
             Err(error) => {
                 emit!(
                     target: LOG_TARGET,
                     JobsEvent::StateUnknown,
-                    queue = authorized.queue.id,
+                    queue = auth.queue.id,
                     error = error
                 );
                 CountResponse::Unknown
@@ -52,10 +53,10 @@
         }
     }
 
-    async fn waiting(&self) -> Result<Arc<WaitingRecord>, StoreError> {
+    async fn read_waiting_record(&self) -> Result<Arc<WaitingRecord>, StoreError> {
         let now = since_boot();
-        let kept = self.waiting.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        if let Some((at, record)) = kept
+        let cached = self.cached_waiting.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        if let Some((at, record)) = cached
             && now.saturating_sub(at) < WAITING_AGE_MAX
         {
             return Ok(record);
@@ -66,18 +67,18 @@
                 .map_err(|error| StoreError::Malformed(error.to_string().into()))?,
         };
         let record = Arc::new(record);
-        let mut kept = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        *kept = Some((now, record.clone()));
+        let mut cached = self.cached_waiting.lock().unwrap_or_else(PoisonError::into_inner);
+        *cached = Some((now, record.clone()));
         Ok(record)
     }
 }
 
-/// Whether nobody has counted for so long that the numbers say nothing.
+/// Whether the count is too old to be reported.
 fn is_outdated(waiting: &WaitingRecord, unix: Duration) -> bool {
     unix > Duration::from_millis(waiting.counted_unix_ms) + COUNT_AGE_MAX
 }
 
-/// The time of day, as Unix time.
+/// The current Unix time.
 fn unix_now() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/jobs/src/metrics.rs
+++ b/crates/jobs/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics of the desk and of the owner.
+//! Metrics of the job API and of the owner.
 //!
-//! Labels are queues, teams and outcomes; queues and teams come from the configuration, which
+//! Labels are queues, teams and outcomes. Queues and teams come from the configuration, which
 //! bounds their number.
 
 use std::sync::Arc;
@@ -21,28 +21,28 @@
 const FIRST_BUCKET_S: f64 = 0.002;
 /// Number of buckets, each twice as wide as the one before.
 const BUCKETS: u16 = 12;
-/// Label of calls without queue or team.
+/// Label value of calls without queue or team.
 const NONE: &str = "none";
 
 /// Labels of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// What was asked for.
+    /// Kind of the request.
     pub call: &'static str,
     /// The queue.
     pub queue: Arc<str>,
     /// The team.
     pub team: Arc<str>,
-    /// How it was answered.
+    /// Outcome of the request.
     pub outcome: &'static str,
 }
 
-/// Label of an outcome.
+/// Labels of an outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
-    /// Kind of the order.
+    /// Kind of the request or command.
     pub order: &'static str,
-    /// Its outcome.
+    /// Outcome of the request or command.
     pub outcome: &'static str,
 }
 
@@ -60,10 +60,10 @@
 pub struct JobsMetrics {
     calls: Family<CallLabels, Counter>,
     call_seconds: Family<OutcomeLabels, Histogram, DurationBuckets>,
-    orders: Family<OutcomeLabels, Counter>,
+    commands: Family<OutcomeLabels, Counter>,
     ends: Family<OutcomeLabels, Counter>,
-    tenures: Counter,
-    owns: Gauge,
+    terms: Counter,
+    is_owner: Gauge,
     config_version: Gauge,
 }
 
@@ -72,17 +72,17 @@
         Self {
             calls: Family::default(),
             call_seconds: Family::new_with_constructor(DurationBuckets),
-            orders: Family::default(),
+            commands: Family::default(),
             ends: Family::default(),
-            tenures: Counter::default(),
-            owns: Gauge::default(),
+            terms: Counter::default(),
+            is_owner: Gauge::default(),
             config_version: Gauge::default(),
         }
     }
 }
 
 impl JobsMetrics {
-    /// Adds all metrics to a registry.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("calls", "Requests of callers", self.calls.clone());
         registry.register_with_unit(
@@ -91,10 +91,10 @@
             Unit::Seconds,
             self.call_seconds.clone(),
         );
-        registry.register("orders", "Orders to workers and machines", self.orders.clone());
+        registry.register("orders", "Orders to workers and machines", self.commands.clone());
         registry.register("ends", "Ends of runs", self.ends.clone());
-        registry.register("tenures", "Tenures as owner", self.tenures.clone());
-        registry.register("owns", "Whether this instance places the jobs", self.owns.clone());
+        registry.register("tenures", "Tenures as owner", self.terms.clone());
+        registry.register("owns", "Whether this instance places the jobs", self.is_owner.clone());
         registry.register(
             "config_version",
             "Version of the configuration in force",
@@ -102,7 +102,7 @@
         );
     }
 
-    /// Counts a caller's request.
+    /// Records a caller's request.
     pub fn record_call(
         &self,
         call: &'static str,
@@ -111,14 +111,14 @@
         outcome: &'static str,
         taken: Duration,
     ) {
-        let text = |name: Option<&Arc<str>>| name.cloned().unwrap_or_else(|| NONE.into());
-        let labels = CallLabels { call, queue: text(queue), team: text(team), outcome };
+        let label = |name: Option<&Arc<str>>| name.cloned().unwrap_or_else(|| NONE.into());
+        let labels = CallLabels { call, queue: label(queue), team: label(team), outcome };
         self.calls.get_or_create(&labels).inc();
         let labels = OutcomeLabels { order: call, outcome };
         self.call_seconds.get_or_create(&labels).observe(taken.as_secs_f64());
     }
 
-    /// Counts an order to a worker.
+    /// Counts a command to a worker.
     pub fn count_command(&self, order: &'static str, outcome: CommandOutcome) {
         let outcome = match outcome {
             CommandOutcome::Accepted => "accepted",
@@ -126,10 +126,10 @@
             CommandOutcome::NotSent => "not_sent",
             CommandOutcome::Unknown => "unknown",
         };
-        self.orders.get_or_create(&OutcomeLabels { order, outcome }).inc();
+        self.commands.get_or_create(&OutcomeLabels { order, outcome }).inc();
     }
 
-    /// Counts an order to a machine.
+    /// Counts a command to a machine.
     pub fn count_machine_command(&self, order: &'static str, outcome: MachineOutcome) {
         let outcome = match outcome {
             MachineOutcome::Accepted => "accepted",
@@ -138,13 +138,13 @@
             MachineOutcome::Refused => "refused",
             MachineOutcome::Unknown => "unknown",
         };
-        self.orders.get_or_create(&OutcomeLabels { order, outcome }).inc();
+        self.commands.get_or_create(&OutcomeLabels { order, outcome }).inc();
     }
 
-    /// Counts a look at a worker.
-    pub fn count_poll(&self, is_answered: bool) {
-        let outcome = if is_answered { "answered" } else { "failed" };
-        self.orders.get_or_create(&OutcomeLabels { order: "look", outcome }).inc();
+    /// Counts a poll of a worker.
+    pub fn count_poll(&self, is_successful: bool) {
+        let outcome = if is_successful { "answered" } else { "failed" };
+        self.commands.get_or_create(&OutcomeLabels { order: "look", outcome }).inc();
     }
 
     /// Counts the end of a run.
@@ -160,15 +160,15 @@
         self.ends.get_or_create(&OutcomeLabels { order: "run", outcome }).inc();
     }
 
-    /// Notes that this instance has become the owner, or is no longer.
-    pub fn set_is_owner(&self, owns: bool) {
-        self.owns.set(i64::from(owns));
-        if owns {
-            self.tenures.inc();
+    /// Records whether this instance is the owner.
+    pub fn set_is_owner(&self, is_owner: bool) {
+        self.is_owner.set(i64::from(is_owner));
+        if is_owner {
+            self.terms.inc();
         }
     }
 
-    /// Notes the configuration in force.
+    /// Records the version of the configuration in force.
     pub fn set_config_version(&self, version: u64) {
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
     }
--- a/crates/jobs/src/owner/execute.rs
+++ b/crates/jobs/src/owner/execute.rs
@@ -1,11 +1,11 @@
-//! Carrying out orders, each as a task of its own.
+//! Execution of the scheduler's commands, each in a task of its own.
 
 use std::collections::BTreeMap;
 use std::future::Future;
 
 use cassiafold_platform::{Moment, since_boot};
 
-use super::{MACHINES_INTERVAL, Message, Office};
+use super::{MACHINES_INTERVAL, Message, OwnerLoop};
 use crate::clients::{
     CommandOutcome, MachineClient, MachineOutcome, PolicyClient, PolicyResponse, PollError,
     PollResponse, Refusal, StartRequest, WorkerClient,
@@ -16,7 +16,7 @@
 use crate::scheduler::{Command, MachineCommand, PolicyQuery};
 use crate::spec::{RunNumber, TaskId};
 
-/// What came of an order.
+/// Outcome of a command.
 pub(super) enum Outcome {
     Poll {
         worker: WorkerSlot,
@@ -50,19 +50,19 @@
     },
 }
 
-impl<S: PlatformClients> Office<S> {
-    /// Runs a call and sends what came of it to the loop.
+impl<S: PlatformClients> OwnerLoop<S> {
+    /// Spawns a call, and sends its outcome to the owner's loop.
     fn run(&self, call: impl Future<Output = Outcome> + Send + 'static) {
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let outcome = call.await;
-            // The loop that gave the order may be over.
+            // The loop may have ended.
             let _ = sender.send(Message::Outcome(outcome)).await;
         });
     }
 
-    /// Carries out orders; the starts on one worker go together.
-    pub(super) fn carry_out(&mut self, commands: Vec<Command>, now: Moment) {
+    /// Executes commands; the starts on one worker are sent in one call.
+    pub(super) fn execute(&mut self, commands: Vec<Command>, now: Moment) {
         let mut starts: BTreeMap<WorkerSlot, Vec<StartRequest>> = BTreeMap::new();
         for command in commands {
             match command {
@@ -159,14 +159,14 @@
         });
     }
 
-    /// Asks for the machines, if they are needed and the last answer is old.
+    /// Lists the machines, if they are needed and the last list is old.
     pub(super) fn list_machines(&mut self, now: Moment) {
-        let is_due = self.machines_asked.is_none_or(|at| now >= at + MACHINES_INTERVAL)
+        let is_due = self.machines_requested.is_none_or(|at| now >= at + MACHINES_INTERVAL)
             || self.scheduler.take_machine_list_request();
         if !is_due || !self.scheduler.needs_machine_list() {
             return;
         }
-        self.machines_asked = Some(now);
+        self.machines_requested = Some(now);
         let machines = self.platform.machines().clone();
         self.run(async move {
             let sent = since_boot();
@@ -174,7 +174,7 @@
         });
     }
 
-    /// Counts what came of an order.
+    /// Counts the outcome of a command.
     fn count(&self, outcome: &Outcome) {
         match outcome {
             Outcome::Poll { result, .. } => {
@@ -200,11 +200,11 @@
         }
     }
 
-    pub(super) fn take_outcome(&mut self, outcome: Outcome, now: Moment) {
+    pub(super) fn handle_outcome(&mut self, outcome: Outcome, now: Moment) {
         self.count(&outcome);
         match outcome {
             Outcome::Poll { worker, is_out_of_band, sent, result: Ok(poll) } => {
-                self.usage.count_poll(self.scheduler.has_only_known_ends(worker, &poll));
+                self.loop_stats.count_poll(self.scheduler.has_only_known_ends(worker, &poll));
                 self.scheduler.handle_poll_response(worker, is_out_of_band, sent, now, poll);
             }
             Outcome::Poll { worker, is_out_of_band, result: Err(error), .. } => {
@@ -233,7 +233,7 @@
             Outcome::MachineList { machines: Some(machines), sent } => {
                 self.scheduler.set_machines(machines, sent, now);
             }
-            // The next list is asked for after the usual time.
+            // The next list is requested after the usual interval.
             Outcome::MachineList { machines: None, .. } => {}
         }
     }
--- a/crates/jobs/src/owner/load.rs
+++ b/crates/jobs/src/owner/load.rs
@@ -1,4 +1,4 @@
-//! Reading what earlier owners left in the store.
+//! Reads the state that previous owners left in the store.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -27,25 +27,25 @@
 use crate::scheduler::{OwnerTerm, Scheduler, SchedulerSettings};
 use crate::spec::{JobId, RunNumber};
 
-/// Time between two attempts to read the store.
-const RETRY: Duration = Duration::from_millis(100);
-/// Run numbers that one owner may use for one task.
-const RUNS_PER_TENURE: RunNumber = 1_000;
+/// Delay between two attempts to read the store.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Number of run numbers per task that one owner may use.
+const RUN_NUMBERS_PER_TERM: RunNumber = 1_000;
 
-/// Records that are read at once: between them the lease is renewed.
-const RECORDS_AT_ONCE: usize = 32;
+/// Records that are decoded before the task yields, so that the lease is renewed in time.
+const RECORDS_PER_YIELD: usize = 32;
 
-/// What an owner starts with.
+/// State with which an owner starts.
 pub(super) struct Loaded {
     pub(super) scheduler: Scheduler,
-    /// The begin of each chain of writes.
+    /// First sequence of each write chain.
     pub(super) sequences: Vec<Sequence>,
     pub(super) inbox_revision: Revision,
     pub(super) workers: Vec<Record>,
     pub(super) workers_revision: Revision,
 }
 
-/// Reads everything, again and again until it succeeds.
+/// Reads the state, and retries until it succeeds.
 pub(super) async fn load<S: PlatformClients>(
     platform: &S,
     settings: SchedulerSettings,
@@ -58,7 +58,7 @@
             Ok(loaded) => return loaded,
             Err(error) => outage.record_failure(&error),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
@@ -78,14 +78,14 @@
         store.get(COMMANDED_MACHINES_KEY),
         store.list(S::Formats::WORKERS_PREFIX),
     )?;
-    let sequence = begin_chains(platform, token, sequence).await?;
+    let sequence = start_chains(platform, token, sequence).await?;
     let known_workers = read_workers(&known.records)?;
     let waves: WavesRecord = read_json(waves)?;
     let commanded_machines: CommandedMachinesRecord = read_json(commanded_machines)?;
-    let run_number_base = RunNumber::try_from(sequence.tenure).unwrap_or(0) * RUNS_PER_TENURE;
+    let run_number_base = RunNumber::try_from(sequence.tenure).unwrap_or(0) * RUN_NUMBERS_PER_TERM;
     let now = since_boot();
     let instance = Arc::clone(instance);
-    let tenure = OwnerTerm {
+    let term = OwnerTerm {
         token,
         run_number_base,
         known_workers,
@@ -94,10 +94,10 @@
         instance,
         started_unix: unix_now(),
     };
-    let mut scheduler = Scheduler::new(settings, tenure, now);
+    let mut scheduler = Scheduler::new(settings, term, now);
     let states = read_states(&states.records).await;
     for (number, record) in inbox.records.iter().enumerate() {
-        if number % RECORDS_AT_ONCE == 0 {
+        if number % RECORDS_PER_YIELD == 0 {
             yield_now().await;
         }
         let Some(id) = parse_job_key(&record.key, JOB_PREFIX) else { continue };
@@ -126,7 +126,7 @@
     })
 }
 
-/// A record in JSON; the default where there is none.
+/// Decodes a JSON record; the default value if there is none.
 fn read_json<T: DeserializeOwned + Default>(record: Option<Record>) -> Result<T, StoreError> {
     let Some(record) = record else { return Ok(T::default()) };
     serde_json::from_slice(&record.value)
@@ -144,7 +144,7 @@
 async fn read_states(records: &[Record]) -> HashMap<JobId, StateRecord> {
     let mut states = HashMap::with_capacity(records.len());
     for (number, record) in records.iter().enumerate() {
-        if number % RECORDS_AT_ONCE == 0 {
+        if number % RECORDS_PER_YIELD == 0 {
             yield_now().await;
         }
         let Some(id) = parse_job_key(&record.key, STATE_PREFIX) else { continue };
@@ -156,17 +156,19 @@
     states
 }
 
-/// Begins this owner's chains of writes, so that none of an earlier owner is applied any more.
-/// All begin with one transaction, and so at one revision.
-async fn begin_chains<S: PlatformClients>(
+/// Starts this owner's write chains, so that no late write of a previous owner is applied. All
+/// chains start in one transaction, and therefore at one revision.
+async fn start_chains<S: PlatformClients>(
     platform: &S,
     token: FencingToken,
     stored: Option<Record>,
 ) -> Result<Sequence, StoreError> {
-    let former = stored.as_ref().map(Sequence::read).transpose()?;
-    let next = match former {
-        Some(former) if former.token == token => Sequence { number: former.number + 1, ..former },
-        Some(former) => Sequence { token, tenure: former.tenure + 1, number: 0, revision: 0 },
+    let previous = stored.as_ref().map(Sequence::read).transpose()?;
+    let next = match previous {
+        Some(previous) if previous.token == token => {
+            Sequence { number: previous.number + 1, ..previous }
+        }
+        Some(previous) => Sequence { token, tenure: previous.tenure + 1, number: 0, revision: 0 },
         None => Sequence { token, tenure: 0, number: 0, revision: 0 },
     };
     let compare = stored.map_or(Compare::Absent, |record| Compare::Revision(record.revision));
@@ -179,7 +181,7 @@
     match platform.store().commit(transaction).await? {
         TransactionOutcome::Written(revision) => Ok(Sequence { revision, ..next }),
         TransactionOutcome::Conflict(_) => {
-            Err(StoreError::OutcomeUnknown("another write came between".into()))
+            Err(StoreError::OutcomeUnknown("the sequence key was changed by another write".into()))
         }
     }
 }
--- a/crates/jobs/src/owner/usage.rs
+++ b/crates/jobs/src/owner/usage.rs
@@ -1,4 +1,4 @@
-//! How the owner's loop spends its time.
+//! Statistics of the owner's loop.
 
 use std::time::Duration;
 
@@ -8,25 +8,25 @@
 use crate::event::JobsEvent;
 use crate::scheduler::Backlog;
 
-/// Time that one report covers.
+/// Interval of the report.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A kind of work of the loop.
+/// A phase of the loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Work {
-    /// Taking in answers and news.
-    TakeIn,
-    /// Deciding what follows.
+pub(super) enum LoopPhase {
+    /// Handling of messages.
+    Messages,
+    /// Planning of commands.
     Plan,
-    /// Handing orders over to the tasks that carry them out.
-    CarryOut,
-    /// Gathering what is to be stored.
+    /// Spawning the tasks that execute the commands.
+    Commands,
+    /// Collecting state to write.
     Write,
 }
 
-/// Time spent since the last report.
+/// Statistics since the last report.
 #[derive(Debug)]
-pub(super) struct Usage {
+pub(super) struct LoopStats {
     since: Moment,
     spent: [Duration; 4],
     passes: u32,
@@ -34,12 +34,12 @@
     late_max: Duration,
     writes: u32,
     states_written: usize,
-    write_flight: Duration,
-    looks: u32,
-    looks_repeated: u32,
+    write_latency: Duration,
+    polls: u32,
+    polls_repeated: u32,
 }
 
-impl Usage {
+impl LoopStats {
     pub(super) fn new(now: Moment) -> Self {
         Self {
             since: now,
@@ -49,16 +49,17 @@
             late_max: Duration::ZERO,
             writes: 0,
             states_written: 0,
-            write_flight: Duration::ZERO,
-            looks: 0,
-            looks_repeated: 0,
+            write_latency: Duration::ZERO,
+            polls: 0,
+            polls_repeated: 0,
         }
     }
 
-    /// Counts the time since `begun`, and returns the present one, at which the next work begins.
-    pub(super) fn record(&mut self, work: Work, begun: Moment) -> Moment {
+    /// Adds the time since `started` to a phase. Returns the current time, at which the next phase
+    /// starts.
+    pub(super) fn record(&mut self, phase: LoopPhase, started: Moment) -> Moment {
         let now = since_boot();
-        self.spent[work as usize] += now.saturating_sub(begun);
+        self.spent[phase as usize] += now.saturating_sub(started);
         now
     }
 
@@ -67,26 +68,27 @@
         self.messages += 1;
     }
 
-    /// Counts a pass that was due at `due`.
+    /// Counts a pass of the loop that was due at `due`.
     pub(super) fn record_pass(&mut self, due: Moment, now: Moment) {
         self.passes += 1;
         self.late_max = self.late_max.max(now.saturating_sub(due));
     }
 
-    /// Counts a write of some states that was on its way for `flight`.
-    pub(super) fn record_write(&mut self, states: usize, flight: Duration) {
+    /// Counts a write of `states` states that took `latency`.
+    pub(super) fn record_write(&mut self, states: usize, latency: Duration) {
         self.writes += 1;
         self.states_written += states;
-        self.write_flight += flight;
+        self.write_latency += latency;
     }
 
-    /// Counts an answered look; `is_repeated` if it showed ends, but none that is new.
+    /// Counts a successful poll. `is_repeated` tells that it reported only run ends that were
+    /// received before.
     pub(super) fn count_poll(&mut self, is_repeated: bool) {
-        self.looks += 1;
-        self.looks_repeated += u32::from(is_repeated);
+        self.polls += 1;
+        self.polls_repeated += u32::from(is_repeated);
     }
 
-    /// Writes the report when its time has come.
+    /// Logs the report when it is due.
     pub(super) fn report(&mut self, now: Moment, backlog: impl FnOnce() -> Backlog) {
         if now.saturating_sub(self.since) < REPORT_INTERVAL {
             return;
@@ -104,9 +106,9 @@
             write_ms = write,
             writes = self.writes,
             states_written = self.states_written,
-            write_flight_ms = self.write_flight.as_millis(),
-            looks = self.looks,
-            looks_repeated = self.looks_repeated,
+            write_flight_ms = self.write_latency.as_millis(),
+            looks = self.polls,
+            looks_repeated = self.polls_repeated,
             jobs_live = backlog.jobs_live,
             jobs_unannounced = backlog.jobs_awaiting_start_write,
             jobs_unstarted = backlog.jobs_unstarted,
