--- a/crates/cassiafold/src/dependencies.rs
+++ b/crates/cassiafold/src/dependencies.rs
@@ -80,7 +80,7 @@
     }
 
     fn are_suspended(&self) -> bool {
-        self.isolation.forbids_keys() || !self.escrow.is_open()
+        self.isolation.forbids_keys() || !self.escrow.is_valid()
     }
 
     fn is_valid(&self, permit: &Option<Permit>) -> bool {
--- a/crates/cassiafold/src/isolation/tests.rs
+++ b/crates/cassiafold/src/isolation/tests.rs
@@ -3,7 +3,7 @@
 
 use cassiafold_config::raw::RawConfig;
 use cassiafold_config::{ActiveConfig, Config};
-use cassiafold_membership::roster::{HEARD_MAX, Heard, Route};
+use cassiafold_membership::roster::{HEARTBEAT_TIMEOUT, Heartbeat, Route};
 use cassiafold_membership::{Identity, Roster, StoreContact, Usage};
 
 use super::Isolation;
@@ -34,22 +34,25 @@
 
     /// Hears an entry instance of each of `zones` for a time, then nobody.
     async fn hear(&self, zones: &[&str], store_reachable: bool, time: Duration) {
-        let beats = time.as_secs() / HEARD_MAX.as_secs() * 2;
+        let beats = time.as_secs() / HEARTBEAT_TIMEOUT.as_secs() * 2;
         for heartbeat in 0..beats {
             for zone in zones {
-                self.roster.hear(heard(zone, heartbeat + 1, store_reachable), Route::OtherZone);
+                self.roster.record_heartbeat(
+                    heard(zone, heartbeat + 1, store_reachable),
+                    Route::OtherZone,
+                );
             }
-            tokio::time::sleep(HEARD_MAX / 2).await;
+            tokio::time::sleep(HEARTBEAT_TIMEOUT / 2).await;
         }
     }
 }
 
-fn heard(zone: &str, heartbeat: u64, store_reachable: bool) -> Heard {
-    Heard {
+fn heard(zone: &str, heartbeat: u64, store_reachable: bool) -> Heartbeat {
+    Heartbeat {
         id: format!("{zone}1").into(),
         zone: zone.into(),
         incarnation: 1,
-        heartbeat,
+        sequence: heartbeat,
         config_version: 1,
         ready: true,
         usage: Arc::new(Usage { store_reachable, ..Usage::default() }),
@@ -73,7 +76,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_entry_instance_that_hears_nobody_stops_keyed_work_after_the_bound() {
     let bench = Bench::start();
-    bench.contact.note();
+    bench.contact.record_response();
     tokio::time::sleep(KEYS_MAX).await;
     assert!(!bench.isolation.forbids_keys());
     tokio::time::sleep(Duration::from_secs(60)).await;
@@ -106,7 +109,7 @@
     let bench = Bench::start();
     tokio::time::sleep(LONG).await;
     assert!(bench.isolation.forbids_keys());
-    bench.contact.note();
+    bench.contact.record_response();
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(!bench.isolation.forbids_keys());
 }
--- a/crates/cassiafold/src/observer/tests.rs
+++ b/crates/cassiafold/src/observer/tests.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use cassiafold_fleet::{FleetHandle, Symptom};
-use cassiafold_membership::roster::{HEARD_MAX, Heard, Route};
+use cassiafold_membership::roster::{HEARTBEAT_TIMEOUT, Heartbeat, Route};
 use cassiafold_membership::usage::Symptom as Seen;
 use cassiafold_membership::{Identity, QueueId, Roster, TeamUsage, Usage};
 use cassiafold_platform::ListedInstance;
@@ -22,16 +22,16 @@
 }
 
 fn hear(roster: &Roster, id: &str, zone: &str, usage: Usage) {
-    let heard = Heard {
+    let heard = Heartbeat {
         id: id.into(),
         zone: zone.into(),
         incarnation: 1,
-        heartbeat: 1,
+        sequence: 1,
         config_version: 1,
         ready: true,
         usage: Arc::new(usage),
     };
-    roster.hear(heard, Route::OtherZone);
+    roster.record_heartbeat(heard, Route::OtherZone);
 }
 
 fn usage(fleet_number: u64) -> Usage {
@@ -60,7 +60,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_document_counts_as_confirmed_only_when_all_have_it() {
     let roster = roster();
-    roster.beat(Arc::new(usage(7)), 1, true);
+    roster.advance_heartbeat(Arc::new(usage(7)), 1, true);
     hear(&roster, "b1", "b", usage(5));
     assert_eq!(observer(&roster).await.observe().confirmed, 5);
 }
@@ -73,7 +73,7 @@
         draining: [("portal-1".into(), count)].into(),
         ..Usage::default()
     };
-    roster.beat(Arc::new(draining(2)), 1, true);
+    roster.advance_heartbeat(Arc::new(draining(2)), 1, true);
     hear(&roster, "b1", "b", draining(3));
     assert_eq!(observer(&roster).await.observe().running(&"portal-1".into()), 5);
 }
@@ -86,7 +86,7 @@
         queues: [(queue.clone(), TeamUsage { running, waiting })].into(),
         ..Usage::default()
     };
-    roster.beat(Arc::new(asking(1, 10)), 1, true);
+    roster.advance_heartbeat(Arc::new(asking(1, 10)), 1, true);
     hear(&roster, "b1", "b", asking(2, 20));
     let demand = observer(&roster).await.observe().demand["portal"];
     assert_eq!((demand.running, demand.waiting), (3, 30));
@@ -95,7 +95,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_partition_between_zones_is_no_symptom() {
     let roster = roster();
-    roster.beat(Arc::new(seeing(Seen::Unreachable)), 1, true);
+    roster.advance_heartbeat(Arc::new(seeing(Seen::Unreachable)), 1, true);
     hear(&roster, "b1", "b", Usage::default());
     assert!(observer(&roster).await.observe().symptoms.is_empty());
 }
@@ -114,6 +114,6 @@
     hear(&roster, "b1", "b", Usage::default());
     let observer = observer(&roster).await;
     assert!(observer.observe().unconfirmed_zones.is_empty());
-    tokio::time::sleep(HEARD_MAX).await;
+    tokio::time::sleep(HEARTBEAT_TIMEOUT).await;
     assert!(observer.observe().unconfirmed_zones.contains("b"));
 }
--- a/crates/membership/examples/slopes.rs
+++ b/crates/membership/examples/slopes.rs
@@ -18,7 +18,7 @@
 
 use self::fleet::{Entry, Error};
 
-const SETTLE: Duration = Duration::from_secs(6);
+const WARM_UP: Duration = Duration::from_secs(6);
 const MEASURE: Duration = Duration::from_secs(8);
 const UPPER_LIMIT: u32 = 64;
 const SEED: u64 = 1;
@@ -38,16 +38,16 @@
     churn: f64,
 }
 
-const LETTER: Size =
+const BASE_SIZE: Size =
     Size { varied: "base", entries: 8, zones: 4, teams: 200, instances: 870, churn: 0.25 };
 
 fn sizes() -> Vec<Size> {
-    let mut sizes = vec![LETTER];
-    let entries = [4, 16, 24].map(|entries| Size { varied: "entries", entries, ..LETTER });
-    let teams = [50, 100, 400].map(|teams| Size { varied: "teams", teams, ..LETTER });
+    let mut sizes = vec![BASE_SIZE];
+    let entries = [4, 16, 24].map(|entries| Size { varied: "entries", entries, ..BASE_SIZE });
+    let teams = [50, 100, 400].map(|teams| Size { varied: "teams", teams, ..BASE_SIZE });
     let instances =
-        [100, 200, 400].map(|count| Size { varied: "instances", instances: count, ..LETTER });
-    let churn = [0.0, 1.0].map(|churn| Size { varied: "churn", churn, ..LETTER });
+        [100, 200, 400].map(|count| Size { varied: "instances", instances: count, ..BASE_SIZE });
+    let churn = [0.0, 1.0].map(|churn| Size { varied: "churn", churn, ..BASE_SIZE });
     sizes.extend(entries);
     sizes.extend(teams);
     sizes.extend(instances);
@@ -73,7 +73,7 @@
     let entries = fleet::start(&store, size.entries, size.zones).await?;
     let mut load = Load::new(size);
     load.fill(&entries);
-    load.run(&entries, SETTLE).await;
+    load.run(&entries, WARM_UP).await;
     let (before, cpu_before) = (Counts::of(&entries), processor_s()?);
     let calls_before = calls(&store, &entries);
     load.run(&entries, MEASURE).await;
--- a/crates/membership/examples/spread.rs
+++ b/crates/membership/examples/spread.rs
@@ -24,7 +24,7 @@
 /// Versions while all watches are silent; each waits for a read of some entry instance.
 const SILENT_PATCHES: u64 = 20;
 /// Delay of each call of the slow store.
-const SLOW: Duration = Duration::from_millis(400);
+const STORE_DELAY: Duration = Duration::from_millis(400);
 /// Longest wait for one version.
 const IN_FORCE_MAX: Duration = Duration::from_secs(30);
 
@@ -66,7 +66,7 @@
     wait(&entries, 1).await?;
     match case {
         Case::Clean => {}
-        Case::StoreSlow => store.faults().set_delay(SLOW),
+        Case::StoreSlow => store.faults().set_delay(STORE_DELAY),
         Case::OneCutOff => store.faults().cut_off("entry-0", Partition::Requests),
         Case::WatchesSilent => store.faults().set_silent_watches(true),
     }
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/config_sync.rs
@@ -16,16 +16,18 @@
 use crate::event::MembershipEvent;
 use crate::roster::Roster;
 
+/// Log target of this module, which operators' filters name.
+const LOG_TARGET: &str = "cassiafold_membership::spread";
 /// Longest time between two reads of an entry instance that reads often.
-const REREAD_OF_READERS: Duration = Duration::from_secs(4);
+const READER_REREAD_INTERVAL: Duration = Duration::from_secs(4);
 /// Longest time between two reads of any other.
-const REREAD_OF_OTHERS: Duration = Duration::from_secs(60);
+const OTHER_REREAD_INTERVAL: Duration = Duration::from_secs(60);
 const RETRY_MIN: Duration = Duration::from_millis(200);
 const RETRY_MAX: Duration = Duration::from_secs(5);
 
 /// Why a configuration was not taken over.
 #[derive(Debug, thiserror::Error)]
-pub enum SpreadError {
+pub enum ConfigSyncError {
     /// The document is not the expected JSON.
     #[error("configuration is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
@@ -44,7 +46,7 @@
 
 /// Counts of offered configurations at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SpreadCounts {
+pub struct ConfigSyncCounts {
     /// Configurations put in force.
     pub adopted: u64,
     /// Configurations refused as lower than the one in force.
@@ -55,12 +57,12 @@
 
 /// Offers configurations to this process. Clones share the counts.
 #[derive(Debug, Clone)]
-pub struct Spread {
+pub struct ConfigSync {
     active: ActiveConfig,
     counts: Arc<Counts>,
 }
 
-impl Spread {
+impl ConfigSync {
     /// Offers to `active`.
     pub fn new(active: ActiveConfig) -> Self {
         Self { active, counts: Arc::default() }
@@ -72,8 +74,8 @@
     }
 
     /// Counts so far.
-    pub fn counts(&self) -> SpreadCounts {
-        SpreadCounts {
+    pub fn counts(&self) -> ConfigSyncCounts {
+        ConfigSyncCounts {
             adopted: self.counts.adopted.load(Ordering::Relaxed),
             stale: self.counts.stale.load(Ordering::Relaxed),
             malformed: self.counts.malformed.load(Ordering::Relaxed),
@@ -81,12 +83,12 @@
     }
 
     /// Offers a document. A version lower than the one in force is refused, counted and logged.
-    pub fn offer(&self, document: &[u8], source: &str) -> Result<Offer, SpreadError> {
+    pub fn offer(&self, document: &[u8], source: &str) -> Result<Offer, ConfigSyncError> {
         let config = match parse(document) {
             Ok(config) => config,
             Err(error) => {
                 self.counts.malformed.fetch_add(1, Ordering::Relaxed);
-                emit!(MembershipEvent::ConfigMalformed, source = source, error = error);
+                emit!(target: LOG_TARGET, MembershipEvent::ConfigMalformed, source = source, error = error);
                 return Err(error);
             }
         };
@@ -95,12 +97,13 @@
         match offer {
             Offer::Adopted => {
                 self.counts.adopted.fetch_add(1, Ordering::Relaxed);
-                emit!(MembershipEvent::ConfigAdopted, version = version, source = source);
+                emit!(target: LOG_TARGET, MembershipEvent::ConfigAdopted, version = version, source = source);
             }
             Offer::Known => {}
             Offer::Stale { in_force } => {
                 self.counts.stale.fetch_add(1, Ordering::Relaxed);
                 emit!(
+                    target: LOG_TARGET,
                     MembershipEvent::ConfigStale,
                     version = version,
                     in_force = in_force,
@@ -119,22 +122,27 @@
     }
 }
 
-fn parse(document: &[u8]) -> Result<Config, SpreadError> {
+fn parse(document: &[u8]) -> Result<Config, ConfigSyncError> {
     let raw: RawConfig = serde_json::from_slice(document)?;
     Ok(Config::try_from(raw)?)
 }
 
-const FROM_STORE: &str = "key-value service";
+const STORE_SOURCE: &str = "key-value service";
 
 /// Follows the configuration in the key-value service: by watch, and by a read now and then in
 /// case the watch has gone silent. Ends with the task that runs it.
-pub async fn follow<S: Store>(store: S, spread: Spread, roster: Roster, contact: StoreContact) {
+pub async fn follow<S: Store>(
+    store: S,
+    config_sync: ConfigSync,
+    roster: Roster,
+    contact: StoreContact,
+) {
     let mut backoff = Backoff::new(RETRY_MIN, RETRY_MAX);
     loop {
         if let Ok(record) = store.get(CURRENT_KEY).await {
-            contact.note();
-            let revision = take(&spread, record);
-            if watch(&store, &spread, &roster, &contact, revision).await.is_ok() {
+            contact.record_response();
+            let revision = offer_record(&config_sync, record);
+            if watch(&store, &config_sync, &roster, &contact, revision).await.is_ok() {
                 backoff.reset();
                 continue;
             }
@@ -143,16 +151,16 @@
     }
 }
 
-fn take(spread: &Spread, record: Option<Record>) -> Revision {
+fn offer_record(config_sync: &ConfigSync, record: Option<Record>) -> Revision {
     let Some(record) = record else { return 0 };
-    let _ = spread.offer(&record.value, FROM_STORE);
+    let _ = config_sync.offer(&record.value, STORE_SOURCE);
     record.revision
 }
 
 /// Watches until it is time for the next read.
 async fn watch<S: Store>(
     store: &S,
-    spread: &Spread,
+    config_sync: &ConfigSync,
     roster: &Roster,
     contact: &StoreContact,
     after: Revision,
@@ -161,8 +169,8 @@
     let mut watch = store.watch(CURRENT_KEY, after).await?;
     while let Ok(changes) = timeout_at(until, watch.next()).await {
         for change in changes? {
-            contact.note();
-            take(spread, change.record);
+            contact.record_response();
+            offer_record(config_sync, change.record);
         }
     }
     watch.close();
@@ -171,7 +179,7 @@
 
 /// Few entry instances read often; what they read, the others learn from them.
 fn reread_interval(roster: &Roster) -> Duration {
-    if roster.reads_often() { REREAD_OF_READERS } else { REREAD_OF_OTHERS }
+    if roster.is_config_reader() { READER_REREAD_INTERVAL } else { OTHER_REREAD_INTERVAL }
 }
 
 #[cfg(test)]
--- a/crates/membership/src/spread/tests.rs
+++ b/crates/membership/src/config_sync/tests.rs
@@ -9,7 +9,7 @@
 use proptest::test_runner::RngSeed;
 use tokio::time::sleep;
 
-use super::{Spread, follow};
+use super::{ConfigSync, follow};
 use crate::contact::StoreContact;
 use crate::identity::Identity;
 use crate::roster::Roster;
@@ -30,8 +30,8 @@
     store.write(Write::put(CURRENT_KEY, compare, document)).await.unwrap();
 }
 
-fn start(store: &MemoryStore) -> (Spread, tokio::task::JoinHandle<()>) {
-    let spread = Spread::new(ActiveConfig::default());
+fn start(store: &MemoryStore) -> (ConfigSync, tokio::task::JoinHandle<()>) {
+    let config_sync = ConfigSync::new(ActiveConfig::default());
     let me = Identity {
         id: "a1".into(),
         zone: "a".into(),
@@ -40,8 +40,8 @@
         incarnation: 1,
     };
     let client = store.client("a1");
-    let following = follow(client, spread.clone(), Roster::new(me), StoreContact::default());
-    (spread, tokio::spawn(following))
+    let following = follow(client, config_sync.clone(), Roster::new(me), StoreContact::default());
+    (config_sync, tokio::spawn(following))
 }
 
 #[derive(Debug, Clone)]
@@ -77,7 +77,7 @@
     let store = MemoryStore::default();
     let faults = store.faults();
     let operator = store.client("operator");
-    let (mut spread, mut task) = start(&store);
+    let (mut config_sync, mut task) = start(&store);
     let (mut newest, mut lowest) = (0, 0);
     for action in actions {
         match action {
@@ -90,20 +90,20 @@
             Action::Wait(time_ms) => sleep(Duration::from_millis(time_ms)).await,
             Action::Restart => {
                 task.abort();
-                let held = spread.version();
-                (spread, task) = start(&store);
-                let _ = spread.offer(&document(held.max(1)), "peer");
+                let held = config_sync.version();
+                (config_sync, task) = start(&store);
+                let _ = config_sync.offer(&document(held.max(1)), "peer");
                 newest = newest.max(1);
             }
             Action::OldFromPeer(age) => {
-                let _ = spread.offer(&document(newest.saturating_sub(age).max(1)), "peer");
+                let _ = config_sync.offer(&document(newest.saturating_sub(age).max(1)), "peer");
                 newest = newest.max(1);
             }
             Action::NewFromPeer => {
                 newest += 1;
-                let _ = spread.offer(&document(newest), "peer");
+                let _ = config_sync.offer(&document(newest), "peer");
             }
-            Action::Garbage => assert!(spread.offer(b"{\"version\": 99}", "peer").is_err()),
+            Action::Garbage => assert!(config_sync.offer(b"{\"version\": 99}", "peer").is_err()),
             Action::Outage(on) => faults.set_outage(on),
             Action::Stale(on) => faults.set_stale_reads(on.then(|| faults.revision())),
             Action::SilentWatches(on) => faults.set_silent_watches(on),
@@ -111,7 +111,7 @@
                 faults.roll_back(faults.revision().saturating_sub(age));
             }
         }
-        let version = spread.version();
+        let version = config_sync.version();
         assert!(version >= lowest, "went back from {lowest} to {version}");
         assert!(version <= newest);
         lowest = version;
@@ -121,7 +121,7 @@
     newest += 1;
     put(&operator, document(newest)).await;
     sleep(IN_FORCE_MAX).await;
-    assert_eq!(spread.version(), newest);
+    assert_eq!(config_sync.version(), newest);
 }
 
 proptest! {
@@ -145,16 +145,16 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_stale_version_is_refused_and_counted() {
-    let spread = Spread::new(ActiveConfig::default());
-    spread.offer(&document(5), "peer").unwrap();
-    spread.offer(&document(4), "peer").unwrap();
-    spread.offer(&document(5), "peer").unwrap();
-    assert!(spread.offer(b"[]", "peer").is_err());
-    let counts = spread.counts();
+    let config_sync = ConfigSync::new(ActiveConfig::default());
+    config_sync.offer(&document(5), "peer").unwrap();
+    config_sync.offer(&document(4), "peer").unwrap();
+    config_sync.offer(&document(5), "peer").unwrap();
+    assert!(config_sync.offer(b"[]", "peer").is_err());
+    let counts = config_sync.counts();
     assert_eq!((counts.adopted, counts.stale, counts.malformed), (1, 1, 1));
-    assert_eq!(spread.version(), 5);
-    assert!(spread.document(5).is_none());
-    let (version, json) = spread.document(4).unwrap();
+    assert_eq!(config_sync.version(), 5);
+    assert!(config_sync.document(5).is_none());
+    let (version, json) = config_sync.document(4).unwrap();
     let config = Config::try_from(serde_json::from_slice::<RawConfig>(&json).unwrap()).unwrap();
     assert_eq!((version, Arc::new(config).version), (5, 5));
 }
--- a/crates/membership/src/contact.rs
+++ b/crates/membership/src/contact.rs
@@ -24,7 +24,7 @@
 
 impl StoreContact {
     /// Notes an answer.
-    pub fn note(&self) {
+    pub fn record_response(&self) {
         self.last_ms.store(self.start.elapsed().as_millis() as u64, Ordering::Relaxed);
     }
 
--- a/crates/membership/src/control.rs
+++ b/crates/membership/src/control.rs
@@ -21,8 +21,8 @@
 /// Key of the holder of the control role.
 pub const CONTROL_KEY: &str = "cassiafold/control/holder";
 /// Attempts to settle a write whose answer was lost, before the lease is given up.
-const SETTLE_ATTEMPTS: usize = 5;
-const SETTLE_WAIT: Duration = Duration::from_millis(200);
+const RESOLVE_ATTEMPTS: usize = 5;
+const RESOLVE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Stored holder of the control role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -82,7 +82,7 @@
     ) {
         while !stop.is_cancelled() {
             if is_free(&store).await {
-                self.try_term(&store, &me, ttl, &stop).await;
+                self.hold_for_term(&store, &me, ttl, &stop).await;
             }
             tokio::select! {
                 () = sleep(jitter(ttl / 3)) => {}
@@ -92,7 +92,7 @@
     }
 
     /// Holds the role for one term if it can be acquired.
-    async fn try_term<S: Store>(
+    async fn hold_for_term<S: Store>(
         &self,
         store: &S,
         me: &Identity,
@@ -125,21 +125,21 @@
     let write = Write { key: CONTROL_KEY.into(), compare: Compare::Absent, operation };
     match store.write(write).await {
         Ok(WriteOutcome::Written(revision)) => Some(revision),
-        Err(StoreError::OutcomeUnknown(_)) => settle(store, &holder).await,
+        Err(StoreError::OutcomeUnknown(_)) => resolve(store, &holder).await,
         _ => None,
     }
 }
 
 /// Looks whether a write took effect. Giving up is safe: the lease is ended and with it the key.
-async fn settle<S: Store>(store: &S, holder: &Holder) -> Option<Revision> {
-    for _ in 0..SETTLE_ATTEMPTS {
+async fn resolve<S: Store>(store: &S, holder: &Holder) -> Option<Revision> {
+    for _ in 0..RESOLVE_ATTEMPTS {
         if let Ok(Some(record)) = store.get(CONTROL_KEY).await {
             let stored: Option<Holder> = serde_json::from_slice(&record.value).ok();
             if stored.as_ref() == Some(holder) {
                 return Some(record.revision);
             }
         }
-        sleep(SETTLE_WAIT).await;
+        sleep(RESOLVE_INTERVAL).await;
     }
     None
 }
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -27,7 +27,7 @@
 const RETRY_MIN: Duration = Duration::from_millis(200);
 const RETRY_MAX: Duration = Duration::from_secs(5);
 /// Wait between two looks at a registration held by another run of the same instance.
-const IN_USE_WAIT: Duration = Duration::from_secs(1);
+const IN_USE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Stored registration of an entry instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -86,7 +86,7 @@
         };
         if let Ok(lease) = lease {
             emit!(MembershipEvent::Registered, instance = me.id);
-            contact.note();
+            contact.record_response();
             backoff.reset();
             tokio::select! {
                 () = lease.ended() => emit!(MembershipEvent::RegistrationLost, instance = me.id),
@@ -117,7 +117,7 @@
         }
         if known.is_some_and(|known: Registration| known.run > me.incarnation) {
             emit!(MembershipEvent::IdInUse, instance = me.id);
-            sleep(IN_USE_WAIT).await;
+            sleep(IN_USE_RETRY_INTERVAL).await;
             continue;
         }
         let compare = stored.map_or(Compare::Absent, |record| Compare::Revision(record.revision));
@@ -137,7 +137,7 @@
     let mut backoff = Backoff::new(RETRY_MIN, RETRY_MAX);
     loop {
         if let Ok(snapshot) = store.list(ENTRIES_PREFIX).await {
-            contact.note();
+            contact.record_response();
             if watch(&store, &roster, &contact, snapshot).await.is_ok() {
                 backoff.reset();
                 continue;
@@ -167,7 +167,7 @@
         roster.set_registered(&identities);
         let Ok(changes) = timeout_at(until, watch.next()).await else { break };
         let changes = changes?;
-        contact.note();
+        contact.record_response();
         for change in changes {
             match change.record.and_then(|record| parse(&record.value)) {
                 Some(registration) => {
--- a/crates/membership/src/escrow/silence.rs
+++ b/crates/membership/src/escrow/expiry.rs
@@ -14,7 +14,7 @@
 
 /// What a holder showed in the ledger, and since when on the own monotonic clock.
 #[derive(Debug, Clone, Copy)]
-struct Sighting {
+struct Observation {
     writes: u64,
     retired: bool,
     since: Instant,
@@ -22,46 +22,46 @@
 
 /// What each holder showed in the ledger.
 #[derive(Debug)]
-pub struct Sightings {
-    seen: HashMap<HolderId, Sighting>,
+pub struct HolderObservations {
+    by_holder: HashMap<HolderId, Observation>,
     pause_max: Duration,
 }
 
-impl Sightings {
+impl HolderObservations {
     /// Nothing seen yet. `pause_max` is the pause after which a holder needs a confirmation.
     pub fn new(pause_max: Duration) -> Self {
-        Self { seen: HashMap::new(), pause_max }
+        Self { by_holder: HashMap::new(), pause_max }
     }
 
     /// Notes a state of the ledger, never older than the last one.
-    pub fn note(&mut self, ledger: &Ledger) {
+    pub fn observe(&mut self, ledger: &Ledger) {
         let now = Instant::now();
-        self.seen.retain(|id, _| ledger.position(id).is_some());
+        self.by_holder.retain(|id, _| ledger.position(id).is_some());
         for holder in &ledger.holders {
             let (writes, retired) = (holder.writes, holder.retired);
-            let fresh = Sighting { writes, retired, since: now };
-            let known = self.seen.entry(holder.id.clone()).or_insert(fresh);
+            let latest = Observation { writes, retired, since: now };
+            let known = self.by_holder.entry(holder.id.clone()).or_insert(latest);
             if known.writes != writes || known.retired != retired {
-                *known = fresh;
+                *known = latest;
             }
         }
     }
 
     /// Positions of the holders other than `me` whose slices return now, in rising order.
-    pub fn lapsed(&self, ledger: &Ledger, me: &HolderId, deadline_max: Duration) -> Vec<usize> {
+    pub fn expired(&self, ledger: &Ledger, me: &HolderId, deadline_max: Duration) -> Vec<usize> {
         let holders = ledger.holders.iter().enumerate().filter(|(_, holder)| holder.id != *me);
-        let lapsed = holders.filter(|(_, holder)| self.has_lapsed(holder, deadline_max));
-        lapsed.map(|(index, _)| index).collect()
+        let expired = holders.filter(|(_, holder)| self.has_expired(holder, deadline_max));
+        expired.map(|(index, _)| index).collect()
     }
 
-    fn has_lapsed(&self, holder: &Holder, deadline_max: Duration) -> bool {
-        let Some(sighting) = self.seen.get(&holder.id) else { return false };
-        sighting.since.elapsed() >= self.wait(holder, deadline_max)
+    fn has_expired(&self, holder: &Holder, deadline_max: Duration) -> bool {
+        let Some(observation) = self.by_holder.get(&holder.id) else { return false };
+        observation.since.elapsed() >= self.wait(holder, deadline_max)
     }
 
     /// Silence after which nothing that the holder started can still run.
     fn wait(&self, holder: &Holder, deadline_max: Duration) -> Duration {
-        let use_max = if holder.retired { self.pause_max } else { holder.hold };
+        let use_max = if holder.retired { self.pause_max } else { holder.slice_validity };
         let wait = use_max + holder.deadline_max.max(deadline_max);
         wait + wait / CLOCK_RATE_DIVISOR + START_MARGIN
     }
--- a/crates/membership/src/escrow/keeper.rs
+++ b/crates/membership/src/escrow/keeper.rs
@@ -13,16 +13,16 @@
 
 use super::EscrowSettings;
 use super::demand::Demand;
+use super::expiry::HolderObservations;
 use super::ledger::{Holder, HolderId, LEDGER_KEY, Ledger};
 use super::local::Escrow;
-use super::plan::{Bound, Context, Use, plan, usable};
-use super::restore::Restore;
-use super::silence::Sightings;
+use super::plan::{Bound, Context, TeamLoad, plan, usable};
+use super::restore::RestoreGuard;
 use crate::event::MembershipEvent;
 use crate::usage::UsageSource;
 
 /// Writes within the time for which slices are valid, as long as the service answers.
-const CONFIRMATIONS_PER_HOLD: u32 = 12;
+const CONFIRMATIONS_PER_VALIDITY: u32 = 12;
 /// Least time between two reads and between two writes of one holder, for each holder in the
 /// ledger.
 const SPACING_PER_HOLDER: Duration = Duration::from_millis(250);
@@ -33,12 +33,12 @@
 
 /// A state of the ledger and the condition under which it may be retired.
 #[derive(Debug)]
-struct Copy {
+struct LedgerCopy {
     compare: Compare,
     ledger: Ledger,
 }
 
-impl Copy {
+impl LedgerCopy {
     fn revision(&self) -> Revision {
         match self.compare {
             Compare::Absent => 0,
@@ -49,7 +49,7 @@
 
 /// A write whose outcome is unknown.
 #[derive(Debug)]
-struct Pending {
+struct PendingWrite {
     write: Write,
     ledger: Ledger,
     writes: u64,
@@ -66,19 +66,19 @@
     settings: EscrowSettings,
     id: HolderId,
     hint: Arc<AtomicU64>,
-    copy: Option<Copy>,
-    pending: Option<Pending>,
+    copy: Option<LedgerCopy>,
+    pending: Option<PendingWrite>,
     writes: u64,
-    sightings: Sightings,
+    observations: HolderObservations,
     demand: Demand,
-    ceilings: BTreeMap<TeamId, u32>,
+    previous_limits: BTreeMap<TeamId, u32>,
     applied: Option<Arc<Config>>,
     deadline_max: Duration,
     last_read: Option<Instant>,
     last_write: Option<Instant>,
     confirmed: Option<Instant>,
     retired: bool,
-    restore: Restore,
+    restore: RestoreGuard,
 }
 
 impl<S: Store, U: UsageSource> Keeper<S, U> {
@@ -102,16 +102,16 @@
             copy: None,
             pending: None,
             writes: 0,
-            sightings: Sightings::new(settings.pause_max),
+            observations: HolderObservations::new(settings.pause_max),
             demand: Demand::default(),
-            ceilings: BTreeMap::new(),
+            previous_limits: BTreeMap::new(),
             applied: None,
             deadline_max: Duration::ZERO,
             last_read: None,
             last_write: None,
             confirmed: None,
             retired: false,
-            restore: Restore::default(),
+            restore: RestoreGuard::default(),
         }
     }
 
@@ -129,7 +129,7 @@
     pub async fn run(mut self, stop: impl Future<Output = ()>) {
         let escrow = self.escrow.clone();
         tokio::select! {
-            () = note_pauses(&escrow, self.settings) => {}
+            () = detect_pauses(&escrow, self.settings) => {}
             () = self.keep(stop) => {}
         }
         self.leave().await;
@@ -154,7 +154,7 @@
         self.apply(&config);
         self.demand.sample(&self.usage.usage(), &self.escrow);
         if let Some(pending) = self.pending.take() {
-            self.settle(pending).await;
+            self.resolve(pending).await;
         }
         if self.pending.is_some() || self.retired {
             return;
@@ -173,8 +173,8 @@
         }
         if let Some(applied) = &self.applied {
             for (team, before) in &applied.teams {
-                let ceiling = self.ceilings.entry(team.clone()).or_insert(0);
-                *ceiling = before.upper_limit.max(*ceiling);
+                let previous_limit = self.previous_limits.entry(team.clone()).or_insert(0);
+                *previous_limit = before.upper_limit.max(*previous_limit);
             }
         }
         let longest = config.services.values().map(|service| service.deadline_max).max();
@@ -183,13 +183,13 @@
         self.refresh();
     }
 
-    fn work(&self, team: &TeamId) -> Use {
-        Use { in_use: self.escrow.in_use(team), demand: self.demand.of(team) }
+    fn team_load(&self, team: &TeamId) -> TeamLoad {
+        TeamLoad { in_use: self.escrow.in_use(team), demand: self.demand.of(team) }
     }
 
     fn read_due(&self) -> bool {
         let (Some(copy), Some(last)) = (&self.copy, self.last_read) else { return true };
-        let short = |team: &TeamId| self.work(team).demand > self.escrow.usable(team);
+        let short = |team: &TeamId| self.team_load(team).demand > self.escrow.usable(team);
         let spacing = SPACING_PER_HOLDER * copy.ledger.holders.len() as u32;
         if last.elapsed() < spacing {
             return false;
@@ -203,11 +203,12 @@
         self.last_read = Some(Instant::now());
         match self.store.get(LEDGER_KEY).await {
             Ok(Some(record)) => {
-                self.note_restored(record.revision);
+                self.check_restored(record.revision);
                 self.adopt_bytes(record.revision, &record.value);
             }
             Ok(None) if self.copy.is_none() => {
-                self.copy = Some(Copy { compare: Compare::Absent, ledger: Ledger::default() });
+                self.copy =
+                    Some(LedgerCopy { compare: Compare::Absent, ledger: Ledger::default() });
             }
             Ok(None) | Err(_) => {}
         }
@@ -221,14 +222,14 @@
     }
 
     /// Starts anew from the stored ledger when it went back to an older state.
-    fn note_restored(&mut self, revision: Revision) {
+    fn check_restored(&mut self, revision: Revision) {
         let Some(copy) = &self.copy else { return };
-        if !self.restore.is_behind(copy.revision() > revision) {
+        if !self.restore.record_read(copy.revision() > revision) {
             return;
         }
         emit!(MembershipEvent::LedgerRestored, instance = self.id.instance, revision = revision);
-        let use_max = self.settings.hold + self.deadline_max;
-        self.restore.begin(&copy.ledger, &self.id, use_max);
+        let use_max = self.settings.slice_validity + self.deadline_max;
+        self.restore.start_wait(&copy.ledger, &self.id, use_max);
         self.pending = None;
         self.copy = None;
     }
@@ -239,21 +240,21 @@
             return;
         }
         if ledger.config_version >= self.version() {
-            self.ceilings.clear();
+            self.previous_limits.clear();
         }
-        self.sightings.note(&ledger);
+        self.observations.observe(&ledger);
         let was_in = self.ledger().is_some_and(|before| before.position(&self.id).is_some());
         let position = ledger.position(&self.id);
         if was_in && position.is_none() && !self.retired {
             emit!(MembershipEvent::SlicesLost, instance = self.id.instance);
-            self.escrow.shut();
+            self.escrow.invalidate_slices();
         }
         if !self.retired && position.is_some_and(|position| ledger.holders[position].retired) {
             emit!(MembershipEvent::SlicesRetired, instance = self.id.instance);
             self.retired = true;
-            self.escrow.shut();
+            self.escrow.invalidate_slices();
         }
-        self.copy = Some(Copy { compare: Compare::Revision(revision), ledger });
+        self.copy = Some(LedgerCopy { compare: Compare::Revision(revision), ledger });
         self.hint.fetch_max(revision, Ordering::Relaxed);
         self.refresh();
     }
@@ -270,8 +271,8 @@
 
     fn usable(&self, ledger: &Ledger, me: usize, team: &TeamId) -> u32 {
         let (tokens, confirmed) = ledger.confirmed(team, me, self.version());
-        let ceiling = self.ceilings.get(team).copied().unwrap_or(0);
-        let total = ledger.total(team).max(ceiling);
+        let previous_limit = self.previous_limits.get(team).copied().unwrap_or(0);
+        let total = ledger.total(team).max(previous_limit);
         let tokens = usable(Bound { tokens, confirmed, total, limit: self.limit(team) });
         self.restore.bound(team, tokens)
     }
@@ -283,8 +284,8 @@
 
     fn confirmation_due(&self) -> bool {
         let age = self.confirmed.map(|confirmed| confirmed.elapsed());
-        let interval = self.settings.hold / CONFIRMATIONS_PER_HOLD;
-        !self.escrow.is_open() || age.is_none_or(|age| age >= interval)
+        let interval = self.settings.slice_validity / CONFIRMATIONS_PER_VALIDITY;
+        !self.escrow.is_valid() || age.is_none_or(|age| age >= interval)
     }
 
     fn may_write(&self, ledger: &Ledger) -> bool {
@@ -307,22 +308,23 @@
     }
 
     /// Plans a write; `None` when the ledger needs none.
-    fn prepare(&self, copy: &Copy, config: &Config) -> Option<Pending> {
+    fn prepare(&self, copy: &LedgerCopy, config: &Config) -> Option<PendingWrite> {
         let mut ledger = copy.ledger.clone();
         self.refresh();
         let joins = ledger.position(&self.id).is_none();
         if joins {
             ledger.join(self.new_holder());
         }
-        let lapsed = self.sightings.lapsed(&ledger, &self.id, self.deadline_max);
+        let expired = self.observations.expired(&ledger, &self.id, self.deadline_max);
         let me = ledger.position(&self.id)?;
         let deadline_max = self.deadline_max;
-        let context = Context { me, config, deadline_max, lapsed: &lapsed };
-        let work = |team: &TeamId| self.work(team);
-        let take = |team: &TeamId, keep: u32| {
+        let context = Context { me, config, deadline_max, expired: &expired };
+        let team_load = |team: &TeamId| self.team_load(team);
+        let reduce_usable = |team: &TeamId, keep: u32| {
             self.escrow.set_usable(team, keep.min(self.escrow.usable(team)))
         };
-        let changed = !self.restore.is_active() && plan(&mut ledger, &context, work, take);
+        let changed =
+            !self.restore.is_active() && plan(&mut ledger, &context, team_load, reduce_usable);
         if !changed && !joins && !self.confirmation_due() {
             return None;
         }
@@ -335,22 +337,22 @@
             writes: 0,
             version: 0,
             deadline_max: self.deadline_max,
-            hold: self.settings.hold,
+            slice_validity: self.settings.slice_validity,
             retired: false,
         }
     }
 
-    fn pending_write(&self, compare: Compare, mut ledger: Ledger) -> Option<Pending> {
+    fn pending_write(&self, compare: Compare, mut ledger: Ledger) -> Option<PendingWrite> {
         let writes = self.writes + 1;
         if let Some(me) = ledger.position(&self.id) {
             ledger.holders[me].writes = writes;
         }
         let value = Bytes::from(ledger.to_json().ok()?);
         let write = Write::put(LEDGER_KEY, compare, value);
-        Some(Pending { write, ledger, writes, sent: Instant::now() })
+        Some(PendingWrite { write, ledger, writes, sent: Instant::now() })
     }
 
-    async fn attempt(&mut self, mut pending: Pending) -> Attempt {
+    async fn attempt(&mut self, mut pending: PendingWrite) -> Attempt {
         self.writes = pending.writes;
         self.last_write = Some(Instant::now());
         let sent = Instant::now();
@@ -381,7 +383,7 @@
     fn confirm(&mut self, sent: Instant) {
         self.confirmed = Some(sent);
         if !self.retired {
-            self.escrow.extend(sent, self.settings.hold);
+            self.escrow.extend(sent, self.settings.slice_validity);
         }
     }
 
@@ -401,7 +403,7 @@
 }
 
 /// Watches for pauses of the process, apart from the calls to the key-value service.
-async fn note_pauses(escrow: &Escrow, settings: EscrowSettings) {
+async fn detect_pauses(escrow: &Escrow, settings: EscrowSettings) {
     let mut ticks = interval(settings.interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut started = false;
@@ -420,6 +422,6 @@
 }
 
 mod leave;
-mod settle;
+mod resolve;
 #[cfg(test)]
 mod tests;
--- a/crates/membership/src/escrow/keeper/leave.rs
+++ b/crates/membership/src/escrow/keeper/leave.rs
@@ -12,7 +12,7 @@
         self.retired = true;
         for _ in 0..ATTEMPTS_MAX {
             if let Some(pending) = self.pending.take() {
-                self.settle(pending).await;
+                self.resolve(pending).await;
             }
             let Some(copy) = self.copy.as_ref().filter(|_| self.pending.is_none()) else { return };
             let Some(me) = copy.ledger.position(&self.id) else { return };
--- a/crates/membership/src/escrow/keeper/settle.rs
+++ b/crates/membership/src/escrow/keeper/resolve.rs
@@ -3,28 +3,28 @@
 use cassiafold_platform::{Store, WriteOutcome};
 use tokio::time::Instant;
 
-use super::{Copy, Keeper, Pending};
+use super::{Keeper, LedgerCopy, PendingWrite};
 use crate::escrow::ledger::LEDGER_KEY;
 use crate::usage::UsageSource;
 
 impl<S: Store, U: UsageSource> Keeper<S, U> {
     /// Finds out whether a write took effect. The same compare-and-swap is sent again: it can take
     /// effect once at most, and a conflict proves that the ledger has moved on from its condition.
-    pub(super) async fn settle(&mut self, pending: Pending) {
+    pub(super) async fn resolve(&mut self, pending: PendingWrite) {
         let sent = Instant::now();
         match self.store.write(pending.write.clone()).await {
             Ok(WriteOutcome::Written(revision)) => {
                 self.adopt(revision, pending.ledger);
                 self.confirm(sent);
             }
-            Ok(WriteOutcome::Conflict) => self.settle_by_read(pending).await,
+            Ok(WriteOutcome::Conflict) => self.resolve_by_read(pending).await,
             Err(_) => self.pending = Some(pending),
         }
     }
 
-    async fn settle_by_read(&mut self, pending: Pending) {
+    async fn resolve_by_read(&mut self, pending: PendingWrite) {
         self.last_read = Some(Instant::now());
-        let base = self.copy.as_ref().map_or(0, Copy::revision);
+        let base = self.copy.as_ref().map_or(0, LedgerCopy::revision);
         let record = self.store.get(LEDGER_KEY).await.ok().flatten();
         let Some(record) = record.filter(|record| record.revision > base) else {
             self.pending = Some(pending);
@@ -32,8 +32,8 @@
         };
         self.adopt_bytes(record.revision, &record.value);
         let Some(ledger) = self.ledger() else { return };
-        let mine = ledger.position(&self.id).map(|index| &ledger.holders[index]);
-        if mine.is_some_and(|holder| holder.writes == pending.writes) {
+        let own_holder = ledger.position(&self.id).map(|index| &ledger.holders[index]);
+        if own_holder.is_some_and(|holder| holder.writes == pending.writes) {
             self.confirm(pending.sent);
         }
     }
--- a/crates/membership/src/escrow/keeper/tests/world.rs
+++ b/crates/membership/src/escrow/keeper/tests/cluster.rs
@@ -17,7 +17,7 @@
 use crate::usage::{QueueId, TeamUsage, Usage, UsageSource};
 
 pub const SETTINGS: EscrowSettings = EscrowSettings {
-    hold: Duration::from_secs(60),
+    slice_validity: Duration::from_secs(60),
     pause_max: Duration::from_secs(10),
     interval: Duration::from_secs(1),
 };
@@ -73,31 +73,31 @@
     permit: Option<Permit>,
 }
 
-pub struct World {
+pub struct Cluster {
     pub store: MemoryStore,
     pub entries: Vec<Entry>,
     /// Entries whose instance was started again elsewhere while they were paused.
-    pub former: Vec<Entry>,
+    pub superseded: Vec<Entry>,
     runs: u64,
     pub configs: Vec<Arc<Config>>,
     pub work: RefCell<Vec<Work>>,
 }
 
-impl World {
+impl Cluster {
     pub fn new(limits: [u32; 2]) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             store: MemoryStore::default(),
             entries: Vec::new(),
-            former: Vec::new(),
+            superseded: Vec::new(),
             runs: 0,
             configs: vec![config(1, limits)],
             work: RefCell::default(),
         };
         for index in 0..ENTRIES {
-            let entry = world.entry(&format!("entry-{index}"));
-            world.entries.push(entry);
+            let entry = cluster.entry(&format!("entry-{index}"));
+            cluster.entries.push(entry);
         }
-        world
+        cluster
     }
 
     fn entry(&mut self, id: &str) -> Entry {
@@ -143,7 +143,7 @@
     }
 
     fn starters(&self) -> Vec<(u64, Escrow)> {
-        let all = self.entries.iter().chain(&self.former).filter(|entry| !entry.paused);
+        let all = self.entries.iter().chain(&self.superseded).filter(|entry| !entry.paused);
         all.map(|entry| (entry.run, entry.escrow.clone())).collect()
     }
 
@@ -189,7 +189,7 @@
     /// Highest limit that may be in force: from the oldest version that a holder or its copy of
     /// the ledger has.
     fn bound(&self, team: usize) -> u32 {
-        let holders = self.entries.iter().chain(&self.former);
+        let holders = self.entries.iter().chain(&self.superseded);
         let known = holders.map(|entry| {
             let ledger = entry.keeper.ledger();
             let held = ledger.filter(|ledger| ledger.position(&entry.keeper.id).is_some());
@@ -220,21 +220,21 @@
     /// Starts another run in the place of an entry that is paused but not ended.
     pub fn supersede(&mut self, index: usize) {
         let next = self.entry(&format!("entry-{index}"));
-        let mut former = std::mem::replace(&mut self.entries[index], next);
-        former.paused = true;
-        self.former.push(former);
+        let mut superseded = std::mem::replace(&mut self.entries[index], next);
+        superseded.paused = true;
+        self.superseded.push(superseded);
     }
 
     /// Wakes superseded runs: they start what they can before and after they notice.
     pub async fn wake(&mut self) {
-        self.former.iter_mut().for_each(|entry| entry.paused = false);
+        self.superseded.iter_mut().for_each(|entry| entry.paused = false);
         for team in 0..TEAMS.len() {
             self.saturate(team);
         }
-        for index in 0..self.former.len() {
-            self.former[index].escrow.tick(SETTINGS.pause_max);
+        for index in 0..self.superseded.len() {
+            self.superseded[index].escrow.tick(SETTINGS.pause_max);
             self.saturate(0);
-            self.former[index].step().await;
+            self.superseded[index].step().await;
             self.saturate(0);
         }
     }
--- a/crates/membership/src/escrow/keeper/tests/schedules.rs
+++ b/crates/membership/src/escrow/keeper/tests/schedules.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use super::world::{ENTRIES, SETTINGS, TEAMS, World, end_work};
+use super::cluster::{Cluster, ENTRIES, SETTINGS, TEAMS, end_work};
 
 #[derive(Debug, Clone)]
 pub enum Action {
@@ -73,29 +73,29 @@
     ]
 }
 
-pub async fn act(world: &mut World, action: Action) {
-    let faults = world.store.faults();
+pub async fn act(cluster: &mut Cluster, action: Action) {
+    let faults = cluster.store.faults();
     match action {
-        Action::Step(entry) => world.step(entry).await,
+        Action::Step(entry) => cluster.step(entry).await,
         Action::Round => {
             for index in 0..ENTRIES {
-                world.step(index).await;
+                cluster.step(index).await;
             }
-            world.pass(SETTINGS.interval).await;
+            cluster.pass(SETTINGS.interval).await;
         }
-        Action::Pass(seconds) => world.pass(Duration::from_secs(seconds)).await,
+        Action::Pass(seconds) => cluster.pass(Duration::from_secs(seconds)).await,
         Action::Start { entry, team, count, run_s } => {
             for _ in 0..count {
-                world.start(entry, team, Duration::from_secs(run_s));
+                cluster.start(entry, team, Duration::from_secs(run_s));
             }
         }
-        Action::Finish { entry, count } => (0..count).for_each(|_| world.finish(entry)),
+        Action::Finish { entry, count } => (0..count).for_each(|_| cluster.finish(entry)),
         Action::Want { entry, team, waiting } => {
-            world.entries[entry].waiting.set(TEAMS[team], waiting);
+            cluster.entries[entry].waiting.set(TEAMS[team], waiting);
         }
-        Action::Pause(entry) => world.entries[entry].paused = true,
-        Action::Resume(entry) => world.entries[entry].paused = false,
-        Action::Crash { entry, same_id } => world.crash(entry, same_id),
+        Action::Pause(entry) => cluster.entries[entry].paused = true,
+        Action::Resume(entry) => cluster.entries[entry].paused = false,
+        Action::Crash { entry, same_id } => cluster.crash(entry, same_id),
         Action::CutOff(entry, requests) => {
             let way = if requests { Partition::Requests } else { Partition::Answers };
             faults.cut_off(format!("entry-{entry}"), way);
@@ -106,16 +106,16 @@
         Action::Fault(1) => faults.fail_writes(1, WriteFault::LostRequest),
         Action::Fault(_) => faults.fail_writes(1, WriteFault::Late(Duration::from_secs(3))),
         Action::Stale(on) => faults.set_stale_reads(on.then(|| faults.revision())),
-        Action::Limits(limits) => world.set_limits(limits),
+        Action::Limits(limits) => cluster.set_limits(limits),
         Action::Learn(entry) => {
-            world.entries[entry].config.offer(world.configs.last().unwrap().clone());
+            cluster.entries[entry].config.offer(cluster.configs.last().unwrap().clone());
         }
-        Action::Saturate(team) => world.saturate(team),
-        Action::Race(delay_ms) => world.race(Duration::from_millis(delay_ms)).await,
-        Action::Supersede(entry) => world.supersede(entry),
-        Action::Wake => world.wake().await,
+        Action::Saturate(team) => cluster.saturate(team),
+        Action::Race(delay_ms) => cluster.race(Duration::from_millis(delay_ms)).await,
+        Action::Supersede(entry) => cluster.supersede(entry),
+        Action::Wake => cluster.wake().await,
     }
-    end_work(&world.work);
+    end_work(&cluster.work);
 }
 
 fn paused_runtime() -> tokio::runtime::Runtime {
@@ -135,9 +135,9 @@
         actions in prop::collection::vec(steady_action(), 20..150),
     ) {
         paused_runtime().block_on(async {
-            let mut world = World::new([12, 3]);
+            let mut cluster = Cluster::new([12, 3]);
             for action in actions {
-                act(&mut world, action).await;
+                act(&mut cluster, action).await;
             }
         });
     }
@@ -147,9 +147,9 @@
         actions in prop::collection::vec(action(), 20..150),
     ) {
         paused_runtime().block_on(async {
-            let mut world = World::new([12, 3]);
+            let mut cluster = Cluster::new([12, 3]);
             for action in actions {
-                act(&mut world, action).await;
+                act(&mut cluster, action).await;
             }
         });
     }
--- a/crates/membership/src/escrow/ledger.rs
+++ b/crates/membership/src/escrow/ledger.rs
@@ -33,7 +33,7 @@
     /// Longest deadline under which this holder may have started work.
     pub deadline_max: Duration,
     /// Longest time for which the holder uses its slices after a write of the ledger.
-    pub hold: Duration,
+    pub slice_validity: Duration,
     /// Whether the holder has left or a later run of the same instance has joined: it starts
     /// nothing more.
     pub retired: bool,
@@ -181,7 +181,7 @@
             writes: holder.writes,
             version: holder.version,
             deadline_max_ms: holder.deadline_max.as_millis() as u64,
-            hold_ms: holder.hold.as_millis() as u64,
+            hold_ms: holder.slice_validity.as_millis() as u64,
             retired: holder.retired,
         }
     }
@@ -202,7 +202,7 @@
             writes: raw.writes,
             version: raw.version,
             deadline_max: Duration::from_millis(raw.deadline_max_ms),
-            hold: Duration::from_millis(raw.hold_ms),
+            slice_validity: Duration::from_millis(raw.hold_ms),
             retired: raw.retired,
         }
     }
--- a/crates/membership/src/escrow/local.rs
+++ b/crates/membership/src/escrow/local.rs
@@ -51,27 +51,27 @@
 
 /// Bounds the time for which the slices may be used, on the monotonic clock.
 #[derive(Debug)]
-struct Gate {
+struct ValidityWindow {
     base: Instant,
     valid_until_ms: AtomicU64,
-    ticked_until_ms: AtomicU64,
+    alive_until_ms: AtomicU64,
     /// End of the last pause of the process; guards changes of the two bounds.
-    resumed: Mutex<Instant>,
+    resumed_at: Mutex<Instant>,
 }
 
-impl Gate {
-    fn lock_resumed(&self) -> MutexGuard<'_, Instant> {
-        self.resumed.lock().unwrap_or_else(PoisonError::into_inner)
+impl ValidityWindow {
+    fn lock_resumed_at(&self) -> MutexGuard<'_, Instant> {
+        self.resumed_at.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn elapsed_ms(&self, at: Instant) -> u64 {
         at.saturating_duration_since(self.base).as_millis() as u64
     }
 
-    fn is_open(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let now_ms = self.elapsed_ms(Instant::now());
         now_ms < self.valid_until_ms.load(Ordering::Acquire)
-            && now_ms < self.ticked_until_ms.load(Ordering::Acquire)
+            && now_ms < self.alive_until_ms.load(Ordering::Acquire)
     }
 }
 
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 struct Inner {
     teams: ArcSwap<HashMap<TeamId, Arc<Tokens>>>,
-    gate: Gate,
+    window: ValidityWindow,
     changes: watch::Sender<u64>,
 }
 
@@ -99,7 +99,7 @@
     /// Whether the slice behind the permit may still be used to start work. To be asked again when
     /// time may have passed between the permit and the first byte sent.
     pub fn is_valid(&self) -> bool {
-        self.inner.gate.is_open()
+        self.inner.window.is_valid()
     }
 }
 
@@ -112,21 +112,21 @@
 impl Default for Escrow {
     fn default() -> Self {
         let base = Instant::now();
-        let gate = Gate {
+        let window = ValidityWindow {
             base,
             valid_until_ms: AtomicU64::new(0),
-            ticked_until_ms: AtomicU64::new(0),
-            resumed: Mutex::new(base),
+            alive_until_ms: AtomicU64::new(0),
+            resumed_at: Mutex::new(base),
         };
         let changes = watch::Sender::new(0);
-        Self { inner: Arc::new(Inner { teams: ArcSwap::default(), gate, changes }) }
+        Self { inner: Arc::new(Inner { teams: ArcSwap::default(), window, changes }) }
     }
 }
 
 impl Escrow {
     /// Takes a permit if the team may run one more request at this entry instance now.
     pub fn try_acquire(&self, team: &TeamId) -> Option<Permit> {
-        if !self.inner.gate.is_open() {
+        if !self.inner.window.is_valid() {
             return None;
         }
         let tokens = self.inner.teams.load().get(team)?.clone();
@@ -149,8 +149,8 @@
     }
 
     /// Whether slices may be used now.
-    pub fn is_open(&self) -> bool {
-        self.inner.gate.is_open()
+    pub fn is_valid(&self) -> bool {
+        self.inner.window.is_valid()
     }
 
     /// Sum of the tokens in use over all teams.
@@ -178,35 +178,35 @@
         self.inner.teams.load().keys().cloned().collect()
     }
 
-    /// Lets slices be used for `hold` after `sent`, when a write that confirmed them was sent. A
+    /// Lets slices be used for `slice_validity` after `sent`, when a write that confirmed them was sent. A
     /// write sent before the process was last paused confirms nothing.
-    pub(super) fn extend(&self, sent: Instant, hold: Duration) {
-        let gate = &self.inner.gate;
-        let resumed = gate.lock_resumed();
-        if sent >= *resumed {
-            let until_ms = gate.elapsed_ms(sent + hold);
-            gate.valid_until_ms.fetch_max(until_ms, Ordering::AcqRel);
+    pub(super) fn extend(&self, sent: Instant, slice_validity: Duration) {
+        let window = &self.inner.window;
+        let resumed_at = window.lock_resumed_at();
+        if sent >= *resumed_at {
+            let until_ms = window.elapsed_ms(sent + slice_validity);
+            window.valid_until_ms.fetch_max(until_ms, Ordering::AcqRel);
         }
     }
 
     /// Forbids the use of slices until the next [`Self::extend`].
-    pub(super) fn shut(&self) {
-        let _resumed = self.inner.gate.lock_resumed();
-        self.inner.gate.valid_until_ms.store(0, Ordering::Release);
+    pub(super) fn invalidate_slices(&self) {
+        let _resumed_at = self.inner.window.lock_resumed_at();
+        self.inner.window.valid_until_ms.store(0, Ordering::Release);
     }
 
-    /// Notes that the process runs. After a pause longer than `gap_max` the slices may not be used
+    /// Notes that the process runs. After a pause longer than `pause_max` the slices may not be used
     /// until a new write confirms them. Returns whether there was such a pause.
-    pub(super) fn tick(&self, gap_max: Duration) -> bool {
-        let gate = &self.inner.gate;
-        let mut resumed = gate.lock_resumed();
+    pub(super) fn tick(&self, pause_max: Duration) -> bool {
+        let window = &self.inner.window;
+        let mut resumed_at = window.lock_resumed_at();
         let now = Instant::now();
-        let paused = gate.elapsed_ms(now) >= gate.ticked_until_ms.load(Ordering::Acquire);
+        let paused = window.elapsed_ms(now) >= window.alive_until_ms.load(Ordering::Acquire);
         if paused {
-            *resumed = now;
-            gate.valid_until_ms.store(0, Ordering::Release);
+            *resumed_at = now;
+            window.valid_until_ms.store(0, Ordering::Release);
         }
-        gate.ticked_until_ms.store(gate.elapsed_ms(now + gap_max), Ordering::Release);
+        window.alive_until_ms.store(window.elapsed_ms(now + pause_max), Ordering::Release);
         paused
     }
 
--- a/crates/membership/src/escrow/fill.rs
+++ b/crates/membership/src/escrow/max_min.rs
@@ -6,17 +6,17 @@
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|index| demands[*index]);
     let mut parts = vec![0; demands.len()];
-    let mut left = total;
+    let mut remaining = total;
     for (done, index) in order.iter().enumerate() {
-        let open = (demands.len() - done) as u32;
-        let part = demands[*index].min(left / open);
+        let unserved = (demands.len() - done) as u32;
+        let part = demands[*index].min(remaining / unserved);
         parts[*index] = part;
-        left -= part;
+        remaining -= part;
     }
     for (part, demand) in parts.iter_mut().zip(demands) {
-        if left > 0 && *part < *demand {
+        if remaining > 0 && *part < *demand {
             *part += 1;
-            left -= 1;
+            remaining -= 1;
         }
     }
     parts
--- a/crates/membership/src/escrow/plan.rs
+++ b/crates/membership/src/escrow/plan.rs
@@ -5,8 +5,8 @@
 
 use cassiafold_config::{Config, TeamId};
 
-use super::fill::max_min;
 use super::ledger::{Ledger, Slice};
+use super::max_min::max_min;
 
 /// Share of a demand that a giver keeps on top of it, as a divisor.
 const HEADROOM_DIVISOR: u32 = 8;
@@ -15,7 +15,7 @@
 
 /// Team's work at this holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Use {
+pub struct TeamLoad {
     /// Tokens in use.
     pub in_use: u32,
     /// Requests that would run if tokens were no bound, with the recent peak.
@@ -36,15 +36,15 @@
 }
 
 /// The slices of one team as a holder sees them.
-struct TeamView<'a> {
+struct TeamState<'a> {
     slices: &'a [Slice],
     me: usize,
     limit: u32,
-    work: Use,
+    load: TeamLoad,
 }
 
-impl TeamView<'_> {
-    fn mine(&self) -> Slice {
+impl TeamState<'_> {
+    fn own_slice(&self) -> Slice {
         self.slices[self.me]
     }
 
@@ -53,29 +53,29 @@
     }
 
     /// Even part of the limit.
-    fn even(&self) -> u32 {
+    fn even_share(&self) -> u32 {
         self.limit / self.slices.len() as u32
     }
 
     /// Tokens that the holder needs for itself.
     fn need(&self) -> u32 {
-        let demand = self.work.demand.max(self.work.in_use);
+        let demand = self.load.demand.max(self.load.in_use);
         demand.saturating_add(demand.div_ceil(HEADROOM_DIVISOR))
     }
 
     fn decide(&self, may_claim: bool) -> Decision {
-        let tokens = self.mine().tokens;
+        let tokens = self.own_slice().tokens;
         let total = self.total();
         if total > self.limit {
             let over = u64::from(total - self.limit);
             let cut = (over * u64::from(tokens)).div_ceil(u64::from(total)) as u32;
             return Decision { keep: tokens - cut, claim: 0, want: 0, lowered: true };
         }
-        let goal = self.work.demand.max(self.even()).min(self.limit);
+        let goal = self.load.demand.max(self.even_share()).min(self.limit);
         let free = if may_claim { self.limit - total } else { 0 };
         let claim = free.min(goal.saturating_sub(tokens));
         let held = tokens + claim;
-        let demand = self.work.demand.min(self.limit);
+        let demand = self.load.demand.min(self.limit);
         let want = if demand > held { demand } else { 0 };
         let keep = if claim > 0 { tokens } else { tokens - self.surplus() };
         Decision { keep, claim, want: self.steady_want(want), lowered: false }
@@ -83,14 +83,14 @@
 
     /// Keeps the recorded want unless the change is worth a write.
     fn steady_want(&self, want: u32) -> u32 {
-        let recorded = self.mine().want;
+        let recorded = self.own_slice().want;
         let small = want.abs_diff(recorded) <= recorded / WANT_DIVISOR;
         if want > 0 && recorded > 0 && small { recorded } else { want }
     }
 
     /// Tokens that the holder should give to others.
     fn surplus(&self) -> u32 {
-        let tokens = self.mine().tokens;
+        let tokens = self.own_slice().tokens;
         let unmet: u32 = self.others().map(|(_, slice)| slice.unmet()).sum();
         if unmet == 0 {
             return self.idle_surplus();
@@ -107,10 +107,11 @@
     /// Tokens above the even part that an idle holder gives to those far below it, so that each
     /// has some when a partition begins.
     fn idle_surplus(&self) -> u32 {
-        let even = self.even();
-        let lacking: u32 = self.others().map(|(_, slice)| lack(slice, even)).sum();
-        let spare = self.mine().tokens.saturating_sub(even.max(self.need()));
-        spare.min(lacking)
+        let even_share = self.even_share();
+        let total_shortfall: u32 =
+            self.others().map(|(_, slice)| shortfall(slice, even_share)).sum();
+        let spare = self.own_slice().tokens.saturating_sub(even_share.max(self.need()));
+        spare.min(total_shortfall)
     }
 
     fn others(&self) -> impl Iterator<Item = (usize, Slice)> {
@@ -125,34 +126,34 @@
             .iter()
             .enumerate()
             .map(|(index, slice)| match index == self.me {
-                true => self.work.demand,
+                true => self.load.demand,
                 false => slice.tokens.max(slice.want),
             })
             .collect();
         max_min(self.limit, &demands)
     }
 
-    /// What each holder gets out of `given` tokens.
-    fn gifts(&self, given: u32) -> Vec<u32> {
-        let even = self.even();
+    /// What each holder gets out of `released` tokens.
+    fn transfers(&self, released: u32) -> Vec<u32> {
+        let even_share = self.even_share();
         let unmet: u32 = self.others().map(|(_, slice)| slice.unmet()).sum();
-        let asks: Vec<u32> = self
+        let requested: Vec<u32> = self
             .slices
             .iter()
             .enumerate()
             .map(|(index, slice)| match (index == self.me, unmet > 0) {
                 (true, _) => 0,
                 (false, true) => slice.unmet(),
-                (false, false) => lack(*slice, even),
+                (false, false) => shortfall(*slice, even_share),
             })
             .collect();
-        max_min(given, &asks)
+        max_min(released, &requested)
     }
 }
 
 /// Tokens that a holder far below the even part lacks to reach it.
-fn lack(slice: Slice, even: u32) -> u32 {
-    if slice.tokens < even / 2 { even - slice.tokens } else { 0 }
+fn shortfall(slice: Slice, even_share: u32) -> u32 {
+    if slice.tokens < even_share / 2 { even_share - slice.tokens } else { 0 }
 }
 
 /// Inputs of [`plan`] that do not change with the team.
@@ -165,28 +166,28 @@
     /// Longest deadline under which the holder may have started work.
     pub deadline_max: Duration,
     /// Positions of holders that have been silent for long enough, in rising order.
-    pub lapsed: &'a [usize],
+    pub expired: &'a [usize],
 }
 
 /// Changes the ledger for one holder. Returns whether the result is worth a write.
 ///
-/// `work` tells the team's work at the holder. `take` bounds the tokens that the holder uses from
+/// `load` tells the team's work at the holder. `reduce_usable` bounds the tokens that the holder uses from
 /// now on and returns the tokens in use at that moment; it is called before tokens are given away.
 pub fn plan(
     ledger: &mut Ledger,
     context: &Context<'_>,
-    work: impl Fn(&TeamId) -> Use,
-    mut take: impl FnMut(&TeamId, u32) -> u32,
+    load: impl Fn(&TeamId) -> TeamLoad,
+    mut reduce_usable: impl FnMut(&TeamId, u32) -> u32,
 ) -> bool {
-    let mut changed = remove_lapsed(ledger, context.lapsed);
-    let me = context.me - context.lapsed.iter().filter(|index| **index < context.me).count();
+    let mut changed = remove_expired(ledger, context.expired);
+    let me = context.me - context.expired.iter().filter(|index| **index < context.me).count();
     let may_claim = context.config.version >= ledger.config_version;
     for (team, limit) in limits(ledger, context.config) {
         let holders = ledger.holders.len();
         let slices = ledger.teams.entry(team.clone()).or_insert(vec![Slice::default(); holders]);
-        let view = TeamView { slices, me, limit, work: work(&team) };
-        let decision = view.decide(may_claim);
-        let updated = apply(&view, decision, |keep| take(&team, keep));
+        let state = TeamState { slices, me, limit, load: load(&team) };
+        let decision = state.decide(may_claim);
+        let updated = apply(&state, decision, |keep| reduce_usable(&team, keep));
         changed |= updated != *slices;
         *slices = updated;
     }
@@ -202,11 +203,11 @@
     changed
 }
 
-fn remove_lapsed(ledger: &mut Ledger, lapsed: &[usize]) -> bool {
-    for index in lapsed.iter().rev() {
+fn remove_expired(ledger: &mut Ledger, expired: &[usize]) -> bool {
+    for index in expired.iter().rev() {
         ledger.remove(*index);
     }
-    !lapsed.is_empty()
+    !expired.is_empty()
 }
 
 /// Limit of each team; a team that is no longer configured has none left.
@@ -216,23 +217,27 @@
     removed.chain(known).collect()
 }
 
-fn apply(view: &TeamView<'_>, decision: Decision, mut take: impl FnMut(u32) -> u32) -> Vec<Slice> {
-    let mut updated = view.slices.to_vec();
-    let tokens = view.mine().tokens;
-    updated[view.me].want = decision.want;
-    updated[view.me].tokens = tokens + decision.claim;
+fn apply(
+    state: &TeamState<'_>,
+    decision: Decision,
+    mut reduce_usable: impl FnMut(u32) -> u32,
+) -> Vec<Slice> {
+    let mut updated = state.slices.to_vec();
+    let tokens = state.own_slice().tokens;
+    updated[state.me].want = decision.want;
+    updated[state.me].tokens = tokens + decision.claim;
     if decision.keep >= tokens {
         return updated;
     }
-    let in_use = take(decision.keep);
+    let in_use = reduce_usable(decision.keep);
     let kept = decision.keep.max(in_use).min(tokens);
-    updated[view.me].tokens = kept;
+    updated[state.me].tokens = kept;
     if !decision.lowered {
-        let gifts = view.gifts(tokens - kept);
-        let rest = tokens - kept - gifts.iter().sum::<u32>();
-        updated[view.me].tokens += rest;
-        for (slice, gift) in updated.iter_mut().zip(gifts) {
-            slice.tokens += gift;
+        let transfers = state.transfers(tokens - kept);
+        let rest = tokens - kept - transfers.iter().sum::<u32>();
+        updated[state.me].tokens += rest;
+        for (slice, transfer) in updated.iter_mut().zip(transfers) {
+            slice.tokens += transfer;
         }
     }
     updated
--- a/crates/membership/src/escrow/restore.rs
+++ b/crates/membership/src/escrow/restore.rs
@@ -19,20 +19,20 @@
 
 /// Whether the ledger went back, and what the holder had before.
 #[derive(Debug, Default)]
-pub struct Restore {
+pub struct RestoreGuard {
     behind_since: Option<Instant>,
-    before: Option<Before>,
+    before: Option<LostState>,
 }
 
 #[derive(Debug)]
-struct Before {
+struct LostState {
     tokens: BTreeMap<TeamId, u32>,
     until: Instant,
 }
 
-impl Restore {
+impl RestoreGuard {
     /// Notes whether a read was behind what is known. Returns whether the ledger went back.
-    pub fn is_behind(&mut self, behind: bool) -> bool {
+    pub fn record_read(&mut self, behind: bool) -> bool {
         if !behind {
             self.behind_since = None;
             return false;
@@ -42,7 +42,7 @@
 
     /// Begins the wait. `lost` is the state before; `use_max` is the time for which a holder that
     /// has not noticed may use it and its work may run.
-    pub fn begin(&mut self, lost: &Ledger, me: &HolderId, use_max: Duration) {
+    pub fn start_wait(&mut self, lost: &Ledger, me: &HolderId, use_max: Duration) {
         let position = lost.position(me);
         let teams = lost.teams.iter();
         let tokens = teams.map(|(team, slices)| {
@@ -51,11 +51,11 @@
         });
         let wait = use_max + RESTORED_AFTER;
         let until = Instant::now() + wait + wait / CLOCK_RATE_DIVISOR;
-        self.before = Some(Before { tokens: tokens.collect(), until });
+        self.before = Some(LostState { tokens: tokens.collect(), until });
         self.behind_since = None;
     }
 
-    fn before(&self) -> Option<&Before> {
+    fn before(&self) -> Option<&LostState> {
         self.before.as_ref().filter(|before| Instant::now() < before.until)
     }
 
--- a/crates/membership/src/exchange.rs
+++ b/crates/membership/src/exchange.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::escrow::Incarnation;
-use crate::roster::Heard;
+use crate::roster::Heartbeat;
 use crate::usage::{QueueId, TeamUsage, Usage};
 
 /// Change of a count that is worth a message, as a divisor of the count.
@@ -23,61 +23,65 @@
 
 /// Sending side of a connection.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct ReportEncoder {
     names: HashMap<Arc<str>, Position>,
-    fresh: Vec<Arc<str>>,
-    sent: HashMap<InstanceId, Sent>,
+    new_names: Vec<Arc<str>>,
+    sent: HashMap<InstanceId, SentState>,
 }
 
 #[derive(Debug, Default)]
-struct Sent {
+struct SentState {
     incarnation: Incarnation,
     usage: Usage,
 }
 
-impl Outbox {
+impl ReportEncoder {
     /// The report that brings the receiver up to date. Backend servers are told only where
     /// `with_instances` says so. Fails when the table of names is full; the connection has to be
     /// made anew then.
-    pub fn report(
+    pub fn encode(
         &mut self,
-        entries: &[Heard],
+        entries: &[Heartbeat],
         with_instances: bool,
         ledger_revision: u64,
     ) -> Result<Report, WireError> {
         let reports: Result<Vec<_>, _> =
-            entries.iter().map(|heard| self.entry(heard, with_instances)).collect();
+            entries.iter().map(|heartbeat| self.entry(heartbeat, with_instances)).collect();
         let reports = reports?;
-        let names = std::mem::take(&mut self.fresh);
+        let names = std::mem::take(&mut self.new_names);
         Ok(Report { names, ledger_revision, entries: reports })
     }
 
-    fn entry(&mut self, heard: &Heard, with_instances: bool) -> Result<EntryReport, WireError> {
-        let mut sent = self.sent.remove(&heard.id).unwrap_or_default();
-        if sent.incarnation != heard.incarnation {
-            sent = Sent { incarnation: heard.incarnation, usage: Usage::default() };
+    fn entry(
+        &mut self,
+        heartbeat: &Heartbeat,
+        with_instances: bool,
+    ) -> Result<EntryReport, WireError> {
+        let mut sent = self.sent.remove(&heartbeat.id).unwrap_or_default();
+        if sent.incarnation != heartbeat.incarnation {
+            sent = SentState { incarnation: heartbeat.incarnation, usage: Usage::default() };
         }
-        let queues = self.queues(&mut sent.usage.queues, &heard.usage.queues)?;
+        let queues = self.queues(&mut sent.usage.queues, &heartbeat.usage.queues)?;
         let instances = match with_instances {
-            true => self.instances(&mut sent.usage.instances, &heard.usage.instances)?,
+            true => self.instances(&mut sent.usage.instances, &heartbeat.usage.instances)?,
             false => Vec::new(),
         };
-        self.sent.insert(heard.id.clone(), sent);
-        let draining = self.draining(&heard.usage)?;
-        let symptoms = self.symptoms(&heard.usage)?;
+        self.sent.insert(heartbeat.id.clone(), sent);
+        let draining = self.draining(&heartbeat.usage)?;
+        let symptoms = self.symptoms(&heartbeat.usage)?;
         Ok(EntryReport {
-            entry: self.position(&heard.id)?,
-            zone: self.position(&heard.zone)?,
-            incarnation: heard.incarnation,
-            heartbeat: heard.heartbeat,
-            config_version: heard.config_version,
-            ready: heard.ready,
+            entry: self.position(&heartbeat.id)?,
+            zone: self.position(&heartbeat.zone)?,
+            incarnation: heartbeat.incarnation,
+            heartbeat: heartbeat.sequence,
+            config_version: heartbeat.config_version,
+            ready: heartbeat.ready,
             queues,
             instances,
-            fleet_number: heard.usage.fleet_number,
+            fleet_number: heartbeat.usage.fleet_number,
             draining,
             symptoms,
-            store_reachable: heard.usage.store_reachable,
+            store_reachable: heartbeat.usage.store_reachable,
         })
     }
 
@@ -107,7 +111,7 @@
         let present = now.iter().map(|(queue, usage)| (queue.clone(), *usage));
         for (queue, usage) in gone.into_iter().chain(present) {
             let before = sent.get(&queue).copied().unwrap_or_default();
-            if !is_worth_telling(before, usage) {
+            if !is_significant_change(before, usage) {
                 continue;
             }
             changes.push(QueueUsage {
@@ -156,18 +160,18 @@
         let next = self.names.len();
         let position = Position::try_from(next).map_err(|_| WireError::Names(next + 1))?;
         self.names.insert(name.clone(), position);
-        self.fresh.push(name.clone());
+        self.new_names.push(name.clone());
         Ok(position)
     }
 }
 
 /// Whether a change of a queue is large enough, or to or from zero.
-fn is_worth_telling(before: TeamUsage, now: TeamUsage) -> bool {
-    let far = |before: u32, now: u32| {
+fn is_significant_change(before: TeamUsage, now: TeamUsage) -> bool {
+    let differs = |before: u32, now: u32| {
         let zero = (before == 0) != (now == 0);
         zero || before.abs_diff(now) > before / CHANGE_DIVISOR
     };
-    far(before.running, now.running) || far(before.waiting, now.waiting)
+    differs(before.running, now.running) || differs(before.waiting, now.waiting)
 }
 
 fn saturate(count: u32) -> u16 {
@@ -176,20 +180,20 @@
 
 /// Receiving side of a connection.
 #[derive(Debug, Default)]
-pub struct Inbox {
+pub struct ReportDecoder {
     names: Vec<Arc<str>>,
-    replicas: HashMap<InstanceId, Replica>,
+    received: HashMap<InstanceId, ReceivedState>,
 }
 
 #[derive(Debug, Default)]
-struct Replica {
+struct ReceivedState {
     incarnation: Incarnation,
     usage: Arc<Usage>,
 }
 
-impl Inbox {
+impl ReportDecoder {
     /// Takes in a report and returns the heartbeats in it.
-    pub fn receive(&mut self, report: Report) -> Result<Vec<Heard>, WireError> {
+    pub fn decode(&mut self, report: Report) -> Result<Vec<Heartbeat>, WireError> {
         let count = self.names.len() + report.names.len();
         if count > NAMES_MAX {
             return Err(WireError::Names(count));
@@ -198,21 +202,21 @@
         report.entries.iter().map(|entry| self.entry(entry)).collect()
     }
 
-    fn entry(&mut self, entry: &EntryReport) -> Result<Heard, WireError> {
+    fn entry(&mut self, entry: &EntryReport) -> Result<Heartbeat, WireError> {
         let id: InstanceId = self.name(entry.entry)?;
         let zone: ZoneId = self.name(entry.zone)?;
-        let mut replica = self.replicas.remove(&id).unwrap_or_default();
-        if replica.incarnation != entry.incarnation {
-            replica = Replica { incarnation: entry.incarnation, usage: Arc::default() };
+        let mut state = self.received.remove(&id).unwrap_or_default();
+        if state.incarnation != entry.incarnation {
+            state = ReceivedState { incarnation: entry.incarnation, usage: Arc::default() };
         }
-        self.apply(Arc::make_mut(&mut replica.usage), entry)?;
-        let usage = replica.usage.clone();
-        self.replicas.insert(id.clone(), replica);
-        Ok(Heard {
+        self.apply(Arc::make_mut(&mut state.usage), entry)?;
+        let usage = state.usage.clone();
+        self.received.insert(id.clone(), state);
+        Ok(Heartbeat {
             id,
             zone,
             incarnation: entry.incarnation,
-            heartbeat: entry.heartbeat,
+            sequence: entry.heartbeat,
             config_version: entry.config_version,
             ready: entry.ready,
             usage,
--- a/crates/membership/src/exchange/tests.rs
+++ b/crates/membership/src/exchange/tests.rs
@@ -6,16 +6,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use super::{CHANGE_DIVISOR, Inbox, Outbox};
-use crate::roster::Heard;
+use super::{CHANGE_DIVISOR, ReportDecoder, ReportEncoder};
+use crate::roster::Heartbeat;
 use crate::usage::{QueueId, Symptom, TeamUsage, Usage};
 
-fn heard(entry: usize, incarnation: u64, heartbeat: u64, usage: Usage) -> Heard {
-    Heard {
+fn heartbeat(entry: usize, incarnation: u64, sequence: u64, usage: Usage) -> Heartbeat {
+    Heartbeat {
         id: format!("entry-{entry}").into(),
         zone: "a".into(),
         incarnation,
-        heartbeat,
+        sequence,
         config_version: 1,
         ready: true,
         usage: Arc::new(usage),
@@ -70,11 +70,11 @@
     fn the_receiver_sees_what_the_sender_has(
         rounds in prop::collection::vec((0usize..3, 1u64..3, usage()), 1..20),
     ) {
-        let (mut outbox, mut inbox) = (Outbox::default(), Inbox::default());
+        let (mut encoder, mut decoder) = (ReportEncoder::default(), ReportDecoder::default());
         for (number, (entry, incarnation, usage)) in rounds.into_iter().enumerate() {
-            let sent = heard(entry, incarnation, number as u64, usage);
-            let report = outbox.report(std::slice::from_ref(&sent), true, 0).unwrap();
-            let received = inbox.receive(report).unwrap();
+            let sent = heartbeat(entry, incarnation, number as u64, usage);
+            let report = encoder.encode(std::slice::from_ref(&sent), true, 0).unwrap();
+            let received = decoder.decode(report).unwrap();
             prop_assert_eq!(received.len(), 1);
             let (truth, seen) = (&sent.usage, &received[0].usage);
             prop_assert_eq!(&received[0].id, &sent.id);
@@ -97,10 +97,10 @@
     let queue = QueueId { service: "portal".into(), team: "parishes".into() };
     let mut usage = Usage::default();
     usage.queues.insert(queue, TeamUsage { running: 3, waiting: 4 });
-    let mut outbox = Outbox::default();
-    let first = outbox.report(&[heard(0, 1, 1, usage.clone())], true, 0).unwrap();
+    let mut encoder = ReportEncoder::default();
+    let first = encoder.encode(&[heartbeat(0, 1, 1, usage.clone())], true, 0).unwrap();
     assert_eq!((first.names.len(), first.entries[0].queues.len()), (4, 1));
-    let second = outbox.report(&[heard(0, 1, 2, usage)], true, 0).unwrap();
+    let second = encoder.encode(&[heartbeat(0, 1, 2, usage)], true, 0).unwrap();
     assert!(second.names.is_empty() && second.entries[0].queues.is_empty());
 }
 
@@ -122,5 +122,5 @@
         store_reachable: false,
     };
     let report = Report { names: vec!["a".into()], ledger_revision: 0, entries: vec![entry] };
-    assert!(Inbox::default().receive(report).is_err());
+    assert!(ReportDecoder::default().decode(report).is_err());
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,9 +9,10 @@
 //! - [`peers`]: connections between entry instances.
 //! - [`relay`]: to whom an entry instance reports.
 //! - [`exchange`]: reports as changes only.
-//! - [`spread`]: the configuration from the key-value service and from peers.
+//! - [`config_sync`]: the configuration from the key-value service and from peers.
 //! - [`control`]: the role of the one that works for the whole fleet.
 
+pub mod config_sync;
 pub mod contact;
 pub mod control;
 pub mod directory;
@@ -24,9 +25,9 @@
 pub mod relay;
 pub mod roster;
 pub mod shares;
-pub mod spread;
 pub mod usage;
 
+pub use config_sync::{ConfigSync, ConfigSyncCounts};
 pub use contact::StoreContact;
 pub use control::{ControlLease, ControlTerm};
 pub use escrow::{Escrow, EscrowSettings, Permit};
@@ -36,5 +37,4 @@
 pub use peers::{PeersSettings, Traffic};
 pub use roster::{Confirmation, Confirmations, LiveEntry, Roster};
 pub use shares::{Shares, TeamWeight};
-pub use spread::{Spread, SpreadCounts};
 pub use usage::{QueueId, TeamUsage, Usage, UsageSource};
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -12,6 +12,7 @@
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use tokio_util::sync::CancellationToken;
 
+use crate::config_sync::{self, ConfigSync, ConfigSyncCounts};
 use crate::contact::StoreContact;
 use crate::control::ControlLease;
 use crate::directory;
@@ -20,11 +21,10 @@
 use crate::peers::{Peers, PeersSettings, Traffic};
 use crate::roster::{Confirmations, LiveEntry, Roster};
 use crate::shares::Shares;
-use crate::spread::{self, Spread, SpreadCounts};
 use crate::usage::UsageSource;
 
 /// Time between two heartbeats.
-const BEAT_INTERVAL: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for one task at the end.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -51,7 +51,8 @@
             incarnation: incarnation(SystemTime::now()),
         };
         let lease_ttl = settings.lease_ttl;
-        let escrow = EscrowSettings { hold: settings.limits_hold, ..EscrowSettings::default() };
+        let escrow =
+            EscrowSettings { slice_validity: settings.limits_hold, ..EscrowSettings::default() };
         let seeds = settings.seed_addresses.clone();
         let peers = PeersSettings { seeds, ..PeersSettings::default() };
         Self { identity, lease_ttl, escrow, peers }
@@ -81,13 +82,13 @@
     roster: Roster,
     shares: Shares,
     control: ControlLease,
-    spread: Spread,
+    config_sync: ConfigSync,
     contact: StoreContact,
     ready: Arc<AtomicBool>,
     peers: Peers,
     stop: CancellationToken,
-    leaving: Vec<JoinHandle<()>>,
-    following: Vec<JoinHandle<()>>,
+    closing: Vec<JoinHandle<()>>,
+    background: Vec<JoinHandle<()>>,
 }
 
 impl Membership {
@@ -102,7 +103,7 @@
     ) -> io::Result<Self> {
         let (me, ttl) = (settings.identity, settings.lease_ttl);
         let (escrow, roster) = (Escrow::default(), Roster::new(me.clone()));
-        let (spread, contact) = (Spread::new(config.clone()), StoreContact::default());
+        let (config_sync, contact) = (ConfigSync::new(config.clone()), StoreContact::default());
         let (stop, control) = (CancellationToken::new(), ControlLease::default());
         let ready = Arc::new(AtomicBool::new(false));
         let keeper = Keeper::new(
@@ -114,8 +115,9 @@
             escrow.clone(),
         );
         let hint = keeper.hint();
-        let peers = Peers::start(listener, settings.peers, roster.clone(), spread.clone(), hint)?;
-        let leaving = vec![
+        let peers =
+            Peers::start(listener, settings.peers, roster.clone(), config_sync.clone(), hint)?;
+        let closing = vec![
             tokio::spawn(keeper.run(stop.clone().cancelled_owned())),
             tokio::spawn(directory::register(
                 store.clone(),
@@ -126,10 +128,15 @@
             )),
             tokio::spawn(control.clone().run(store.clone(), me, ttl, stop.clone())),
         ];
-        let following = vec![
+        let background = vec![
             tokio::spawn(directory::follow(store.clone(), roster.clone(), contact.clone())),
-            tokio::spawn(spread::follow(store, spread.clone(), roster.clone(), contact.clone())),
-            tokio::spawn(beat(roster.clone(), config.clone(), usage, ready.clone())),
+            tokio::spawn(config_sync::follow(
+                store,
+                config_sync.clone(),
+                roster.clone(),
+                contact.clone(),
+            )),
+            tokio::spawn(run_heartbeat(roster.clone(), config.clone(), usage, ready.clone())),
         ];
         let shares = Shares::new(roster.clone(), config);
         Ok(Self {
@@ -137,13 +144,13 @@
             roster,
             shares,
             control,
-            spread,
+            config_sync,
             contact,
             ready,
             peers,
             stop,
-            leaving,
-            following,
+            closing,
+            background,
         })
     }
 
@@ -178,8 +185,8 @@
     }
 
     /// Counts of offered configurations.
-    pub fn spread_counts(&self) -> SpreadCounts {
-        self.spread.counts()
+    pub fn config_sync_counts(&self) -> ConfigSyncCounts {
+        self.config_sync.counts()
     }
 
     /// When the key-value service last answered.
@@ -205,24 +212,24 @@
     /// Leaves the fleet: gives back slices, registration and control role, and tells the peers.
     /// Call it when no request runs any more; slices of requests that run return later.
     pub async fn close(self) {
-        for task in &self.following {
+        for task in &self.background {
             task.abort();
         }
         self.stop.cancel();
         let peers = self.peers.close();
-        let tasks = self.leaving.into_iter().map(|task| timeout(CLOSE_TIMEOUT, task));
+        let tasks = self.closing.into_iter().map(|task| timeout(CLOSE_TIMEOUT, task));
         tokio::join!(peers, futures_util::future::join_all(tasks));
     }
 }
 
 /// Raises the heartbeat at an interval and when a configuration comes in force.
-async fn beat<U: UsageSource>(
+async fn run_heartbeat<U: UsageSource>(
     roster: Roster,
     config: ActiveConfig,
     usage: U,
     ready: Arc<AtomicBool>,
 ) {
-    let mut ticks = interval(BEAT_INTERVAL);
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut adopted = config.subscribe();
     loop {
@@ -231,6 +238,6 @@
             _ = adopted.changed() => {}
         }
         let now = Arc::new(usage.usage());
-        roster.beat(now, config.version(), ready.load(Ordering::Relaxed));
+        roster.advance_heartbeat(now, config.version(), ready.load(Ordering::Relaxed));
     }
 }
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -22,10 +22,10 @@
 use tokio_util::sync::CancellationToken;
 
 pub use self::traffic::Traffic;
+use crate::config_sync::ConfigSync;
 use crate::identity::Identity;
 use crate::relay::Target;
 use crate::roster::Roster;
-use crate::spread::Spread;
 
 /// How often the targets are chosen anew.
 const TARGETS_INTERVAL: Duration = Duration::from_millis(500);
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone)]
 struct Context {
     roster: Roster,
-    spread: Spread,
+    config_sync: ConfigSync,
     ledger_hint: Arc<AtomicU64>,
     settings: PeersSettings,
     traffic: Traffic,
@@ -78,7 +78,7 @@
         listener: TcpListener,
         settings: PeersSettings,
         roster: Roster,
-        spread: Spread,
+        config_sync: ConfigSync,
         ledger_hint: Arc<AtomicU64>,
     ) -> io::Result<Self> {
         let listener = listener.into_std()?;
@@ -86,7 +86,7 @@
         let stop = CancellationToken::new();
         let context = Context {
             roster,
-            spread,
+            config_sync,
             ledger_hint,
             settings,
             traffic: traffic.clone(),
@@ -119,7 +119,7 @@
     let listener = TcpListener::from_std(listener)?;
     spawn_local(server::serve(listener, context.clone()));
     let seeds = context.settings.seeds.clone();
-    spawn_local(client::find_others(seeds, context.clone()));
+    spawn_local(client::discover_entries(seeds, context.clone()));
     let mut tasks: BTreeMap<Target, tokio::task::JoinHandle<()>> = BTreeMap::new();
     while !context.stop.is_cancelled() {
         follow_targets(&mut tasks, &context);
--- a/crates/membership/src/peers/client.rs
+++ b/crates/membership/src/peers/client.rs
@@ -18,11 +18,11 @@
 
 use super::{Context, hello_of, identity_of};
 use crate::event::MembershipEvent;
-use crate::exchange::Outbox;
+use crate::exchange::ReportEncoder;
 use crate::relay::Target;
 
 /// Wait for the own watch before a newer configuration is asked from a peer.
-const PULL_WAIT: Duration = Duration::from_millis(200);
+const PULL_DELAY: Duration = Duration::from_millis(200);
 /// Least time between two reports to one peer.
 const REPORT_SPACING: Duration = Duration::from_millis(50);
 const RETRY_MIN: Duration = Duration::from_millis(200);
@@ -68,20 +68,20 @@
 }
 
 /// Asks the seeds for the other entry instances until one is known.
-pub(super) async fn find_others(seeds: Vec<SocketAddr>, context: Context) {
+pub(super) async fn discover_entries(seeds: Vec<SocketAddr>, context: Context) {
     let mut backoff = Backoff::new(RETRY_MIN, RETRY_MAX);
     loop {
         for seed in seeds.iter().filter(|seed| **seed != context.roster.me().address) {
-            if context.roster.known().len() > 1 && context.spread.version() > 0 {
+            if context.roster.known().len() > 1 && context.config_sync.version() > 0 {
                 break;
             }
-            let _ = ask_seed(*seed, &context).await;
+            let _ = query_seed(*seed, &context).await;
         }
         sleep(backoff.next_delay()).await;
     }
 }
 
-async fn ask_seed(seed: SocketAddr, context: &Context) -> Result<(), SessionError> {
+async fn query_seed(seed: SocketAddr, context: &Context) -> Result<(), SessionError> {
     let peer = Peer::connect(seed, context).await?;
     let version = peer.hello(context).await?;
     peer.pull(context, version).await
@@ -95,16 +95,16 @@
     let peer = Peer::connect(address, context).await?;
     let version = peer.hello(context).await?;
     peer.pull(context, version).await?;
-    let mut outbox = Outbox::default();
-    let mut woken = context.roster.woken();
+    let mut encoder = ReportEncoder::default();
+    let mut changes = context.roster.changes();
     loop {
-        woken.mark_unchanged();
-        let version = peer.report(&mut outbox, target, context).await?;
+        changes.mark_unchanged();
+        let version = peer.report(&mut encoder, target, context).await?;
         peer.pull(context, version).await?;
         sleep(REPORT_SPACING).await;
         tokio::select! {
             () = sleep(jitter(context.settings.report_interval)) => {}
-            _ = woken.changed() => {}
+            _ = changes.changed() => {}
             () = context.stop.cancelled() => {
                 let _ = timeout(LEAVE_TIMEOUT, peer.leave(context)).await;
                 return Ok(());
@@ -138,56 +138,56 @@
     /// Introduces this entry instance, learns the others and returns the version in force there.
     async fn hello(&self, context: &Context) -> Result<Version, SessionError> {
         let mut request = self.client.hello_request();
-        let hello = hello_of(context.roster.me(), context.spread.version());
+        let hello = hello_of(context.roster.me(), context.config_sync.version());
         hello.write(request.get().init_hello());
-        let answer = call(context, request.send().promise).await?;
-        let known = answer.get()?.get_known()?;
+        let response = call(context, request.send().promise).await?;
+        let known = response.get()?.get_known()?;
         let mut version = 0;
         for (index, hello) in known.iter().enumerate() {
             let hello = Hello::try_from(hello)?;
             if index == 0 {
                 version = hello.config_version;
             }
-            context.roster.learn(&identity_of(&hello));
+            context.roster.record_identity(&identity_of(&hello));
         }
         Ok(version)
     }
 
     async fn report(
         &self,
-        outbox: &mut Outbox,
+        encoder: &mut ReportEncoder,
         target: &Target,
         context: &Context,
     ) -> Result<Version, SessionError> {
         let entries = context.roster.outgoing(target);
-        let with_instances = matches!(target, Target::Mate(_));
+        let with_instances = matches!(target, Target::Entry(_));
         let revision = context.ledger_hint.load(Ordering::Relaxed);
-        let report = outbox.report(&entries, with_instances, revision)?;
+        let report = encoder.encode(&entries, with_instances, revision)?;
         let mut request = self.client.report_request();
         report.write(request.get().init_report());
-        let answer = call(context, request.send().promise).await?;
-        Ok(answer.get()?.get_config_version())
+        let response = call(context, request.send().promise).await?;
+        Ok(response.get()?.get_config_version())
     }
 
     /// Takes the configuration in force at the peer if it is still newer after a short wait.
     async fn pull(&self, context: &Context, version: Version) -> Result<(), SessionError> {
-        let own = context.spread.version();
+        let own = context.config_sync.version();
         if version <= own {
             return Ok(());
         }
         if own > 0 {
-            sleep(PULL_WAIT).await;
+            sleep(PULL_DELAY).await;
         }
-        let own = context.spread.version();
+        let own = context.config_sync.version();
         if version <= own {
             return Ok(());
         }
         let mut request = self.client.config_request();
         request.get().set_after(own);
-        let answer = call(context, request.send().promise).await?;
-        let config = ConfigDocument::try_from(answer.get()?.get_config()?)?;
+        let response = call(context, request.send().promise).await?;
+        let config = ConfigDocument::try_from(response.get()?.get_config()?)?;
         if !config.document.is_empty() {
-            let _ = context.spread.offer(&config.document, "peer");
+            let _ = context.config_sync.offer(&config.document, "peer");
         }
         Ok(())
     }
@@ -203,8 +203,8 @@
 }
 
 /// Waits for an answer with the deadline of calls.
-async fn call<T>(context: &Context, answer: Promise<T, capnp::Error>) -> Result<T, SessionError> {
-    let result = timeout(context.settings.call_timeout, answer).await;
-    context.traffic.note_call(matches!(result, Ok(Ok(_))));
+async fn call<T>(context: &Context, response: Promise<T, capnp::Error>) -> Result<T, SessionError> {
+    let result = timeout(context.settings.call_timeout, response).await;
+    context.traffic.count_call(matches!(result, Ok(Ok(_))));
     Ok(result??)
 }
--- a/crates/membership/src/peers/server.rs
+++ b/crates/membership/src/peers/server.rs
@@ -16,7 +16,7 @@
 
 use super::{Context, hello_of, identity_of};
 use crate::event::MembershipEvent;
-use crate::exchange::Inbox;
+use crate::exchange::ReportDecoder;
 use crate::roster::Route;
 
 /// Time without a call after which a connection is closed.
@@ -49,7 +49,7 @@
     let traffic = context.traffic.clone();
     let last_call = Rc::new(Cell::new(Instant::now()));
     let server =
-        PeerServer { context, caller: RefCell::default(), inbox: RefCell::default(), last_call };
+        PeerServer { context, caller: RefCell::default(), decoder: RefCell::default(), last_call };
     let last_call = server.last_call.clone();
     let client: peer::Client = new_client(server);
     let system = super::connection::rpc_system(stream, Side::Server, &traffic, Some(client.client));
@@ -70,29 +70,29 @@
 struct PeerServer {
     context: Context,
     caller: RefCell<Option<Hello>>,
-    inbox: RefCell<Inbox>,
+    decoder: RefCell<ReportDecoder>,
     last_call: Rc<Cell<Instant>>,
 }
 
-fn refused(error: WireError) -> capnp::Error {
+fn reject(error: WireError) -> capnp::Error {
     emit!(MembershipEvent::MessageRefused, error = error);
     capnp::Error::failed(error.to_string())
 }
 
 impl PeerServer {
-    fn take_report(&self, report: Report) -> Result<(), capnp::Error> {
+    fn handle_report(&self, report: Report) -> Result<(), capnp::Error> {
         let caller = self.caller.borrow();
         let caller = caller.as_ref().ok_or(capnp::Error::failed("report before hello".into()))?;
         let roster = &self.context.roster;
         let same_zone = caller.zone == roster.me().zone;
         self.context.ledger_hint.fetch_max(report.ledger_revision, Ordering::Relaxed);
-        for heard in self.inbox.borrow_mut().receive(report).map_err(refused)? {
-            let route = match (same_zone, heard.id == caller.id) {
-                (true, true) => Route::Mate,
-                (true, false) => Route::ThroughMate,
+        for heartbeat in self.decoder.borrow_mut().decode(report).map_err(reject)? {
+            let route = match (same_zone, heartbeat.id == caller.id) {
+                (true, true) => Route::SameZone,
+                (true, false) => Route::Relayed,
                 (false, _) => Route::OtherZone,
             };
-            roster.hear(heard, route);
+            roster.record_heartbeat(heartbeat, route);
         }
         Ok(())
     }
@@ -105,8 +105,8 @@
         mut results: peer::HelloResults,
     ) -> Result<(), capnp::Error> {
         self.last_call.set(Instant::now());
-        let caller = Hello::try_from(params.get()?.get_hello()?).map_err(refused)?;
-        self.context.roster.learn(&identity_of(&caller));
+        let caller = Hello::try_from(params.get()?.get_hello()?).map_err(reject)?;
+        self.context.roster.record_identity(&identity_of(&caller));
         *self.caller.borrow_mut() = Some(caller);
         let known = self.context.roster.known();
         let mut list = results.get().init_known(known.len() as u32);
@@ -122,9 +122,9 @@
         mut results: peer::ReportResults,
     ) -> Result<(), capnp::Error> {
         self.last_call.set(Instant::now());
-        let report = Report::try_from(params.get()?.get_report()?).map_err(refused)?;
-        self.take_report(report)?;
-        results.get().set_config_version(self.context.spread.version());
+        let report = Report::try_from(params.get()?.get_report()?).map_err(reject)?;
+        self.handle_report(report)?;
+        results.get().set_config_version(self.context.config_sync.version());
         Ok(())
     }
 
@@ -135,7 +135,7 @@
     ) -> Result<(), capnp::Error> {
         self.last_call.set(Instant::now());
         let after = params.get()?.get_after();
-        let (version, document) = self.context.spread.document(after).unwrap_or_default();
+        let (version, document) = self.context.config_sync.document(after).unwrap_or_default();
         ConfigDocument { version, document }.write(results.get().init_config());
         Ok(())
     }
@@ -146,8 +146,8 @@
         _results: peer::LeaveResults,
     ) -> Result<(), capnp::Error> {
         self.last_call.set(Instant::now());
-        let leave = Leave::try_from(params.get()?.get_leave()?).map_err(refused)?;
-        self.context.roster.leave(&leave.id, leave.incarnation);
+        let leave = Leave::try_from(params.get()?.get_leave()?).map_err(reject)?;
+        self.context.roster.record_leave(&leave.id, leave.incarnation);
         Ok(())
     }
 }
--- a/crates/membership/src/peers/traffic.rs
+++ b/crates/membership/src/peers/traffic.rs
@@ -43,7 +43,7 @@
         self.counts.failed_calls.load(Ordering::Relaxed)
     }
 
-    pub(super) fn note_call(&self, succeeded: bool) {
+    pub(super) fn count_call(&self, succeeded: bool) {
         self.counts.calls.fetch_add(1, Ordering::Relaxed);
         if !succeeded {
             self.counts.failed_calls.fetch_add(1, Ordering::Relaxed);
--- a/crates/membership/src/relay.rs
+++ b/crates/membership/src/relay.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
     /// An entry instance of the own zone.
-    Mate(InstanceId),
+    Entry(InstanceId),
     /// Any entry instance of another zone.
     Zone(ZoneId),
 }
@@ -42,16 +42,17 @@
     ranked
 }
 
-/// Targets of the entry instance `me` of `home`. `others` are all other known entry instances.
-pub fn targets(me: &InstanceId, home: &ZoneId, others: &[Member]) -> BTreeSet<Target> {
-    let mates = others.iter().filter(|other| other.zone == *home);
-    let mut targets: BTreeSet<Target> = mates.map(|mate| Target::Mate(mate.id.clone())).collect();
-    let own = Member { id: me.clone(), zone: home.clone(), live: true };
-    let live_mates = others.iter().filter(|other| other.zone == *home && other.live);
-    let home_members: Vec<&Member> = live_mates.chain([&own]).collect();
+/// Targets of the entry instance `me` of `own_zone`. `others` are all other known entry instances.
+pub fn targets(me: &InstanceId, own_zone: &ZoneId, others: &[Member]) -> BTreeSet<Target> {
+    let same_zone = others.iter().filter(|other| other.zone == *own_zone);
+    let mut targets: BTreeSet<Target> =
+        same_zone.map(|member| Target::Entry(member.id.clone())).collect();
+    let own = Member { id: me.clone(), zone: own_zone.clone(), live: true };
+    let live_same_zone = others.iter().filter(|other| other.zone == *own_zone && other.live);
+    let own_zone_members: Vec<&Member> = live_same_zone.chain([&own]).collect();
     let zones: BTreeSet<&ZoneId> = others.iter().map(|other| &other.zone).collect();
-    for zone in zones.into_iter().filter(|zone| *zone != home) {
-        let relay = ranked(home_members.iter().copied(), zone)[0];
+    for zone in zones.into_iter().filter(|zone| *zone != own_zone) {
+        let relay = ranked(own_zone_members.iter().copied(), zone)[0];
         if relay.id == *me {
             targets.insert(Target::Zone(zone.clone()));
         }
--- a/crates/membership/src/relay/tests.rs
+++ b/crates/membership/src/relay/tests.rs
@@ -39,8 +39,8 @@
         for zone in 0..sizes.len() {
             for other in (0..sizes.len()).filter(|other| *other != zone) {
                 let target = Target::Zone(format!("zone-{other}").into());
-                let home = all.iter().filter(|member| *member.zone == format!("zone-{zone}"));
-                let relays = home.filter(|member| targets_of(member, &all).contains(&target));
+                let own_zone = all.iter().filter(|member| *member.zone == format!("zone-{zone}"));
+                let relays = own_zone.filter(|member| targets_of(member, &all).contains(&target));
                 prop_assert_eq!(relays.count(), 1);
             }
         }
@@ -71,6 +71,6 @@
     let mut all = members(&[2, 1, 1, 1, 1, 1, 1, 1, 1, 1]);
     all[1].live = false;
     let zones = (1..10).map(|zone| Target::Zone(format!("zone-{zone}").into()));
-    let expected = zones.chain([Target::Mate(all[1].id.clone())]).collect();
+    let expected = zones.chain([Target::Entry(all[1].id.clone())]).collect();
     assert_eq!(targets_of(&all[0], &all), expected);
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -15,12 +15,12 @@
 use crate::usage::Usage;
 
 /// Time without a heartbeat after which an entry instance does not count as live.
-pub const HEARD_MAX: Duration = Duration::from_secs(5);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Entry instances that read the configuration often; more than one, as one may have lost the
 /// key-value service.
-const READERS: usize = 2;
+const CONFIG_READERS: usize = 2;
 /// Name for which readers are chosen by rendezvous hashing.
-const READER_HASH_KEY: &str = "configuration";
+const CONFIG_READER_HASH_KEY: &str = "configuration";
 /// Time without a heartbeat or a registration after which an entry instance is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 
@@ -28,16 +28,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
     /// From itself, in the own zone.
-    Mate,
+    SameZone,
     /// From another zone.
     OtherZone,
     /// From an entry instance of the own zone that has them from another zone.
-    ThroughMate,
+    Relayed,
 }
 
 /// Heartbeat of an entry instance as received.
 #[derive(Debug, Clone)]
-pub struct Heard {
+pub struct Heartbeat {
     /// Identifier of the entry instance.
     pub id: InstanceId,
     /// Its availability zone.
@@ -45,7 +45,7 @@
     /// Number of its run.
     pub incarnation: Incarnation,
     /// Number of the heartbeat.
-    pub heartbeat: u64,
+    pub sequence: u64,
     /// Configuration version in force there.
     pub config_version: Version,
     /// Whether it takes new requests.
@@ -57,9 +57,9 @@
 /// What is known of one entry instance.
 #[derive(Debug, Clone)]
 struct EntryState {
-    heard: Heard,
-    heard_at: Option<Instant>,
-    seen_at: Instant,
+    heartbeat: Heartbeat,
+    heartbeat_at: Option<Instant>,
+    added_at: Instant,
     route: Route,
     region: Option<RegionId>,
     address: Option<SocketAddr>,
@@ -118,33 +118,37 @@
 pub struct Roster {
     me: Identity,
     table: Arc<Mutex<Table>>,
-    wake: Arc<watch::Sender<u64>>,
+    changes: Arc<watch::Sender<u64>>,
 }
 
 #[derive(Debug)]
 struct Table {
-    own: Heard,
+    own: Heartbeat,
     entries: BTreeMap<InstanceId, EntryState>,
-    left: BTreeMap<InstanceId, Departure>,
+    departures: BTreeMap<InstanceId, Departure>,
     highest_version: Version,
 }
 
 impl Roster {
     /// A table that knows only this entry instance.
     pub fn new(me: Identity) -> Self {
-        let own = Heard {
+        let own = Heartbeat {
             id: me.id.clone(),
             zone: me.zone.clone(),
             incarnation: me.incarnation,
-            heartbeat: 0,
+            sequence: 0,
             config_version: 0,
             ready: false,
             usage: Arc::default(),
         };
-        let table =
-            Table { own, entries: BTreeMap::new(), left: BTreeMap::new(), highest_version: 0 };
-        let wake = Arc::new(watch::Sender::new(0));
-        Self { me, table: Arc::new(Mutex::new(table)), wake }
+        let table = Table {
+            own,
+            entries: BTreeMap::new(),
+            departures: BTreeMap::new(),
+            highest_version: 0,
+        };
+        let changes = Arc::new(watch::Sender::new(0));
+        Self { me, table: Arc::new(Mutex::new(table)), changes }
     }
 
     fn lock(&self) -> MutexGuard<'_, Table> {
@@ -157,19 +161,19 @@
     }
 
     /// Receiver that is notified when there is something to report or to ask for at once.
-    pub fn woken(&self) -> watch::Receiver<u64> {
-        self.wake.subscribe()
+    pub fn changes(&self) -> watch::Receiver<u64> {
+        self.changes.subscribe()
     }
 
     fn notify(&self) {
-        self.wake.send_modify(|count| *count += 1);
+        self.changes.send_modify(|count| *count += 1);
     }
 
     /// Raises the own heartbeat. Peers are told at once when the version has changed.
-    pub fn beat(&self, usage: Arc<Usage>, config_version: Version, ready: bool) {
+    pub fn advance_heartbeat(&self, usage: Arc<Usage>, config_version: Version, ready: bool) {
         let mut table = self.lock();
         let changed = table.own.config_version != config_version || table.own.ready != ready;
-        table.own.heartbeat += 1;
+        table.own.sequence += 1;
         table.own.usage = usage;
         table.own.config_version = config_version;
         table.own.ready = ready;
@@ -182,13 +186,13 @@
     }
 
     /// Takes in a heartbeat. Older ones and those of a run that has left are ignored.
-    pub fn hear(&self, heard: Heard, route: Route) {
-        if heard.id == self.me.id {
+    pub fn record_heartbeat(&self, heartbeat: Heartbeat, route: Route) {
+        if heartbeat.id == self.me.id {
             return;
         }
         let mut table = self.lock();
-        let version = heard.config_version;
-        if table.hear(heard, route) && version > table.highest_version {
+        let version = heartbeat.config_version;
+        if table.record_heartbeat(heartbeat, route) && version > table.highest_version {
             table.highest_version = version;
             drop(table);
             self.notify();
@@ -196,9 +200,9 @@
     }
 
     /// Learns place and address of an entry instance.
-    pub fn learn(&self, identity: &Identity) {
+    pub fn record_identity(&self, identity: &Identity) {
         if identity.id != self.me.id {
-            self.lock().learn(identity);
+            self.lock().record_identity(identity);
         }
     }
 
@@ -206,7 +210,7 @@
     pub fn set_registered(&self, identities: &[Identity]) {
         let mut table = self.lock();
         for identity in identities.iter().filter(|identity| identity.id != self.me.id) {
-            table.learn(identity);
+            table.record_identity(identity);
         }
         for (id, entry) in &mut table.entries {
             entry.registered = identities.iter().any(|identity| identity.id == *id);
@@ -214,12 +218,12 @@
     }
 
     /// Removes an entry instance that leaves.
-    pub fn leave(&self, id: &InstanceId, incarnation: Incarnation) {
+    pub fn record_leave(&self, id: &InstanceId, incarnation: Incarnation) {
         let mut table = self.lock();
-        if table.entries.get(id).is_some_and(|entry| entry.heard.incarnation <= incarnation) {
+        if table.entries.get(id).is_some_and(|entry| entry.heartbeat.incarnation <= incarnation) {
             table.entries.remove(id);
         }
-        table.left.insert(id.clone(), Departure { incarnation, at: Instant::now() });
+        table.departures.insert(id.clone(), Departure { incarnation, at: Instant::now() });
     }
 
     /// Entry instances known with their addresses, this one first.
@@ -239,7 +243,7 @@
     pub fn addresses(&self, target: &Target) -> Vec<SocketAddr> {
         let table = self.lock();
         let ids = match target {
-            Target::Mate(id) => vec![id.clone()],
+            Target::Entry(id) => vec![id.clone()],
             Target::Zone(zone) => {
                 let members = table.members();
                 let of_zone = members.iter().filter(|member| member.zone == *zone);
@@ -252,25 +256,26 @@
 
     /// Whether this entry instance is one of those that read the configuration often: the first
     /// choices among all live ones, so that each part of a partition has its own.
-    pub fn reads_often(&self) -> bool {
+    pub fn is_config_reader(&self) -> bool {
         let live = self.live(None).into_iter();
         let members: Vec<Member> =
             live.map(|entry| Member { id: entry.id, zone: entry.zone, live: true }).collect();
-        let readers = ranked(members.iter(), READER_HASH_KEY).into_iter().take(READERS);
+        let readers =
+            ranked(members.iter(), CONFIG_READER_HASH_KEY).into_iter().take(CONFIG_READERS);
         readers.into_iter().any(|member| member.id == self.me.id)
     }
 
     /// What to report to a target: to the own zone this entry instance and those heard from other
     /// zones, to another zone those of the own zone.
-    pub fn outgoing(&self, target: &Target) -> Vec<Heard> {
+    pub fn outgoing(&self, target: &Target) -> Vec<Heartbeat> {
         let table = self.lock();
         let route = match target {
-            Target::Mate(_) => Route::OtherZone,
-            Target::Zone(_) => Route::Mate,
+            Target::Entry(_) => Route::OtherZone,
+            Target::Zone(_) => Route::SameZone,
         };
         let others = table.entries.values();
         let relayed = others.filter(|entry| entry.route == route && entry.is_live());
-        let relayed = relayed.map(|entry| entry.heard.clone());
+        let relayed = relayed.map(|entry| entry.heartbeat.clone());
         std::iter::once(table.own.clone()).chain(relayed).collect()
     }
 
@@ -278,13 +283,13 @@
     pub fn live(&self, zone: Option<&ZoneId>) -> Vec<LiveEntry> {
         let table = self.lock();
         let others = table.entries.values().filter(|entry| entry.is_live());
-        let all = std::iter::once(&table.own).chain(others.map(|entry| &entry.heard));
-        let wanted = all.filter(|heard| zone.is_none_or(|zone| heard.zone == *zone));
+        let all = std::iter::once(&table.own).chain(others.map(|entry| &entry.heartbeat));
+        let wanted = all.filter(|heartbeat| zone.is_none_or(|zone| heartbeat.zone == *zone));
         wanted
-            .map(|heard| LiveEntry {
-                id: heard.id.clone(),
-                zone: heard.zone.clone(),
-                incarnation: heard.incarnation,
+            .map(|heartbeat| LiveEntry {
+                id: heartbeat.id.clone(),
+                zone: heartbeat.zone.clone(),
+                incarnation: heartbeat.incarnation,
             })
             .collect()
     }
@@ -293,8 +298,8 @@
     pub fn usages(&self) -> Vec<(InstanceId, Arc<Usage>)> {
         let table = self.lock();
         let others = table.entries.values().filter(|entry| entry.is_live());
-        let all = std::iter::once(&table.own).chain(others.map(|entry| &entry.heard));
-        all.map(|heard| (heard.id.clone(), heard.usage.clone())).collect()
+        let all = std::iter::once(&table.own).chain(others.map(|entry| &entry.heartbeat));
+        all.map(|heartbeat| (heartbeat.id.clone(), heartbeat.usage.clone())).collect()
     }
 
     /// Which version each entry instance has in force, as far as known. Those that have neither
@@ -316,74 +321,74 @@
 }
 
 impl Table {
-    fn hear(&mut self, heard: Heard, route: Route) -> bool {
-        if self.has_left(&heard.id, heard.incarnation) {
+    fn record_heartbeat(&mut self, heartbeat: Heartbeat, route: Route) -> bool {
+        if self.has_left(&heartbeat.id, heartbeat.incarnation) {
             return false;
         }
         let now = Instant::now();
-        let Some(entry) = self.entries.get_mut(&heard.id) else {
-            let state = EntryState::new(heard, route, Some(now));
-            self.entries.insert(state.heard.id.clone(), state);
+        let Some(entry) = self.entries.get_mut(&heartbeat.id) else {
+            let state = EntryState::new(heartbeat, route, Some(now));
+            self.entries.insert(state.heartbeat.id.clone(), state);
             return true;
         };
-        let order = |heard: &Heard| (heard.incarnation, heard.heartbeat);
-        if entry.is_live() && order(&heard) <= order(&entry.heard) {
+        let order = |heartbeat: &Heartbeat| (heartbeat.incarnation, heartbeat.sequence);
+        if entry.is_live() && order(&heartbeat) <= order(&entry.heartbeat) {
             return false;
         }
-        entry.heard = heard;
-        entry.heard_at = Some(now);
+        entry.heartbeat = heartbeat;
+        entry.heartbeat_at = Some(now);
         entry.route = route;
         true
     }
 
-    fn learn(&mut self, identity: &Identity) {
+    fn record_identity(&mut self, identity: &Identity) {
         if self.has_left(&identity.id, identity.incarnation) {
             return;
         }
         let entry = self.entries.entry(identity.id.clone()).or_insert_with(|| {
-            let heard = Heard {
+            let heartbeat = Heartbeat {
                 id: identity.id.clone(),
                 zone: identity.zone.clone(),
                 incarnation: identity.incarnation,
-                heartbeat: 0,
+                sequence: 0,
                 config_version: 0,
                 ready: false,
                 usage: Arc::default(),
             };
-            EntryState::new(heard, Route::ThroughMate, None)
+            EntryState::new(heartbeat, Route::Relayed, None)
         });
-        if identity.incarnation >= entry.heard.incarnation || !entry.is_live() {
+        if identity.incarnation >= entry.heartbeat.incarnation || !entry.is_live() {
             entry.region = Some(identity.region.clone());
             entry.address = Some(identity.address);
         }
     }
 
     fn has_left(&self, id: &InstanceId, incarnation: Incarnation) -> bool {
-        self.left.get(id).is_some_and(|left| incarnation <= left.incarnation)
+        self.departures.get(id).is_some_and(|departure| incarnation <= departure.incarnation)
     }
 
     fn forget(&mut self) {
-        self.left.retain(|_, left| left.at.elapsed() < FORGET_AFTER);
+        self.departures.retain(|_, departure| departure.at.elapsed() < FORGET_AFTER);
         self.entries.retain(|_, entry| entry.registered || entry.silence() < FORGET_AFTER);
     }
 
     fn members(&self) -> Vec<Member> {
         let entries = self.entries.values();
         let member = |entry: &EntryState| Member {
-            id: entry.heard.id.clone(),
-            zone: entry.heard.zone.clone(),
-            live: entry.is_live() && entry.route == Route::Mate,
+            id: entry.heartbeat.id.clone(),
+            zone: entry.heartbeat.zone.clone(),
+            live: entry.is_live() && entry.route == Route::SameZone,
         };
         entries.filter(|entry| entry.address.is_some()).map(member).collect()
     }
 }
 
 impl EntryState {
-    fn new(heard: Heard, route: Route, heard_at: Option<Instant>) -> Self {
+    fn new(heartbeat: Heartbeat, route: Route, heartbeat_at: Option<Instant>) -> Self {
         Self {
-            heard,
-            heard_at,
-            seen_at: Instant::now(),
+            heartbeat,
+            heartbeat_at,
+            added_at: Instant::now(),
             route,
             region: None,
             address: None,
@@ -392,30 +397,30 @@
     }
 
     fn silence(&self) -> Duration {
-        self.heard_at.unwrap_or(self.seen_at).elapsed()
+        self.heartbeat_at.unwrap_or(self.added_at).elapsed()
     }
 
     fn is_live(&self) -> bool {
-        self.heard_at.is_some_and(|heard_at| heard_at.elapsed() < HEARD_MAX)
+        self.heartbeat_at.is_some_and(|heartbeat_at| heartbeat_at.elapsed() < HEARTBEAT_TIMEOUT)
     }
 
     fn identity(&self) -> Option<(Identity, Version)> {
         let identity = Identity {
-            id: self.heard.id.clone(),
-            zone: self.heard.zone.clone(),
+            id: self.heartbeat.id.clone(),
+            zone: self.heartbeat.zone.clone(),
             region: self.region.clone()?,
             address: self.address?,
-            incarnation: self.heard.incarnation,
+            incarnation: self.heartbeat.incarnation,
         };
-        Some((identity, self.heard.config_version))
+        Some((identity, self.heartbeat.config_version))
     }
 
     fn confirmation(&self) -> Confirmation {
         Confirmation {
-            id: self.heard.id.clone(),
-            zone: self.heard.zone.clone(),
-            version: self.heard.config_version,
-            ready: self.is_live().then_some(self.heard.ready),
+            id: self.heartbeat.id.clone(),
+            zone: self.heartbeat.zone.clone(),
+            version: self.heartbeat.config_version,
+            ready: self.is_live().then_some(self.heartbeat.ready),
             age: self.silence(),
         }
     }
--- a/crates/membership/src/roster/tests.rs
+++ b/crates/membership/src/roster/tests.rs
@@ -3,7 +3,7 @@
 
 use tokio::time::advance;
 
-use super::{HEARD_MAX, Heard, Roster, Route};
+use super::{HEARTBEAT_TIMEOUT, Heartbeat, Roster, Route};
 use crate::identity::Identity;
 use crate::relay::Target;
 
@@ -17,12 +17,12 @@
     }
 }
 
-fn heard(id: &str, zone: &str, incarnation: u64, heartbeat: u64, version: u64) -> Heard {
-    Heard {
+fn heartbeat(id: &str, zone: &str, incarnation: u64, sequence: u64, version: u64) -> Heartbeat {
+    Heartbeat {
         id: id.into(),
         zone: zone.into(),
         incarnation,
-        heartbeat,
+        sequence,
         config_version: version,
         ready: true,
         usage: Arc::default(),
@@ -36,66 +36,66 @@
 #[tokio::test(start_paused = true)]
 async fn a_silent_entry_is_not_live_and_may_return() {
     let roster = Roster::new(identity("a1", "a", 1));
-    roster.hear(heard("a2", "a", 5, 1, 1), Route::Mate);
+    roster.record_heartbeat(heartbeat("a2", "a", 5, 1, 1), Route::SameZone);
     assert_eq!(live(&roster), ["a1", "a2"]);
-    advance(HEARD_MAX).await;
+    advance(HEARTBEAT_TIMEOUT).await;
     assert_eq!(live(&roster), ["a1"]);
     assert_eq!(roster.confirmations().list.len(), 1, "neither registered nor heard");
     roster.set_registered(&[identity("a2", "a", 5)]);
     let confirmation = roster.confirmations().list[1].clone();
     assert_eq!((confirmation.version, confirmation.ready), (1, None));
-    assert_eq!(confirmation.age, HEARD_MAX);
-    roster.hear(heard("a2", "a", 5, 2, 1), Route::Mate);
+    assert_eq!(confirmation.age, HEARTBEAT_TIMEOUT);
+    roster.record_heartbeat(heartbeat("a2", "a", 5, 2, 1), Route::SameZone);
     assert_eq!(live(&roster), ["a1", "a2"]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn late_heartbeats_of_an_old_run_change_nothing() {
     let roster = Roster::new(identity("a1", "a", 1));
-    roster.hear(heard("a2", "a", 6, 1, 9), Route::Mate);
-    roster.hear(heard("a2", "a", 5, 100, 2), Route::ThroughMate);
-    roster.hear(heard("a2", "a", 6, 1, 3), Route::ThroughMate);
+    roster.record_heartbeat(heartbeat("a2", "a", 6, 1, 9), Route::SameZone);
+    roster.record_heartbeat(heartbeat("a2", "a", 5, 100, 2), Route::Relayed);
+    roster.record_heartbeat(heartbeat("a2", "a", 6, 1, 3), Route::Relayed);
     assert_eq!(roster.confirmations().list[1].version, 9);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_run_that_left_stays_away_and_its_successor_may_come() {
     let roster = Roster::new(identity("a1", "a", 1));
-    roster.hear(heard("a2", "a", 5, 1, 1), Route::Mate);
-    roster.leave(&"a2".into(), 5);
-    roster.hear(heard("a2", "a", 5, 2, 1), Route::ThroughMate);
-    roster.learn(&identity("a2", "a", 5));
+    roster.record_heartbeat(heartbeat("a2", "a", 5, 1, 1), Route::SameZone);
+    roster.record_leave(&"a2".into(), 5);
+    roster.record_heartbeat(heartbeat("a2", "a", 5, 2, 1), Route::Relayed);
+    roster.record_identity(&identity("a2", "a", 5));
     assert_eq!(live(&roster), ["a1"]);
     assert_eq!(roster.known().len(), 1);
-    roster.hear(heard("a2", "a", 6, 1, 1), Route::Mate);
+    roster.record_heartbeat(heartbeat("a2", "a", 6, 1, 1), Route::SameZone);
     assert_eq!(live(&roster), ["a1", "a2"]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn reports_are_relayed_between_zones_and_not_in_circles() {
     let roster = Roster::new(identity("a1", "a", 1));
-    roster.hear(heard("a2", "a", 1, 1, 1), Route::Mate);
-    roster.hear(heard("b1", "b", 1, 1, 1), Route::OtherZone);
-    roster.hear(heard("c1", "c", 1, 1, 1), Route::ThroughMate);
+    roster.record_heartbeat(heartbeat("a2", "a", 1, 1, 1), Route::SameZone);
+    roster.record_heartbeat(heartbeat("b1", "b", 1, 1, 1), Route::OtherZone);
+    roster.record_heartbeat(heartbeat("c1", "c", 1, 1, 1), Route::Relayed);
     let ids = |target: Target| {
         let outgoing = roster.outgoing(&target);
-        outgoing.iter().map(|heard| heard.id.to_string()).collect::<Vec<_>>()
+        outgoing.iter().map(|heartbeat| heartbeat.id.to_string()).collect::<Vec<_>>()
     };
-    assert_eq!(ids(Target::Mate("a2".into())), ["a1", "b1"]);
+    assert_eq!(ids(Target::Entry("a2".into())), ["a1", "b1"]);
     assert_eq!(ids(Target::Zone("b".into())), ["a1", "a2"]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_higher_version_wakes_once() {
     let roster = Roster::new(identity("a1", "a", 1));
-    let mut woken = roster.woken();
-    roster.hear(heard("a2", "a", 5, 1, 3), Route::Mate);
-    assert!(woken.has_changed().unwrap());
-    woken.mark_unchanged();
-    roster.hear(heard("a2", "a", 5, 2, 3), Route::Mate);
-    roster.hear(heard("b1", "b", 5, 2, 3), Route::ThroughMate);
-    assert!(!woken.has_changed().unwrap());
-    roster.beat(Arc::default(), 3, true);
-    assert!(woken.has_changed().unwrap(), "peers are told the version in force");
+    let mut changes = roster.changes();
+    roster.record_heartbeat(heartbeat("a2", "a", 5, 1, 3), Route::SameZone);
+    assert!(changes.has_changed().unwrap());
+    changes.mark_unchanged();
+    roster.record_heartbeat(heartbeat("a2", "a", 5, 2, 3), Route::SameZone);
+    roster.record_heartbeat(heartbeat("b1", "b", 5, 2, 3), Route::Relayed);
+    assert!(!changes.has_changed().unwrap());
+    roster.advance_heartbeat(Arc::default(), 3, true);
+    assert!(changes.has_changed().unwrap(), "peers are told the version in force");
     advance(Duration::from_secs(1)).await;
 }
--- a/crates/membership/src/shares.rs
+++ b/crates/membership/src/shares.rs
@@ -86,7 +86,7 @@
 }
 
 /// Usage of one service by team.
-pub fn of_service(usage: &Usage, service: &ServiceId) -> BTreeMap<TeamId, TeamUsage> {
+pub fn service_usage(usage: &Usage, service: &ServiceId) -> BTreeMap<TeamId, TeamUsage> {
     let queues = usage.queues.iter().filter(|(queue, _)| queue.service == *service);
     queues.map(|(queue, usage)| (queue.team.clone(), *usage)).collect()
 }
@@ -121,19 +121,19 @@
     /// usage of this entry instance at this moment.
     pub fn weights(&self, service: &ServiceId, capacity: u32, local: &Usage) -> Vec<TeamWeight> {
         let Some(config) = self.config.load() else { return Vec::new() };
-        let here = of_service(local, service);
-        let total = self.total_with(service, &here);
+        let here = service_usage(local, service);
+        let total = self.total_usage(service, &here);
         weights(&config, capacity, &here, &total)
     }
 
-    fn total_with(
+    fn total_usage(
         &self,
         service: &ServiceId,
         here: &BTreeMap<TeamId, TeamUsage>,
     ) -> BTreeMap<TeamId, TeamUsage> {
         let usages: Vec<(_, Arc<Usage>)> = self.roster.usages();
         let others = usages.iter().filter(|(id, _)| *id != self.roster.me().id);
-        let others: Vec<_> = others.map(|(_, usage)| of_service(usage, service)).collect();
+        let others: Vec<_> = others.map(|(_, usage)| service_usage(usage, service)).collect();
         sum(others.iter().chain([here]))
     }
 }
