--- a/crates/cassiafold/src/isolation/tests.rs
+++ b/crates/cassiafold/src/isolation/tests.rs
@@ -47,12 +47,12 @@
     }
 }
 
-fn heard(zone: &str, heartbeat: u64, store_reachable: bool) -> Heartbeat {
+fn heard(zone: &str, sequence: u64, store_reachable: bool) -> Heartbeat {
     Heartbeat {
         id: format!("{zone}1").into(),
         zone: zone.into(),
         incarnation: 1,
-        sequence: heartbeat,
+        sequence,
         config_version: 1,
         ready: true,
         usage: Arc::new(Usage { store_reachable, ..Usage::default() }),
--- a/crates/membership/src/contact.rs
+++ b/crates/membership/src/contact.rs
@@ -1,4 +1,4 @@
-//! When the key-value service last answered.
+//! Tracks when the key-value service last responded.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,10 +6,10 @@
 
 use tokio::time::Instant;
 
-/// Time without an answer after which the key-value service does not count as reachable.
+/// Time without a response after which the key-value service counts as unreachable.
 const REACHABLE_MAX: Duration = Duration::from_secs(15);
 
-/// When the key-value service last answered. Clones share it.
+/// Time of the last response of the key-value service. Clones share it.
 #[derive(Debug, Clone)]
 pub struct StoreContact {
     start: Instant,
@@ -23,19 +23,19 @@
 }
 
 impl StoreContact {
-    /// Notes an answer.
+    /// Records a response.
     pub fn record_response(&self) {
         self.last_ms.store(self.start.elapsed().as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Time since the last answer; `None` before the first.
+    /// Returns the time since the last response; `None` before the first one.
     pub fn age(&self) -> Option<Duration> {
         let last_ms = self.last_ms.load(Ordering::Relaxed);
         let last = (last_ms != u64::MAX).then(|| Duration::from_millis(last_ms))?;
         Some(self.start.elapsed().saturating_sub(last))
     }
 
-    /// Whether the service answered lately.
+    /// Returns whether the service has responded recently.
     pub fn is_reachable(&self) -> bool {
         self.age().is_some_and(|age| age < REACHABLE_MAX)
     }
--- a/crates/membership/src/control.rs
+++ b/crates/membership/src/control.rs
@@ -1,4 +1,4 @@
-//! The control role: work for the whole fleet runs at the one entry instance that holds it.
+//! The control role: the one entry instance that holds it runs the work for the whole fleet.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -18,9 +18,9 @@
 use crate::event::MembershipEvent;
 use crate::identity::Identity;
 
-/// Key of the holder of the control role.
+/// Key under which the holder of the control role is stored.
 pub const CONTROL_KEY: &str = "cassiafold/control/holder";
-/// Attempts to settle a write whose answer was lost, before the lease is given up.
+/// Attempts to resolve a write with an unknown outcome before the lease is revoked.
 const RESOLVE_ATTEMPTS: usize = 5;
 const RESOLVE_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -32,23 +32,24 @@
     lease: LeaseId,
 }
 
-/// One time of holding the control role.
+/// One term of holding the control role.
 #[derive(Debug, Clone)]
 pub struct ControlTerm {
-    /// Revision at which the role was acquired; it rises from term to term and so orders them.
+    /// Revision at which the role was acquired. It rises from term to term, so it can serve as a
+    /// fencing token.
     pub revision: Revision,
     validity: LeaseValidity,
 }
 
 impl ControlTerm {
-    /// Whether the role surely is held at this moment, by the monotonic clock. Ask before each
-    /// step; it may end between two steps.
+    /// Returns whether the role is held at this moment, by the monotonic clock. Check it before
+    /// each step, as the term may end between two steps.
     pub fn is_valid(&self) -> bool {
         self.validity.is_valid()
     }
 }
 
-/// Tells whether this entry instance holds the control role. Cheap to clone.
+/// State of the control role at this entry instance. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct ControlLease {
     term: Arc<Mutex<Option<ControlTerm>>>,
@@ -56,13 +57,13 @@
 }
 
 impl ControlLease {
-    /// The present term if the role surely is held at this moment.
+    /// Returns the current term if the role is held at this moment.
     pub fn held(&self) -> Option<ControlTerm> {
         let term = self.term.lock().unwrap_or_else(PoisonError::into_inner);
         term.clone().filter(ControlTerm::is_valid)
     }
 
-    /// Receiver that is notified when the role was acquired or lost.
+    /// Returns a receiver that is notified when the role was acquired or lost.
     pub fn changed(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
@@ -72,7 +73,7 @@
         self.changes.send_replace(());
     }
 
-    /// Tries to acquire the role and keeps it, until `stop`; then gives it back.
+    /// Acquires the role whenever it is free and keeps it until `stop`; then releases it.
     pub async fn run<S: Store>(
         self,
         store: S,
@@ -117,7 +118,7 @@
     matches!(store.get(CONTROL_KEY).await, Ok(None))
 }
 
-/// Creates the key bound to `lease`. A lost answer is settled by reading back.
+/// Creates the key bound to `lease`. An unknown outcome is resolved by reading the key.
 async fn acquire<S: Store>(store: &S, me: &Identity, lease: LeaseId) -> Option<Revision> {
     let holder = Holder { id: me.id.clone(), run: me.incarnation, lease };
     let value = serde_json::to_vec(&holder).ok()?;
@@ -130,7 +131,8 @@
     }
 }
 
-/// Looks whether a write took effect. Giving up is safe: the lease is ended and with it the key.
+/// Reads whether a write took effect. Giving up is safe: the caller revokes the lease, which
+/// deletes the key.
 async fn resolve<S: Store>(store: &S, holder: &Holder) -> Option<Revision> {
     for _ in 0..RESOLVE_ATTEMPTS {
         if let Ok(Some(record)) = store.get(CONTROL_KEY).await {
--- a/crates/membership/src/escrow/demand.rs
+++ b/crates/membership/src/escrow/demand.rs
@@ -1,4 +1,4 @@
-//! Demand of each team at this entry instance.
+//! Tracks the demand of each team at this entry instance.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,19 @@
 use super::local::Escrow;
 use crate::usage::Usage;
 
-/// Part of a recent peak that is left after one interval.
+/// Factor by which a peak decays in each interval.
 const PEAK_DECAY: f32 = 0.9;
 /// Peak below which a team is forgotten.
 const PEAK_MIN: f32 = 0.5;
 
-/// Requests that would run if tokens were no bound, with their recent peak.
+/// Decaying peak of the requests that each team would run if tokens were unlimited.
 #[derive(Debug, Default)]
 pub struct Demand {
     peaks: BTreeMap<TeamId, f32>,
 }
 
 impl Demand {
-    /// Follows the demand by one interval.
+    /// Decays the peaks by one interval and adds the present demand.
     pub fn sample(&mut self, usage: &Usage, escrow: &Escrow) {
         let waiting = usage.waiting_by_team();
         for peak in self.peaks.values_mut() {
@@ -34,12 +34,12 @@
         self.peaks.retain(|_, peak| *peak >= PEAK_MIN);
     }
 
-    /// Demand of a team.
+    /// Returns the demand of a team, rounded to requests.
     pub fn of(&self, team: &TeamId) -> u32 {
         self.peaks.get(team).map_or(0, |peak| peak.round() as u32)
     }
 
-    /// Teams with a demand.
+    /// Returns the teams with a demand.
     pub fn teams(&self) -> impl Iterator<Item = &TeamId> {
         self.peaks.keys()
     }
--- a/crates/membership/src/escrow/expiry.rs
+++ b/crates/membership/src/escrow/expiry.rs
@@ -1,4 +1,5 @@
-//! Holders that have been silent for so long that their slices return.
+//! Detects holders that have not written the ledger for so long that others may reclaim their
+//! slices.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,12 +8,12 @@
 
 use super::ledger::{Holder, HolderId, Ledger};
 
-/// Added to a wait for a silent holder: difference of clock rates, as a divisor.
+/// Allowance for different clock rates, added to the expiry time, as a divisor of it.
 const CLOCK_RATE_DIVISOR: u32 = 100;
-/// Added to a wait for a silent holder: time between a permit and the first byte sent.
+/// Allowance for the time between a permit and the first byte sent, added to the expiry time.
 const START_MARGIN: Duration = Duration::from_secs(5);
 
-/// What a holder showed in the ledger, and since when on the own monotonic clock.
+/// Last observed state of a holder in the ledger, and since when on the local monotonic clock.
 #[derive(Debug, Clone, Copy)]
 struct Observation {
     writes: u64,
@@ -20,7 +21,7 @@
     since: Instant,
 }
 
-/// What each holder showed in the ledger.
+/// Last observed state of each holder in the ledger.
 #[derive(Debug)]
 pub struct HolderObservations {
     by_holder: HashMap<HolderId, Observation>,
@@ -28,12 +29,13 @@
 }
 
 impl HolderObservations {
-    /// Nothing seen yet. `pause_max` is the pause after which a holder needs a confirmation.
+    /// Creates an empty table. `pause_max` is the pause after which a holder needs a confirmation
+    /// before it uses its slices.
     pub fn new(pause_max: Duration) -> Self {
         Self { by_holder: HashMap::new(), pause_max }
     }
 
-    /// Notes a state of the ledger, never older than the last one.
+    /// Records a state of the ledger, which must not be older than the last one.
     pub fn observe(&mut self, ledger: &Ledger) {
         let now = Instant::now();
         self.by_holder.retain(|id, _| ledger.position(id).is_some());
@@ -47,7 +49,8 @@
         }
     }
 
-    /// Positions of the holders other than `me` whose slices return now, in rising order.
+    /// Returns the positions of the holders other than `me` whose slices have expired, in
+    /// ascending order.
     pub fn expired(&self, ledger: &Ledger, me: &HolderId, deadline_max: Duration) -> Vec<usize> {
         let holders = ledger.holders.iter().enumerate().filter(|(_, holder)| holder.id != *me);
         let expired = holders.filter(|(_, holder)| self.has_expired(holder, deadline_max));
@@ -59,7 +62,7 @@
         observation.since.elapsed() >= self.wait(holder, deadline_max)
     }
 
-    /// Silence after which nothing that the holder started can still run.
+    /// Returns the time without a write after which no work of the holder can still be running.
     fn wait(&self, holder: &Holder, deadline_max: Duration) -> Duration {
         let use_max = if holder.retired { self.pause_max } else { holder.slice_validity };
         let wait = use_max + holder.deadline_max.max(deadline_max);
--- a/crates/membership/src/escrow/keeper.rs
+++ b/crates/membership/src/escrow/keeper.rs
@@ -1,4 +1,4 @@
-//! Keeps the slices of this entry instance in step with the ledger.
+//! Synchronizes the slices of this entry instance with the ledger.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,17 +21,17 @@
 use crate::event::MembershipEvent;
 use crate::usage::UsageSource;
 
-/// Writes within the time for which slices are valid, as long as the service answers.
+/// Number of confirming writes in one validity period while the service responds.
 const CONFIRMATIONS_PER_VALIDITY: u32 = 12;
-/// Least time between two reads and between two writes of one holder, for each holder in the
-/// ledger.
+/// Shortest time between two reads and between two writes of one holder, multiplied by the number
+/// of holders in the ledger.
 const SPACING_PER_HOLDER: Duration = Duration::from_millis(250);
 /// Longest time between two reads of the ledger.
 const READ_INTERVAL_MAX: Duration = Duration::from_secs(5);
-/// Attempts of one write against conflicts.
+/// Most attempts of one write that meets conflicts.
 const ATTEMPTS_MAX: usize = 3;
 
-/// A state of the ledger and the condition under which it may be retired.
+/// A state of the ledger and the condition under which a write may replace it.
 #[derive(Debug)]
 struct LedgerCopy {
     compare: Compare,
@@ -82,7 +82,7 @@
 }
 
 impl<S: Store, U: UsageSource> Keeper<S, U> {
-    /// A keeper for one run of an entry instance. The clones of `escrow` give its permits.
+    /// Creates a keeper for one run of an entry instance. Its permits are issued by `escrow`.
     pub fn new(
         id: HolderId,
         settings: EscrowSettings,
@@ -115,17 +115,18 @@
         }
     }
 
-    /// Highest revision of the ledger known to other entry instances; raised by their messages.
+    /// Returns the highest ledger revision that other entry instances have reported. The receiver
+    /// of their reports raises it.
     pub fn hint(&self) -> Arc<AtomicU64> {
         self.hint.clone()
     }
 
-    /// State of the ledger as last seen.
+    /// Returns the last known state of the ledger.
     pub fn ledger(&self) -> Option<&Ledger> {
         self.copy.as_ref().map(|copy| &copy.ledger)
     }
 
-    /// Keeps the slices until `stop` completes; then gives them back.
+    /// Maintains the slices until `stop` completes; then returns the tokens that are not in use.
     pub async fn run(mut self, stop: impl Future<Output = ()>) {
         let escrow = self.escrow.clone();
         tokio::select! {
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Looks at configuration, demand and ledger once and writes what has to change.
+    /// Checks configuration, demand and ledger once and writes the ledger if it has to change.
     pub async fn step(&mut self) {
         let Some(config) = self.config.load() else { return };
         self.apply(&config);
@@ -166,7 +167,8 @@
         self.escrow.notify();
     }
 
-    /// Puts a configuration in force: lowered limits stop starts at once.
+    /// Puts a configuration in force. A lowered limit applies to new work immediately, before the
+    /// ledger is written.
     fn apply(&mut self, config: &Arc<Config>) {
         if config.version == self.version() {
             return;
@@ -189,14 +191,14 @@
 
     fn read_due(&self) -> bool {
         let (Some(copy), Some(last)) = (&self.copy, self.last_read) else { return true };
-        let short = |team: &TeamId| self.team_load(team).demand > self.escrow.usable(team);
+        let lacks_tokens = |team: &TeamId| self.team_load(team).demand > self.escrow.usable(team);
         let spacing = SPACING_PER_HOLDER * copy.ledger.holders.len() as u32;
         if last.elapsed() < spacing {
             return false;
         }
         last.elapsed() >= READ_INTERVAL_MAX
             || self.hint.load(Ordering::Relaxed) > copy.revision()
-            || self.demand.teams().any(short)
+            || self.demand.teams().any(lacks_tokens)
     }
 
     async fn read(&mut self) {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Starts anew from the stored ledger when it went back to an older state.
+    /// Discards the known state when the stored ledger was restored to an older one.
     fn check_restored(&mut self, revision: Revision) {
         let Some(copy) = &self.copy else { return };
         if !self.restore.record_read(copy.revision() > revision) {
@@ -234,7 +236,7 @@
         self.copy = None;
     }
 
-    /// Takes over a newer state of the ledger; an older one is ignored.
+    /// Adopts a newer state of the ledger; an older one is ignored.
     fn adopt(&mut self, revision: Revision, ledger: Ledger) {
         if self.copy.as_ref().is_some_and(|copy| copy.revision() >= revision) {
             return;
@@ -243,9 +245,9 @@
             self.previous_limits.clear();
         }
         self.observations.observe(&ledger);
-        let was_in = self.ledger().is_some_and(|before| before.position(&self.id).is_some());
+        let was_holder = self.ledger().is_some_and(|before| before.position(&self.id).is_some());
         let position = ledger.position(&self.id);
-        if was_in && position.is_none() && !self.retired {
+        if was_holder && position.is_none() && !self.retired {
             emit!(MembershipEvent::SlicesLost, instance = self.id.instance);
             self.escrow.invalidate_slices();
         }
@@ -274,7 +276,7 @@
         let previous_limit = self.previous_limits.get(team).copied().unwrap_or(0);
         let total = ledger.total(team).max(previous_limit);
         let tokens = usable(Bound { tokens, confirmed, total, limit: self.limit(team) });
-        self.restore.bound(team, tokens)
+        self.restore.limit_tokens(team, tokens)
     }
 
     fn limit(&self, team: &TeamId) -> u32 {
@@ -307,7 +309,7 @@
         }
     }
 
-    /// Plans a write; `None` when the ledger needs none.
+    /// Plans a write; returns `None` if none is needed.
     fn prepare(&self, copy: &LedgerCopy, config: &Config) -> Option<PendingWrite> {
         let mut ledger = copy.ledger.clone();
         self.refresh();
@@ -389,20 +391,22 @@
 
     fn report_reclaimed(&self, ledger: &Ledger) {
         let before = self.ledger().map(|ledger| ledger.holders.as_slice()).unwrap_or_default();
-        let gone = |holder: &&Holder| holder.id != self.id && ledger.position(&holder.id).is_none();
-        for holder in before.iter().filter(gone) {
+        let removed =
+            |holder: &&Holder| holder.id != self.id && ledger.position(&holder.id).is_none();
+        for holder in before.iter().filter(removed) {
             let run = holder.id.incarnation;
             emit!(MembershipEvent::SlicesReclaimed, instance = holder.id.instance, run = run);
         }
     }
 
-    /// Configuration version that the keeper has put in force.
+    /// Returns the configuration version that the keeper has put in force.
     pub fn version(&self) -> Version {
         self.applied.as_ref().map_or(0, |config| config.version)
     }
 }
 
-/// Watches for pauses of the process, apart from the calls to the key-value service.
+/// Detects pauses of the process. Runs concurrently with calls to the key-value service, so that a
+/// slow call does not count as a pause.
 async fn detect_pauses(escrow: &Escrow, settings: EscrowSettings) {
     let mut ticks = interval(settings.interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/membership/src/escrow/keeper/leave.rs
+++ b/crates/membership/src/escrow/keeper/leave.rs
@@ -1,4 +1,4 @@
-//! Clean leave of a holder.
+//! Graceful leave of a holder.
 
 use cassiafold_platform::Store;
 
@@ -7,7 +7,7 @@
 use crate::usage::UsageSource;
 
 impl<S: Store, U: UsageSource> Keeper<S, U> {
-    /// Gives back every token that is not in use.
+    /// Retires the holder and returns every token that is not in use.
     pub(super) async fn leave(&mut self) {
         self.retired = true;
         for _ in 0..ATTEMPTS_MAX {
@@ -27,14 +27,14 @@
     }
 
     fn without_idle(&self, mut ledger: Ledger, me: usize) -> Ledger {
-        let mut left = 0;
+        let mut remaining = 0;
         for (team, slices) in &mut ledger.teams {
             let in_use = self.escrow.set_usable(team, 0);
             slices[me] = Slice { tokens: slices[me].tokens.min(in_use), want: 0 };
-            left += slices[me].tokens;
+            remaining += slices[me].tokens;
         }
         ledger.holders[me].retired = true;
-        if left == 0 {
+        if remaining == 0 {
             ledger.remove(me);
         }
         ledger
--- a/crates/membership/src/escrow/keeper/resolve.rs
+++ b/crates/membership/src/escrow/keeper/resolve.rs
@@ -1,4 +1,4 @@
-//! Settles writes of the ledger whose outcome is unknown.
+//! Resolves writes of the ledger whose outcome is unknown.
 
 use cassiafold_platform::{Store, WriteOutcome};
 use tokio::time::Instant;
@@ -8,8 +8,9 @@
 use crate::usage::UsageSource;
 
 impl<S: Store, U: UsageSource> Keeper<S, U> {
-    /// Finds out whether a write took effect. The same compare-and-swap is sent again: it can take
-    /// effect once at most, and a conflict proves that the ledger has moved on from its condition.
+    /// Determines whether a write took effect by sending the same compare-and-swap again. It can
+    /// take effect at most once, and a conflict proves that the ledger has changed since the
+    /// revision that the write is conditional on.
     pub(super) async fn resolve(&mut self, pending: PendingWrite) {
         let sent = Instant::now();
         match self.store.write(pending.write.clone()).await {
--- a/crates/membership/src/escrow/ledger.rs
+++ b/crates/membership/src/escrow/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of escrowed upper limits: one document in the key-value service.
+//! The ledger of escrowed upper limits, stored as one document in the key-value service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,57 +9,58 @@
 /// Key of the ledger in the key-value service.
 pub const LEDGER_KEY: &str = "cassiafold/limits/ledger";
 
-/// Number of one run of an entry instance; another run of the same id has another number.
+/// Incarnation number of one run of an entry instance, distinct for each run of the same id.
 pub type Incarnation = u64;
 
-/// One run of an entry instance.
+/// Identifies one run of an entry instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HolderId {
     /// Identifier of the entry instance.
     pub instance: InstanceId,
-    /// Run of that instance.
+    /// Incarnation of that instance.
     pub incarnation: Incarnation,
 }
 
 /// An entry instance that holds slices.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
-    /// Which run of which instance holds the slices.
+    /// Run of the instance that holds the slices.
     pub id: HolderId,
-    /// Writes of the ledger by this holder. An unchanged count is how others notice its silence.
+    /// Number of writes of the ledger by this holder. The other holders detect from an unchanged
+    /// number that it no longer writes.
     pub writes: u64,
     /// Configuration in force at the holder when it last wrote the ledger.
     pub version: Version,
     /// Longest deadline under which this holder may have started work.
     pub deadline_max: Duration,
-    /// Longest time for which the holder uses its slices after a write of the ledger.
+    /// Time for which the holder may use its slices after a write of the ledger.
     pub slice_validity: Duration,
-    /// Whether the holder has left or a later run of the same instance has joined: it starts
-    /// nothing more.
+    /// Whether the holder has left or a later run of the same instance has joined; a retired
+    /// holder starts no work.
     pub retired: bool,
 }
 
-/// What one holder has of one team's upper limit.
+/// Part of one team's upper limit that one holder has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Slice {
-    /// Requests of the team that the holder may run at once.
+    /// Number of the team's requests that the holder may run concurrently.
     pub tokens: u32,
-    /// Requests that the holder would run if it could; zero unless more than `tokens`.
+    /// Number of requests that the holder would run without a limit; zero unless above `tokens`.
     pub want: u32,
 }
 
 impl Slice {
-    /// Tokens that the holder lacks.
+    /// Returns the number of wanted tokens that the holder does not have.
     pub fn unmet(self) -> u32 {
         self.want.saturating_sub(self.tokens)
     }
 }
 
-/// The ledger. Only a holder lowers its own slices, except that slices of a holder that has been
-/// silent for long enough are removed with it.
+/// The ledger. Only a holder lowers its own slices, except that an expired holder is removed
+/// together with its slices.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ledger {
-    /// Highest configuration version under which tokens were handed out or shrunk.
+    /// Highest configuration version under which tokens were assigned or reduced.
     pub config_version: Version,
     /// Holders in the order in which they joined.
     pub holders: Vec<Holder>,
@@ -67,13 +68,13 @@
     pub teams: BTreeMap<TeamId, Vec<Slice>>,
 }
 
-/// Why a stored ledger cannot be understood.
+/// Reason why a stored ledger cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// The document is not the expected JSON.
+    /// The document is not valid JSON of the expected structure.
     #[error("ledger is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A team's slices do not match the holders.
+    /// The number of a team's slices differs from the number of holders.
     #[error("ledger has {slices} slices of team {team} for {holders} holders")]
     SliceCount {
         /// Team of the slices.
@@ -86,12 +87,12 @@
 }
 
 impl Ledger {
-    /// Position of a holder.
+    /// Returns the position of a holder.
     pub fn position(&self, id: &HolderId) -> Option<usize> {
         self.holders.iter().position(|holder| holder.id == *id)
     }
 
-    /// Adds a holder without tokens and retires earlier runs of the same instance.
+    /// Adds a holder without tokens and retires previous runs of the same instance.
     pub fn join(&mut self, joining: Holder) {
         for holder in &mut self.holders {
             holder.retired |= holder.id.instance == joining.id.instance;
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Removes the holder at `index`; its tokens become free.
+    /// Removes the holder at `index`; its tokens become unassigned.
     pub fn remove(&mut self, index: usize) {
         self.holders.remove(index);
         for slices in self.teams.values_mut() {
@@ -110,13 +111,13 @@
         }
     }
 
-    /// Sum of a team's tokens over all holders.
+    /// Returns the sum of a team's tokens over all holders.
     pub fn total(&self, team: &TeamId) -> u32 {
         self.teams.get(team).map_or(0, |slices| slices.iter().map(|slice| slice.tokens).sum())
     }
 
-    /// Tokens of a team at the holder `me`, and at all holders with at least `version` in force;
-    /// `me` counts as one of them.
+    /// Returns a team's tokens at the holder `me`, and their sum over all holders that have at
+    /// least `version` in force; `me` is always included.
     pub fn confirmed(&self, team: &TeamId, me: usize, version: Version) -> (u32, u32) {
         let Some(slices) = self.teams.get(team) else { return (0, 0) };
         let pairs = self.holders.iter().zip(slices).enumerate();
--- a/crates/membership/src/escrow/local.rs
+++ b/crates/membership/src/escrow/local.rs
@@ -1,4 +1,4 @@
-//! Tokens of this entry instance as the request path sees them.
+//! Permits that the request path takes from the slices of this entry instance.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Usable tokens and tokens in use of one team, changed together.
+/// Usable tokens and tokens in use of one team, packed into one word to be changed atomically.
 #[derive(Debug, Default)]
 struct Tokens(AtomicU64);
 
@@ -26,11 +26,11 @@
 
 impl Tokens {
     fn acquire(&self) -> bool {
-        let take = |packed| {
+        let try_increment = |packed| {
             let (usable, in_use) = unpack(packed);
             (in_use < usable).then(|| pack(usable, in_use + 1))
         };
-        self.0.fetch_update(Ordering::AcqRel, Ordering::Acquire, take).is_ok()
+        self.0.fetch_update(Ordering::AcqRel, Ordering::Acquire, try_increment).is_ok()
     }
 
     fn release(&self) {
@@ -49,13 +49,13 @@
     }
 }
 
-/// Bounds the time for which the slices may be used, on the monotonic clock.
+/// Period during which the slices may be used, on the monotonic clock.
 #[derive(Debug)]
 struct ValidityWindow {
     base: Instant,
     valid_until_ms: AtomicU64,
     alive_until_ms: AtomicU64,
-    /// End of the last pause of the process; guards changes of the two bounds.
+    /// End of the last pause of the process; the lock guards changes of both bounds.
     resumed_at: Mutex<Instant>,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Gives permits out of the slices that this entry instance holds. Cheap to clone.
+/// Issues permits from the slices that this entry instance holds. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Escrow {
     inner: Arc<Inner>,
@@ -88,7 +88,7 @@
     changes: watch::Sender<u64>,
 }
 
-/// Permission to run one request of a team; returned when dropped.
+/// Permission to run one request of a team; its token is released when it is dropped.
 #[derive(Debug)]
 pub struct Permit {
     tokens: Arc<Tokens>,
@@ -96,8 +96,8 @@
 }
 
 impl Permit {
-    /// Whether the slice behind the permit may still be used to start work. To be asked again when
-    /// time may have passed between the permit and the first byte sent.
+    /// Returns whether the slice of the permit may still be used to start work. Check it again
+    /// right before the first byte is sent, as time may have passed since the permit was taken.
     pub fn is_valid(&self) -> bool {
         self.inner.window.is_valid()
     }
@@ -124,7 +124,7 @@
 }
 
 impl Escrow {
-    /// Takes a permit if the team may run one more request at this entry instance now.
+    /// Returns a permit if the team may run one more request at this entry instance now.
     pub fn try_acquire(&self, team: &TeamId) -> Option<Permit> {
         if !self.inner.window.is_valid() {
             return None;
@@ -133,27 +133,27 @@
         tokens.acquire().then(|| Permit { tokens, inner: self.inner.clone() })
     }
 
-    /// Receiver that is notified whenever usable tokens may have changed.
+    /// Returns a receiver that is notified whenever usable tokens may have changed.
     pub fn changed(&self) -> watch::Receiver<u64> {
         self.inner.changes.subscribe()
     }
 
-    /// Usable tokens of a team.
+    /// Returns the usable tokens of a team.
     pub fn usable(&self, team: &TeamId) -> u32 {
         self.inner.teams.load().get(team).map_or(0, |tokens| tokens.load().0)
     }
 
-    /// Tokens of a team that are in use.
+    /// Returns the tokens of a team that are in use.
     pub fn in_use(&self, team: &TeamId) -> u32 {
         self.inner.teams.load().get(team).map_or(0, |tokens| tokens.load().1)
     }
 
-    /// Whether slices may be used now.
+    /// Returns whether slices may be used now.
     pub fn is_valid(&self) -> bool {
         self.inner.window.is_valid()
     }
 
-    /// Sum of the tokens in use over all teams.
+    /// Returns the sum of the tokens in use over all teams.
     pub fn in_use_total(&self) -> u64 {
         self.inner.teams.load().values().map(|tokens| u64::from(tokens.load().1)).sum()
     }
@@ -173,13 +173,14 @@
         0
     }
 
-    /// Teams with tokens known here.
+    /// Returns the teams for which tokens were set.
     pub(super) fn teams(&self) -> Vec<TeamId> {
         self.inner.teams.load().keys().cloned().collect()
     }
 
-    /// Lets slices be used for `slice_validity` after `sent`, when a write that confirmed them was sent. A
-    /// write sent before the process was last paused confirms nothing.
+    /// Extends the validity of the slices to `slice_validity` after `sent`, the time at which the
+    /// write that confirmed them was sent. A write sent before the last pause of the process is
+    /// ignored.
     pub(super) fn extend(&self, sent: Instant, slice_validity: Duration) {
         let window = &self.inner.window;
         let resumed_at = window.lock_resumed_at();
@@ -189,14 +190,14 @@
         }
     }
 
-    /// Forbids the use of slices until the next [`Self::extend`].
+    /// Invalidates the slices until the next [`Self::extend`].
     pub(super) fn invalidate_slices(&self) {
         let _resumed_at = self.inner.window.lock_resumed_at();
         self.inner.window.valid_until_ms.store(0, Ordering::Release);
     }
 
-    /// Notes that the process runs. After a pause longer than `pause_max` the slices may not be used
-    /// until a new write confirms them. Returns whether there was such a pause.
+    /// Records that the process is running. After a pause longer than `pause_max` the slices are
+    /// invalid until a new write confirms them. Returns whether there was such a pause.
     pub(super) fn tick(&self, pause_max: Duration) -> bool {
         let window = &self.inner.window;
         let mut resumed_at = window.lock_resumed_at();
@@ -210,7 +211,7 @@
         paused
     }
 
-    /// Wakes those that wait for [`Self::changed`].
+    /// Notifies the receivers of [`Self::changed`].
     pub(super) fn notify(&self) {
         self.inner.changes.send_modify(|count| *count += 1);
     }
--- a/crates/membership/src/escrow/max_min.rs
+++ b/crates/membership/src/escrow/max_min.rs
@@ -1,14 +1,14 @@
 //! Integer max-min division of tokens.
 
-/// Divides `total` among `demands` by max-min: no one gets more than its demand, and what one
-/// leaves goes to the others in equal parts. Remainders go to the first ones.
+/// Divides `total` among `demands` by max-min fairness: no part exceeds its demand, and what one
+/// demand leaves is divided equally among the others. Remainders go to the first entries.
 pub fn max_min(total: u32, demands: &[u32]) -> Vec<u32> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|index| demands[*index]);
     let mut parts = vec![0; demands.len()];
     let mut remaining = total;
-    for (done, index) in order.iter().enumerate() {
-        let unserved = (demands.len() - done) as u32;
+    for (assigned, index) in order.iter().enumerate() {
+        let unserved = (demands.len() - assigned) as u32;
         let part = demands[*index].min(remaining / unserved);
         parts[*index] = part;
         remaining -= part;
--- a/crates/membership/src/escrow/plan.rs
+++ b/crates/membership/src/escrow/plan.rs
@@ -1,4 +1,4 @@
-//! What one holder changes in the ledger.
+//! Plans the changes that one holder makes to the ledger.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,34 +8,36 @@
 use super::ledger::{Ledger, Slice};
 use super::max_min::max_min;
 
-/// Share of a demand that a giver keeps on top of it, as a divisor.
+/// Headroom that a holder keeps above its demand when it gives tokens away, as a divisor of the
+/// demand.
 const HEADROOM_DIVISOR: u32 = 8;
-/// Change of a recorded want that is worth a write, as a divisor of the want.
+/// Smallest change of a recorded want that justifies a write, as a divisor of the want.
 const WANT_DIVISOR: u32 = 4;
 
-/// Team's work at this holder.
+/// Load of one team at this holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TeamLoad {
     /// Tokens in use.
     pub in_use: u32,
-    /// Requests that would run if tokens were no bound, with the recent peak.
+    /// Requests that would run if tokens were unlimited, including the recent peak.
     pub demand: u32,
 }
 
-/// What the holder does with one team's slice.
+/// Change of one team's slice at the holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Decision {
-    /// Tokens that the holder may use from now on; below `in_use` work has to end first.
+    /// Tokens that the holder may use from now on. If below `in_use`, the slice shrinks only as
+    /// work ends.
     keep: u32,
-    /// Tokens to take from those that nobody holds.
+    /// Unassigned tokens to claim.
     claim: u32,
     /// Want to record.
     want: u32,
-    /// Whether the holder lowers its slice because the limit was lowered.
+    /// Whether the slice shrinks because the limit was lowered.
     lowered: bool,
 }
 
-/// The slices of one team as a holder sees them.
+/// The slices of one team and its load at the planning holder.
 struct TeamState<'a> {
     slices: &'a [Slice],
     me: usize,
@@ -52,12 +54,12 @@
         self.slices.iter().map(|slice| slice.tokens).sum()
     }
 
-    /// Even part of the limit.
+    /// Returns an equal share of the limit for each holder.
     fn even_share(&self) -> u32 {
         self.limit / self.slices.len() as u32
     }
 
-    /// Tokens that the holder needs for itself.
+    /// Returns the tokens that the holder needs itself, with headroom.
     fn need(&self) -> u32 {
         let demand = self.load.demand.max(self.load.in_use);
         demand.saturating_add(demand.div_ceil(HEADROOM_DIVISOR))
@@ -81,14 +83,14 @@
         Decision { keep, claim, want: self.steady_want(want), lowered: false }
     }
 
-    /// Keeps the recorded want unless the change is worth a write.
+    /// Returns the recorded want unless the change justifies a write.
     fn steady_want(&self, want: u32) -> u32 {
         let recorded = self.own_slice().want;
         let small = want.abs_diff(recorded) <= recorded / WANT_DIVISOR;
         if want > 0 && recorded > 0 && small { recorded } else { want }
     }
 
-    /// Tokens that the holder should give to others.
+    /// Returns the tokens that the holder should transfer to others.
     fn surplus(&self) -> u32 {
         let tokens = self.own_slice().tokens;
         let unmet: u32 = self.others().map(|(_, slice)| slice.unmet()).sum();
@@ -104,8 +106,8 @@
         if tokens > target + margin { (tokens - target).min(unmet) } else { 0 }
     }
 
-    /// Tokens above the even part that an idle holder gives to those far below it, so that each
-    /// has some when a partition begins.
+    /// Returns the tokens above the equal share that an idle holder transfers to holders far below
+    /// it, so that each holder has some tokens when a network partition begins.
     fn idle_surplus(&self) -> u32 {
         let even_share = self.even_share();
         let total_shortfall: u32 =
@@ -119,7 +121,7 @@
         self.slices.iter().copied().enumerate().filter(move |(index, _)| *index != me)
     }
 
-    /// Max-min division of the limit over what each holder asks for.
+    /// Divides the limit over the demands of all holders by max-min fairness.
     fn targets(&self) -> Vec<u32> {
         let demands: Vec<u32> = self
             .slices
@@ -133,7 +135,7 @@
         max_min(self.limit, &demands)
     }
 
-    /// What each holder gets out of `released` tokens.
+    /// Divides `released` tokens among the holders that lack some.
     fn transfers(&self, released: u32) -> Vec<u32> {
         let even_share = self.even_share();
         let unmet: u32 = self.others().map(|(_, slice)| slice.unmet()).sum();
@@ -151,12 +153,12 @@
     }
 }
 
-/// Tokens that a holder far below the even part lacks to reach it.
+/// Returns the tokens that a holder with less than half of the equal share lacks to reach it.
 fn shortfall(slice: Slice, even_share: u32) -> u32 {
     if slice.tokens < even_share / 2 { even_share - slice.tokens } else { 0 }
 }
 
-/// Inputs of [`plan`] that do not change with the team.
+/// Inputs of [`plan`] that are the same for all teams.
 #[derive(Debug)]
 pub struct Context<'a> {
     /// Position of the planning holder.
@@ -165,14 +167,15 @@
     pub config: &'a Config,
     /// Longest deadline under which the holder may have started work.
     pub deadline_max: Duration,
-    /// Positions of holders that have been silent for long enough, in rising order.
+    /// Positions of expired holders, in ascending order.
     pub expired: &'a [usize],
 }
 
-/// Changes the ledger for one holder. Returns whether the result is worth a write.
+/// Changes the ledger for one holder. Returns whether the change justifies a write.
 ///
-/// `load` tells the team's work at the holder. `reduce_usable` bounds the tokens that the holder uses from
-/// now on and returns the tokens in use at that moment; it is called before tokens are given away.
+/// `load` returns the team's load at the holder. `reduce_usable` limits the tokens that the holder
+/// uses from now on and returns the tokens in use at that moment; it is called before tokens are
+/// transferred to others.
 pub fn plan(
     ledger: &mut Ledger,
     context: &Context<'_>,
@@ -210,7 +213,7 @@
     !expired.is_empty()
 }
 
-/// Limit of each team; a team that is no longer configured has none left.
+/// Returns the limit of each team; that of a team that is no longer configured is zero.
 fn limits(ledger: &Ledger, config: &Config) -> BTreeMap<TeamId, u32> {
     let removed = ledger.teams.keys().map(|team| (team.clone(), 0));
     let known = config.teams.iter().map(|(team, known)| (team.clone(), known.upper_limit));
@@ -243,12 +246,12 @@
     updated
 }
 
-/// A holder's tokens of one team against the limit in force.
+/// A holder's tokens of one team together with the limit in force.
 #[derive(Debug, Clone, Copy)]
 pub struct Bound {
     /// Tokens of the holder.
     pub tokens: u32,
-    /// Tokens of all holders that are known to have the limit in force.
+    /// Tokens of all holders that have confirmed the configuration with this limit.
     pub confirmed: u32,
     /// Tokens of all holders.
     pub total: u32,
@@ -256,8 +259,9 @@
     pub limit: u32,
 }
 
-/// Tokens that may be used when the limit is lower than it was when the slices were made. Holders
-/// that may not know the limit are taken to use all their tokens; the others shrink in proportion.
+/// Returns the tokens that may be used when the limit is lower than at the time the slices were
+/// assigned. Holders that may not know the limit are assumed to use all their tokens; the slices of
+/// the others shrink in proportion.
 pub fn usable(bound: Bound) -> u32 {
     let unconfirmed = bound.total.saturating_sub(bound.confirmed);
     let available = bound.limit.saturating_sub(unconfirmed);
--- a/crates/membership/src/escrow/restore.rs
+++ b/crates/membership/src/escrow/restore.rs
@@ -1,8 +1,10 @@
-//! A ledger that went back to an older state, because the store was restored from a snapshot.
+//! Handles a ledger that went back to an older state because the store was restored from a
+//! snapshot.
 //!
-//! Reads that stay behind for longer than a stale read lasts show it. The holder then uses no more
-//! than it has both before and after, and moves nothing until all that anyone started under the
-//! lost state must have ended.
+//! The ledger counts as restored when reads return an older revision for longer than stale reads
+//! last. The holder then uses at most the smaller of its tokens in the lost and in the restored
+//! state, and transfers no tokens until all work that any holder may have started under the lost
+//! state must have ended.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,26 +14,27 @@
 
 use super::ledger::{HolderId, Ledger};
 
-/// Time for which reads stay behind until the ledger counts as restored.
+/// Time for which reads must return an older revision before the ledger counts as restored.
 const RESTORED_AFTER: Duration = Duration::from_secs(30);
-/// Added to the wait after a restore: difference of clock rates, as a divisor.
+/// Allowance for different clock rates, added to the wait after a restore, as a divisor of it.
 const CLOCK_RATE_DIVISOR: u32 = 100;
 
-/// Whether the ledger went back, and what the holder had before.
+/// Detects a restored ledger and keeps the tokens that the holder had before.
 #[derive(Debug, Default)]
 pub struct RestoreGuard {
     behind_since: Option<Instant>,
-    before: Option<LostState>,
+    lost_state: Option<LostState>,
 }
 
 #[derive(Debug)]
 struct LostState {
     tokens: BTreeMap<TeamId, u32>,
-    until: Instant,
+    ends_at: Instant,
 }
 
 impl RestoreGuard {
-    /// Notes whether a read was behind what is known. Returns whether the ledger went back.
+    /// Records whether a read returned an older revision than a known one. Returns whether the
+    /// ledger counts as restored.
     pub fn record_read(&mut self, behind: bool) -> bool {
         if !behind {
             self.behind_since = None;
@@ -40,8 +43,9 @@
         self.behind_since.get_or_insert_with(Instant::now).elapsed() >= RESTORED_AFTER
     }
 
-    /// Begins the wait. `lost` is the state before; `use_max` is the time for which a holder that
-    /// has not noticed may use it and its work may run.
+    /// Starts the wait. `lost` is the state before the restore; `use_max` is the time for which a
+    /// holder that has not detected the restore may use that state, plus the time for which the
+    /// work that it starts may run.
     pub fn start_wait(&mut self, lost: &Ledger, me: &HolderId, use_max: Duration) {
         let position = lost.position(me);
         let teams = lost.teams.iter();
@@ -50,24 +54,24 @@
             (team.clone(), tokens)
         });
         let wait = use_max + RESTORED_AFTER;
-        let until = Instant::now() + wait + wait / CLOCK_RATE_DIVISOR;
-        self.before = Some(LostState { tokens: tokens.collect(), until });
+        let ends_at = Instant::now() + wait + wait / CLOCK_RATE_DIVISOR;
+        self.lost_state = Some(LostState { tokens: tokens.collect(), ends_at });
         self.behind_since = None;
     }
 
-    fn before(&self) -> Option<&LostState> {
-        self.before.as_ref().filter(|before| Instant::now() < before.until)
+    fn lost_state(&self) -> Option<&LostState> {
+        self.lost_state.as_ref().filter(|lost_state| Instant::now() < lost_state.ends_at)
     }
 
-    /// Whether the wait lasts.
+    /// Returns whether the wait is in progress.
     pub fn is_active(&self) -> bool {
-        self.before().is_some()
+        self.lost_state().is_some()
     }
 
-    /// Bounds the tokens of a team while the wait lasts.
-    pub fn bound(&self, team: &TeamId, tokens: u32) -> u32 {
-        match self.before() {
-            Some(before) => tokens.min(before.tokens.get(team).copied().unwrap_or(0)),
+    /// Limits the tokens of a team during the wait to those before the restore.
+    pub fn limit_tokens(&self, team: &TeamId, tokens: u32) -> u32 {
+        match self.lost_state() {
+            Some(lost_state) => tokens.min(lost_state.tokens.get(team).copied().unwrap_or(0)),
             None => tokens,
         }
     }
--- a/crates/membership/src/exchange.rs
+++ b/crates/membership/src/exchange.rs
@@ -1,7 +1,8 @@
-//! Reports as changes only: what a connection has told already is not told again.
+//! Delta encoding of reports: each report contains only changes since the previous one on the same
+//! connection.
 //!
 //! Sender and receiver of a connection keep the same table of names and the same usage of each
-//! reported entry instance; both start empty with the connection.
+//! reported entry instance. Both start empty when the connection opens.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,13 +16,13 @@
 use crate::roster::Heartbeat;
 use crate::usage::{QueueId, TeamUsage, Usage};
 
-/// Change of a count that is worth a message, as a divisor of the count.
+/// Smallest change of a count that is sent, as a divisor of the count.
 const CHANGE_DIVISOR: u32 = 8;
 
-/// A name together with its position on the connection.
+/// Position of a name in the table of the connection.
 type Position = u16;
 
-/// Sending side of a connection.
+/// Encodes the reports of the sending side of a connection.
 #[derive(Debug, Default)]
 pub struct ReportEncoder {
     names: HashMap<Arc<str>, Position>,
@@ -36,9 +37,9 @@
 }
 
 impl ReportEncoder {
-    /// The report that brings the receiver up to date. Backend servers are told only where
-    /// `with_instances` says so. Fails when the table of names is full; the connection has to be
-    /// made anew then.
+    /// Returns the report that brings the receiver up to date. Includes the usage of backend
+    /// servers only if `with_instances` is set. Fails if the table of names is full; the caller
+    /// has to reconnect then.
     pub fn encode(
         &mut self,
         entries: &[Heartbeat],
@@ -165,7 +166,7 @@
     }
 }
 
-/// Whether a change of a queue is large enough, or to or from zero.
+/// Returns whether a count of the queue changed to or from zero or by enough to be sent.
 fn is_significant_change(before: TeamUsage, now: TeamUsage) -> bool {
     let differs = |before: u32, now: u32| {
         let zero = (before == 0) != (now == 0);
@@ -178,7 +179,7 @@
     u16::try_from(count).unwrap_or(u16::MAX)
 }
 
-/// Receiving side of a connection.
+/// Decodes the reports on the receiving side of a connection.
 #[derive(Debug, Default)]
 pub struct ReportDecoder {
     names: Vec<Arc<str>>,
@@ -192,7 +193,7 @@
 }
 
 impl ReportDecoder {
-    /// Takes in a report and returns the heartbeats in it.
+    /// Applies a report and returns the heartbeats in it.
     pub fn decode(&mut self, report: Report) -> Result<Vec<Heartbeat>, WireError> {
         let count = self.names.len() + report.names.len();
         if count > NAMES_MAX {
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who an entry instance is.
+//! Identity of an entry instance.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::escrow::{HolderId, Incarnation};
 
-/// One run of an entry instance with its place and address.
+/// One run of an entry instance with its location and address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
     /// Identifier of the entry instance, unique in the fleet.
@@ -15,14 +15,14 @@
     pub zone: ZoneId,
     /// Its region.
     pub region: RegionId,
-    /// Address at which it takes calls of the others.
+    /// Address at which it accepts connections from other entry instances.
     pub address: SocketAddr,
-    /// Number of this run, higher than that of earlier runs.
+    /// Incarnation number of this run, higher than that of previous runs.
     pub incarnation: Incarnation,
 }
 
 impl Identity {
-    /// The identity as a holder of slices.
+    /// Returns the identity as a holder of slices.
     pub fn holder(&self) -> HolderId {
         HolderId { instance: self.id.clone(), incarnation: self.incarnation }
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,17 @@
-//! Live entry instances, spread of configuration, escrowed upper limits and shares.
+//! State that entry instances share: live instances, configuration, escrowed upper limits and
+//! shares.
 //!
-//! - [`membership`]: one entry instance as a member of the fleet; start here.
+//! - [`membership`]: joins one entry instance to the fleet; the entry point of this crate.
 //! - [`escrow`]: upper limits of teams over all entry instances.
 //! - [`shares`]: weighted max-min over all entry instances.
 //! - [`usage`]: running and waiting requests.
-//! - [`roster`]: what is known of all entry instances.
+//! - [`roster`]: table of all known entry instances.
 //! - [`directory`]: registrations in the key-value service.
 //! - [`peers`]: connections between entry instances.
-//! - [`relay`]: to whom an entry instance reports.
-//! - [`exchange`]: reports as changes only.
-//! - [`config_sync`]: the configuration from the key-value service and from peers.
-//! - [`control`]: the role of the one that works for the whole fleet.
+//! - [`relay`]: choice of the peers to which an entry instance reports.
+//! - [`exchange`]: delta encoding of reports on a connection.
+//! - [`config_sync`]: receives configurations from the key-value service and from peers.
+//! - [`control`]: election of the entry instance that runs work for the whole fleet.
 
 pub mod config_sync;
 pub mod contact;
--- a/crates/membership/src/relay.rs
+++ b/crates/membership/src/relay.rs
@@ -1,21 +1,22 @@
-//! To whom an entry instance reports: all of its own zone, and other zones through one relay each.
+//! Chooses the targets to which an entry instance reports: all entry instances of its own zone,
+//! and, if it is the relay for another zone, that zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use cassiafold_config::{InstanceId, ZoneId};
 
-/// An entry instance as far as the choice of relays is concerned.
+/// Properties of an entry instance that decide which ones are relays.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// Identifier of the entry instance.
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Whether it was heard lately.
+    /// Whether it can relay: it is live and reports directly within the zone.
     pub live: bool,
 }
 
-/// Someone to report to; each is one task.
+/// Receiver of reports; one task serves each.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
     /// An entry instance of the own zone.
@@ -24,7 +25,7 @@
     Zone(ZoneId),
 }
 
-/// Weight of an entry instance as the relay between its zone and `zone`.
+/// Returns the rendezvous weight of an entry instance as the relay between its zone and `zone`.
 fn weight(id: &str, zone: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(id.len() as u64).to_le_bytes());
@@ -35,14 +36,15 @@
     u64::from_le_bytes(bytes)
 }
 
-/// Orders entry instances by rendezvous hashing for traffic with `zone`, the first choice first.
+/// Orders entry instances by rendezvous hashing for traffic with `zone`, the preferred one first.
 pub fn ranked<'a>(members: impl Iterator<Item = &'a Member>, zone: &str) -> Vec<&'a Member> {
     let mut ranked: Vec<&Member> = members.collect();
     ranked.sort_by_cached_key(|member| (std::cmp::Reverse(weight(&member.id, zone)), &member.id));
     ranked
 }
 
-/// Targets of the entry instance `me` of `own_zone`. `others` are all other known entry instances.
+/// Returns the targets of the entry instance `me` in `own_zone`. `others` are all other known
+/// entry instances.
 pub fn targets(me: &InstanceId, own_zone: &ZoneId, others: &[Member]) -> BTreeSet<Target> {
     let same_zone = others.iter().filter(|other| other.zone == *own_zone);
     let mut targets: BTreeSet<Target> =
@@ -60,7 +62,7 @@
     targets
 }
 
-/// Number of members in each zone.
+/// Returns the number of members in each zone.
 pub fn by_zone(members: &[Member]) -> BTreeMap<ZoneId, usize> {
     let mut zones = BTreeMap::new();
     for member in members {
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! What this entry instance knows of all entry instances.
+//! Table of all entry instances that this entry instance knows.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,47 +14,48 @@
 use crate::relay::{Member, Target, ranked, targets};
 use crate::usage::Usage;
 
-/// Time without a heartbeat after which an entry instance does not count as live.
+/// Time without a heartbeat after which an entry instance no longer counts as live.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Entry instances that read the configuration often; more than one, as one may have lost the
-/// key-value service.
+/// Number of entry instances that read the configuration often; more than one, as one of them may
+/// be unable to reach the key-value service.
 const CONFIG_READERS: usize = 2;
-/// Name for which readers are chosen by rendezvous hashing.
+/// Key with which the readers are chosen by rendezvous hashing.
 const CONFIG_READER_HASH_KEY: &str = "configuration";
-/// Time without a heartbeat or a registration after which an entry instance is forgotten.
+/// Time without a heartbeat after which an unregistered entry instance is removed; departures are
+/// kept for the same time.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 
-/// From whom reports of an entry instance come.
+/// Path by which the reports of an entry instance arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
-    /// From itself, in the own zone.
+    /// Directly, from an entry instance in the own zone.
     SameZone,
-    /// From another zone.
+    /// From the relay of another zone.
     OtherZone,
-    /// From an entry instance of the own zone that has them from another zone.
+    /// Relayed by an entry instance of the own zone that received them from another zone.
     Relayed,
 }
 
-/// Heartbeat of an entry instance as received.
+/// Heartbeat of an entry instance.
 #[derive(Debug, Clone)]
 pub struct Heartbeat {
     /// Identifier of the entry instance.
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Number of its run.
+    /// Incarnation number of its run.
     pub incarnation: Incarnation,
-    /// Number of the heartbeat.
+    /// Sequence number of the heartbeat within the run.
     pub sequence: u64,
     /// Configuration version in force there.
     pub config_version: Version,
     /// Whether it takes new requests.
     pub ready: bool,
-    /// Its requests.
+    /// Its running and waiting requests.
     pub usage: Arc<Usage>,
 }
 
-/// What is known of one entry instance.
+/// Known state of one entry instance.
 #[derive(Debug, Clone)]
 struct EntryState {
     heartbeat: Heartbeat,
@@ -66,22 +67,22 @@
     registered: bool,
 }
 
-/// Which configuration version an entry instance has confirmed.
+/// Configuration version that an entry instance has confirmed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Confirmation {
     /// Identifier of the entry instance.
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Version in force there when last heard; zero when unknown.
+    /// Version in force there according to its last heartbeat; zero if unknown.
     pub version: Version,
-    /// Whether it takes new requests; `None` when it was not heard lately.
+    /// Whether it takes new requests; `None` if it is not live.
     pub ready: Option<bool>,
-    /// Time since it was last heard, or since it became known.
+    /// Time since its last heartbeat, or since it became known.
     pub age: Duration,
 }
 
-/// What every known entry instance has in force, this one included.
+/// Configuration versions that all known entry instances have in force, this one included.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Confirmations {
     /// One for each entry instance, in order of id.
@@ -89,7 +90,7 @@
 }
 
 impl Confirmations {
-    /// Entry instances that have not confirmed `version`.
+    /// Returns the entry instances that have not confirmed `version`.
     pub fn missing(&self, version: Version) -> impl Iterator<Item = &Confirmation> {
         self.list.iter().filter(move |confirmation| confirmation.version < version)
     }
@@ -102,11 +103,11 @@
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Number of its run.
+    /// Incarnation number of its run.
     pub incarnation: Incarnation,
 }
 
-/// Which run of an entry instance has left, and when.
+/// Run of an entry instance that has left, and the time at which it left.
 #[derive(Debug, Clone, Copy)]
 struct Departure {
     incarnation: Incarnation,
@@ -130,7 +131,7 @@
 }
 
 impl Roster {
-    /// A table that knows only this entry instance.
+    /// Creates a table that contains only this entry instance.
     pub fn new(me: Identity) -> Self {
         let own = Heartbeat {
             id: me.id.clone(),
@@ -155,12 +156,13 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// This entry instance.
+    /// Returns the identity of this entry instance.
     pub fn me(&self) -> &Identity {
         &self.me
     }
 
-    /// Receiver that is notified when there is something to report or to ask for at once.
+    /// Returns a receiver that is notified when peers should be contacted immediately: the own
+    /// state has changed, or a peer has a newer configuration.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
@@ -169,7 +171,8 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Raises the own heartbeat. Peers are told at once when the version has changed.
+    /// Advances the own heartbeat. Notifies the receivers if the configuration version or readiness
+    /// has changed, so that peers get a report immediately.
     pub fn advance_heartbeat(&self, usage: Arc<Usage>, config_version: Version, ready: bool) {
         let mut table = self.lock();
         let changed = table.own.config_version != config_version || table.own.ready != ready;
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Takes in a heartbeat. Older ones and those of a run that has left are ignored.
+    /// Records a heartbeat. Older ones and those of a run that has left are ignored.
     pub fn record_heartbeat(&self, heartbeat: Heartbeat, route: Route) {
         if heartbeat.id == self.me.id {
             return;
@@ -199,14 +202,14 @@
         }
     }
 
-    /// Learns place and address of an entry instance.
+    /// Records location and address of an entry instance.
     pub fn record_identity(&self, identity: &Identity) {
         if identity.id != self.me.id {
             self.lock().record_identity(identity);
         }
     }
 
-    /// Takes over the registrations in the key-value service.
+    /// Sets which entry instances are registered in the key-value service.
     pub fn set_registered(&self, identities: &[Identity]) {
         let mut table = self.lock();
         for identity in identities.iter().filter(|identity| identity.id != self.me.id) {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Removes an entry instance that leaves.
+    /// Removes an entry instance that leaves, and rejects later heartbeats of its run.
     pub fn record_leave(&self, id: &InstanceId, incarnation: Incarnation) {
         let mut table = self.lock();
         if table.entries.get(id).is_some_and(|entry| entry.heartbeat.incarnation <= incarnation) {
@@ -226,7 +229,8 @@
         table.departures.insert(id.clone(), Departure { incarnation, at: Instant::now() });
     }
 
-    /// Entry instances known with their addresses, this one first.
+    /// Returns the entry instances with a known address and their configuration versions, this one
+    /// first.
     pub fn known(&self) -> Vec<(Identity, Version)> {
         let table = self.lock();
         let own = (self.me.clone(), table.own.config_version);
@@ -234,12 +238,12 @@
         std::iter::once(own).chain(others).collect()
     }
 
-    /// To whom this entry instance reports now.
+    /// Returns the targets to which this entry instance reports now.
     pub fn targets(&self) -> BTreeSet<Target> {
         targets(&self.me.id, &self.me.zone, &self.lock().members())
     }
 
-    /// Addresses of a target, the first choice first.
+    /// Returns the addresses of a target in order of preference.
     pub fn addresses(&self, target: &Target) -> Vec<SocketAddr> {
         let table = self.lock();
         let ids = match target {
@@ -254,8 +258,8 @@
         ids.iter().filter_map(|id| table.entries.get(id)?.address).collect()
     }
 
-    /// Whether this entry instance is one of those that read the configuration often: the first
-    /// choices among all live ones, so that each part of a partition has its own.
+    /// Returns whether this entry instance is one of those that read the configuration often. They
+    /// are chosen among the live ones, so that each side of a network partition has its own.
     pub fn is_config_reader(&self) -> bool {
         let live = self.live(None).into_iter();
         let members: Vec<Member> =
@@ -265,8 +269,8 @@
         readers.into_iter().any(|member| member.id == self.me.id)
     }
 
-    /// What to report to a target: to the own zone this entry instance and those heard from other
-    /// zones, to another zone those of the own zone.
+    /// Returns the heartbeats to report to a target. A target in the own zone gets the own one and
+    /// those of other zones received directly; another zone gets those of the own zone.
     pub fn outgoing(&self, target: &Target) -> Vec<Heartbeat> {
         let table = self.lock();
         let route = match target {
@@ -279,7 +283,7 @@
         std::iter::once(table.own.clone()).chain(relayed).collect()
     }
 
-    /// Live entry instances of a zone, or of all, this one included.
+    /// Returns the live entry instances of a zone, or of all zones, this one included.
     pub fn live(&self, zone: Option<&ZoneId>) -> Vec<LiveEntry> {
         let table = self.lock();
         let others = table.entries.values().filter(|entry| entry.is_live());
@@ -294,7 +298,7 @@
             .collect()
     }
 
-    /// Requests at each live entry instance, this one first.
+    /// Returns the usage of each live entry instance, this one first.
     pub fn usages(&self) -> Vec<(InstanceId, Arc<Usage>)> {
         let table = self.lock();
         let others = table.entries.values().filter(|entry| entry.is_live());
@@ -302,8 +306,8 @@
         all.map(|heartbeat| (heartbeat.id.clone(), heartbeat.usage.clone())).collect()
     }
 
-    /// Which version each entry instance has in force, as far as known. Those that have neither
-    /// been heard lately nor are registered are left out.
+    /// Returns the last known configuration version of each entry instance. Those that are neither
+    /// live nor registered are left out.
     pub fn confirmations(&self) -> Confirmations {
         let table = self.lock();
         let own = Confirmation {
--- a/crates/membership/src/usage.rs
+++ b/crates/membership/src/usage.rs
@@ -10,45 +10,45 @@
 pub struct QueueId {
     /// Service of the queue.
     pub service: ServiceId,
-    /// Team whose requests stand in the queue.
+    /// Team whose requests are in the queue.
     pub team: TeamId,
 }
 
 /// Requests of one team for one service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TeamUsage {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
 impl TeamUsage {
-    /// Requests that would run if nothing held them back.
+    /// Returns the number of requests that would run without limits.
     pub fn demand(self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
 }
 
-/// Requests at one entry instance.
+/// Running and waiting requests at one entry instance.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Requests by queue; queues without any are left out.
+    /// Requests of each queue; empty queues are left out.
     pub queues: BTreeMap<QueueId, TeamUsage>,
-    /// Running requests by backend server; those without any are left out.
+    /// Running requests on each backend server; servers without any are left out.
     pub instances: BTreeMap<InstanceId, u32>,
-    /// Number of the fleet document on which the entry instance acts, read before the counts.
+    /// Number of the fleet document that the entry instance applies, read before the counts.
     pub fleet_number: u64,
-    /// Running requests by backend server that takes no new work; those without any are left out.
+    /// Running requests on each draining backend server; servers without any are left out.
     pub draining: BTreeMap<InstanceId, u32>,
-    /// Failing instances.
+    /// Symptoms of failing backend servers.
     pub symptoms: BTreeMap<InstanceId, Symptom>,
-    /// Whether the key-value service answered the entry instance lately.
+    /// Whether the entry instance can reach the key-value service.
     pub store_reachable: bool,
 }
 
 impl Usage {
-    /// Waiting requests of each team over all services.
+    /// Returns the waiting requests of each team over all services.
     pub fn waiting_by_team(&self) -> BTreeMap<TeamId, u32> {
         let mut waiting = BTreeMap::new();
         for (queue, usage) in &self.queues {
@@ -58,8 +58,8 @@
     }
 }
 
-/// Tells the requests that run and wait at this entry instance.
+/// Source of the running and waiting requests at this entry instance.
 pub trait UsageSource: Clone + Send + Sync + 'static {
-    /// Requests at this moment.
+    /// Returns the requests at this moment.
     fn usage(&self) -> Usage;
 }
