--- a/crates/membership/src/config_sync.rs
+++ b/crates/membership/src/config_sync.rs
@@ -1,4 +1,5 @@
-//! Spread of the operators' configuration: from the key-value service and from peers.
+//! Receives the operators' configuration from the key-value service and from peers and puts it in
+//! force.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,25 +19,25 @@
 
 /// Log target of this module, which operators' filters name.
 const LOG_TARGET: &str = "cassiafold_membership::spread";
-/// Longest time between two reads of an entry instance that reads often.
+/// Longest time between two reads by an entry instance that reads the configuration often.
 const READER_REREAD_INTERVAL: Duration = Duration::from_secs(4);
-/// Longest time between two reads of any other.
+/// Longest time between two reads by any other entry instance.
 const OTHER_REREAD_INTERVAL: Duration = Duration::from_secs(60);
 const RETRY_MIN: Duration = Duration::from_millis(200);
 const RETRY_MAX: Duration = Duration::from_secs(5);
 
-/// Why a configuration was not taken over.
+/// Reason why a configuration was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigSyncError {
-    /// The document is not the expected JSON.
+    /// The document is not valid JSON of the expected structure.
     #[error("configuration is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The configuration has faults.
+    /// The configuration is invalid.
     #[error("configuration has faults: {0}")]
     Faults(#[from] Faults),
 }
 
-/// Counts of offered configurations.
+/// Counters of offered configurations.
 #[derive(Debug, Default)]
 struct Counts {
     adopted: AtomicU64,
@@ -44,18 +45,18 @@
     malformed: AtomicU64,
 }
 
-/// Counts of offered configurations at one moment.
+/// Snapshot of the counters of offered configurations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConfigSyncCounts {
     /// Configurations put in force.
     pub adopted: u64,
-    /// Configurations refused as lower than the one in force.
+    /// Configurations rejected because their version is lower than the one in force.
     pub stale: u64,
-    /// Configurations that could not be understood.
+    /// Configurations that are malformed or invalid.
     pub malformed: u64,
 }
 
-/// Offers configurations to this process. Clones share the counts.
+/// Puts received configurations in force in this process. Clones share the counters.
 #[derive(Debug, Clone)]
 pub struct ConfigSync {
     active: ActiveConfig,
@@ -63,17 +64,17 @@
 }
 
 impl ConfigSync {
-    /// Offers to `active`.
+    /// Creates a `ConfigSync` that offers configurations to `active`.
     pub fn new(active: ActiveConfig) -> Self {
         Self { active, counts: Arc::default() }
     }
 
-    /// Version in force; zero before the first configuration is known.
+    /// Returns the version in force; zero before the first configuration.
     pub fn version(&self) -> Version {
         self.active.version()
     }
 
-    /// Counts so far.
+    /// Returns the present counts.
     pub fn counts(&self) -> ConfigSyncCounts {
         ConfigSyncCounts {
             adopted: self.counts.adopted.load(Ordering::Relaxed),
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Offers a document. A version lower than the one in force is refused, counted and logged.
+    /// Offers a document received from `source`. A version lower than the one in force is rejected,
+    /// counted and logged.
     pub fn offer(&self, document: &[u8], source: &str) -> Result<Offer, ConfigSyncError> {
         let config = match parse(document) {
             Ok(config) => config,
@@ -114,7 +116,7 @@
         Ok(offer)
     }
 
-    /// The configuration in force as JSON if its version is higher than `after`.
+    /// Returns the configuration in force as JSON if its version is higher than `after`.
     pub fn document(&self, after: Version) -> Option<(Version, Vec<u8>)> {
         let config = self.active.load().filter(|config| config.version > after)?;
         let document = serde_json::to_vec(&RawConfig::from(&*config)).ok()?;
@@ -129,8 +131,8 @@
 
 const STORE_SOURCE: &str = "key-value service";
 
-/// Follows the configuration in the key-value service: by watch, and by a read now and then in
-/// case the watch has gone silent. Ends with the task that runs it.
+/// Follows the configuration in the key-value service with a watch. Also rereads it at intervals, in
+/// case the watch no longer delivers changes. Runs until its task is aborted.
 pub async fn follow<S: Store>(
     store: S,
     config_sync: ConfigSync,
@@ -177,7 +179,8 @@
     Ok(())
 }
 
-/// Few entry instances read often; what they read, the others learn from them.
+/// Returns the longest time until the next read. Only a few entry instances read often; the others
+/// receive new configurations from them.
 fn reread_interval(roster: &Roster) -> Duration {
     if roster.is_config_reader() { READER_REREAD_INTERVAL } else { OTHER_REREAD_INTERVAL }
 }
--- a/crates/membership/src/control.rs
+++ b/crates/membership/src/control.rs
@@ -35,8 +35,8 @@
 /// One term of holding the control role.
 #[derive(Debug, Clone)]
 pub struct ControlTerm {
-    /// Revision at which the role was acquired. It rises from term to term, so it can serve as a
-    /// fencing token.
+    /// Revision at which the role was acquired. It rises from term to term, so it orders the
+    /// terms.
     pub revision: Revision,
     validity: LeaseValidity,
 }
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -20,13 +20,13 @@
 use crate::identity::Identity;
 use crate::roster::Roster;
 
-/// Prefix of the keys of registrations.
+/// Prefix of the registration keys.
 pub const ENTRIES_PREFIX: &str = "cassiafold/entries/";
-/// Time between two reads of all registrations, in case a watch has gone silent.
+/// Interval at which all registrations are read again, in case a watch no longer delivers changes.
 const RELIST_INTERVAL: Duration = Duration::from_secs(30);
 const RETRY_MIN: Duration = Duration::from_millis(200);
 const RETRY_MAX: Duration = Duration::from_secs(5);
-/// Wait between two looks at a registration held by another run of the same instance.
+/// Interval at which a registration held by a later run of the same instance is checked again.
 const IN_USE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Stored registration of an entry instance.
@@ -65,7 +65,7 @@
     }
 }
 
-/// Keeps this entry instance registered until `stop`; then ends the registration.
+/// Keeps this entry instance registered until `stop`; then deletes the registration.
 pub async fn register<S: Store>(
     store: S,
     me: Identity,
@@ -103,7 +103,8 @@
     }
 }
 
-/// Writes the registration. A lost answer is settled by reading it back: the lease in it is new.
+/// Writes the registration. An unknown outcome is resolved by reading the key: the lease identifies
+/// this write, as it is new.
 async fn put<S: Store>(store: &S, me: &Identity, lease: LeaseId) -> Result<(), StoreError> {
     let key = format!("{ENTRIES_PREFIX}{}", me.id);
     let registration = Registration::new(me, lease);
@@ -131,8 +132,8 @@
     }
 }
 
-/// Follows the registrations of all entry instances. While the service cannot be reached the last
-/// known ones stay. Ends with the task that runs it.
+/// Follows the registrations of all entry instances. While the service is unreachable, the last
+/// known ones are kept. Runs until its task is aborted.
 pub async fn follow<S: Store>(store: S, roster: Roster, contact: StoreContact) {
     let mut backoff = Backoff::new(RETRY_MIN, RETRY_MAX);
     loop {
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! One entry instance as a member of the fleet: the tasks of this package and how they are joined.
+//! Membership of one entry instance in the fleet: starts and stops the tasks of this crate.
 
 use std::io;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 
 /// Time between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for one task at the end.
+/// Longest wait for one task on close.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Settings of the membership of one entry instance.
@@ -35,9 +35,9 @@
     pub identity: Identity,
     /// Time to live of leases in the key-value service.
     pub lease_ttl: Duration,
-    /// Times of the escrow.
+    /// Durations of the escrow.
     pub escrow: EscrowSettings,
-    /// Connections with the others.
+    /// Connections to other entry instances.
     pub peers: PeersSettings,
 }
 
@@ -59,23 +59,23 @@
     }
 }
 
-/// Numbers a run by its start, in microseconds since the Unix epoch.
+/// Returns the incarnation number of a run: its start in microseconds since the Unix epoch.
 pub fn incarnation(started: SystemTime) -> Incarnation {
     started.duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// Whether an entry instance takes new requests, as the others are told.
+/// Switch that sets whether this entry instance reports that it takes new requests.
 #[derive(Debug, Clone)]
 pub struct Readiness(Arc<AtomicBool>);
 
 impl Readiness {
-    /// Changes what the others are told.
+    /// Sets whether this entry instance reports that it takes new requests.
     pub fn set(&self, ready: bool) {
         self.0.store(ready, Ordering::Relaxed);
     }
 }
 
-/// One entry instance as a member of the fleet.
+/// Membership of one entry instance in the fleet.
 #[derive(Debug)]
 pub struct Membership {
     escrow: Escrow,
@@ -92,8 +92,9 @@
 }
 
 impl Membership {
-    /// Joins the fleet. `listener` takes the calls of the other entry instances at the address in
-    /// `settings`; `config` gets the configurations; `usage` tells the requests of this instance.
+    /// Joins the fleet. `listener` accepts connections of other entry instances at the address in
+    /// `settings`; received configurations are put in force in `config`; `usage` provides the
+    /// usage of this entry instance.
     pub fn start<S: Store, U: UsageSource>(
         settings: MembershipSettings,
         listener: TcpListener,
@@ -154,63 +155,63 @@
         })
     }
 
-    /// Permits within the upper limits of teams.
+    /// Returns the source of permits within the upper limits of teams.
     pub fn escrow(&self) -> Escrow {
         self.escrow.clone()
     }
 
-    /// Shares of teams over all entry instances.
+    /// Returns the shares of teams over all entry instances.
     pub fn shares(&self) -> Shares {
         self.shares.clone()
     }
 
-    /// The control role.
+    /// Returns the state of the control role.
     pub fn control(&self) -> ControlLease {
         self.control.clone()
     }
 
-    /// The table of all entry instances.
+    /// Returns the table of all entry instances.
     pub fn roster(&self) -> Roster {
         self.roster.clone()
     }
 
-    /// Which configuration version each entry instance has in force.
+    /// Returns the configuration version that each entry instance has in force.
     pub fn confirmations(&self) -> Confirmations {
         self.roster.confirmations()
     }
 
-    /// Live entry instances of a zone, or of all.
+    /// Returns the live entry instances of a zone, or of all zones.
     pub fn live(&self, zone: Option<&ZoneId>) -> Vec<LiveEntry> {
         self.roster.live(zone)
     }
 
-    /// Counts of offered configurations.
+    /// Returns the counts of offered configurations.
     pub fn config_sync_counts(&self) -> ConfigSyncCounts {
         self.config_sync.counts()
     }
 
-    /// When the key-value service last answered.
+    /// Returns the record of when the key-value service last responded.
     pub fn store_contact(&self) -> StoreContact {
         self.contact.clone()
     }
 
-    /// Bytes and calls between this entry instance and the others.
+    /// Returns the counters of bytes and calls between this entry instance and others.
     pub fn traffic(&self) -> Traffic {
         self.peers.traffic()
     }
 
-    /// Switch that tells the others whether this entry instance takes new requests.
+    /// Returns the switch for whether this entry instance reports that it takes new requests.
     pub fn ready(&self) -> Readiness {
         Readiness(self.ready.clone())
     }
 
-    /// Tells the others whether this entry instance takes new requests.
+    /// Sets whether this entry instance reports that it takes new requests.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    /// Leaves the fleet: gives back slices, registration and control role, and tells the peers.
-    /// Call it when no request runs any more; slices of requests that run return later.
+    /// Leaves the fleet: releases slices, registration and control role, and notifies the peers.
+    /// Call it when no requests are running; tokens of running requests become free only later.
     pub async fn close(self) {
         for task in &self.background {
             task.abort();
@@ -222,7 +223,7 @@
     }
 }
 
-/// Raises the heartbeat at an interval and when a configuration comes in force.
+/// Advances the heartbeat at an interval and whenever a configuration is put in force.
 async fn run_heartbeat<U: UsageSource>(
     roster: Roster,
     config: ActiveConfig,
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -1,5 +1,5 @@
-//! Connections with other entry instances, on a thread of their own: Cap'n Proto objects stay on
-//! the thread that made them.
+//! Connections to other entry instances. They run on a thread of their own, as Cap'n Proto objects
+//! cannot leave the thread that created them.
 
 mod client;
 mod connection;
@@ -27,19 +27,19 @@
 use crate::relay::Target;
 use crate::roster::Roster;
 
-/// How often the targets are chosen anew.
+/// Interval at which the targets are updated.
 const TARGETS_INTERVAL: Duration = Duration::from_millis(500);
-/// Wait for the tasks of peers to say that this entry instance leaves.
+/// Longest wait on close until all peers are notified that this entry instance leaves.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Times and first addresses of the connections.
+/// Settings of the connections.
 #[derive(Debug, Clone)]
 pub struct PeersSettings {
     /// Longest time between two reports to a peer.
     pub report_interval: Duration,
     /// Timeout of a call.
     pub call_timeout: Duration,
-    /// Addresses of entry instances to ask when no other is known.
+    /// Addresses of entry instances to contact while no other is known.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// What the tasks of all connections share.
+/// State that the tasks of all connections share.
 #[derive(Debug, Clone)]
 struct Context {
     roster: Roster,
@@ -64,7 +64,7 @@
     stop: CancellationToken,
 }
 
-/// The thread with the connections to other entry instances.
+/// Handle of the thread that runs the connections to other entry instances.
 #[derive(Debug)]
 pub struct Peers {
     thread: JoinHandle<()>,
@@ -73,7 +73,7 @@
 }
 
 impl Peers {
-    /// Takes calls on `listener` and reports to the targets that `roster` chooses.
+    /// Accepts connections on `listener` and reports to the targets that `roster` chooses.
     pub fn start(
         listener: TcpListener,
         settings: PeersSettings,
@@ -96,19 +96,19 @@
         let run = move || {
             let connections = run(listener, context);
             if let Err(error) = runtime.block_on(LocalSet::new().run_until(connections)) {
-                log::error!("connections between entry instances ended: {error}");
+                log::error!("connections to other entry instances stopped: {error}");
             }
         };
         let thread = std::thread::Builder::new().name("peers".into()).spawn(run)?;
         Ok(Self { thread, traffic, stop })
     }
 
-    /// Counts of bytes and calls.
+    /// Returns the counters of bytes and calls.
     pub fn traffic(&self) -> Traffic {
         self.traffic.clone()
     }
 
-    /// Tells the peers that this entry instance leaves, and ends the connections.
+    /// Notifies the peers that this entry instance leaves, and closes the connections.
     pub async fn close(self) {
         self.stop.cancel();
         let _ = tokio::task::spawn_blocking(move || self.thread.join()).await;
@@ -133,7 +133,7 @@
     Ok(())
 }
 
-/// Starts a task for each new target and ends those of former ones.
+/// Starts a task for each new target and aborts those of removed ones.
 fn follow_targets(tasks: &mut BTreeMap<Target, tokio::task::JoinHandle<()>>, context: &Context) {
     let targets = context.roster.targets();
     tasks.retain(|target, task| {
--- a/crates/membership/src/peers/client.rs
+++ b/crates/membership/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Reports to other entry instances: one task for each.
+//! Reports to other entry instances, with one task for each target.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -21,21 +21,22 @@
 use crate::exchange::ReportEncoder;
 use crate::relay::Target;
 
-/// Wait for the own watch before a newer configuration is asked from a peer.
+/// Delay before a newer configuration is requested from a peer, so that the local watch can
+/// deliver it first.
 const PULL_DELAY: Duration = Duration::from_millis(200);
-/// Least time between two reports to one peer.
+/// Shortest time between two reports to one peer.
 const REPORT_SPACING: Duration = Duration::from_millis(50);
 const RETRY_MIN: Duration = Duration::from_millis(200);
 const RETRY_MAX: Duration = Duration::from_secs(5);
-/// Wait for the answer to a leave.
+/// Timeout of a leave call.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a session with a peer ended.
+/// Reason why a session with a peer ended.
 #[derive(Debug, thiserror::Error)]
 enum SessionError {
     #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
-    #[error("no answer before the timeout")]
+    #[error("timed out")]
     Timeout(#[from] tokio::time::error::Elapsed),
     #[error("{0}")]
     Call(#[from] capnp::Error),
@@ -43,7 +44,7 @@
     Wire(#[from] WireError),
 }
 
-/// Reports to a target until the entry instance stops.
+/// Reports to a target until this entry instance stops.
 pub(super) async fn report_to(target: Target, context: Context) {
     let mut backoff = Backoff::new(RETRY_MIN, RETRY_MAX);
     let mut failures = 0;
@@ -67,7 +68,7 @@
     }
 }
 
-/// Asks the seeds for the other entry instances until one is known.
+/// Queries the seeds for other entry instances and a configuration while either is unknown.
 pub(super) async fn discover_entries(seeds: Vec<SocketAddr>, context: Context) {
     let mut backoff = Backoff::new(RETRY_MIN, RETRY_MAX);
     loop {
@@ -135,7 +136,8 @@
         Ok(Self { client, system: spawn_local(system) })
     }
 
-    /// Introduces this entry instance, learns the others and returns the version in force there.
+    /// Introduces this entry instance, records the entry instances that the peer knows and returns
+    /// the configuration version in force there.
     async fn hello(&self, context: &Context) -> Result<Version, SessionError> {
         let mut request = self.client.hello_request();
         let hello = hello_of(context.roster.me(), context.config_sync.version());
@@ -169,7 +171,7 @@
         Ok(response.get()?.get_config_version())
     }
 
-    /// Takes the configuration in force at the peer if it is still newer after a short wait.
+    /// Fetches the configuration from the peer if it is still newer after [`PULL_DELAY`].
     async fn pull(&self, context: &Context, version: Version) -> Result<(), SessionError> {
         let own = context.config_sync.version();
         if version <= own {
@@ -202,7 +204,7 @@
     }
 }
 
-/// Waits for an answer with the deadline of calls.
+/// Waits for a response within the call timeout.
 async fn call<T>(context: &Context, response: Promise<T, capnp::Error>) -> Result<T, SessionError> {
     let result = timeout(context.settings.call_timeout, response).await;
     context.traffic.count_call(matches!(result, Ok(Ok(_))));
--- a/crates/membership/src/peers/connection.rs
+++ b/crates/membership/src/peers/connection.rs
@@ -9,7 +9,8 @@
 
 use super::traffic::Traffic;
 
-/// Joins a TCP connection to an RPC system on `side`, which offers `bootstrap` to the other side.
+/// Creates an RPC system on a TCP connection. This process acts as `side` and offers `bootstrap` to
+/// the other side.
 pub(super) fn rpc_system(
     stream: TcpStream,
     side: Side,
--- a/crates/membership/src/peers/server.rs
+++ b/crates/membership/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Calls of other entry instances.
+//! Serves calls of other entry instances.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,12 +21,12 @@
 
 /// Time without a call after which a connection is closed.
 const IDLE_MAX: Duration = Duration::from_secs(30);
-/// Most connections at once.
+/// Most open connections; further ones are closed.
 const CONNECTIONS_MAX: usize = 512;
-/// Wait after a failed accept, which may be short of file descriptors.
+/// Delay after a failed accept, for instance for lack of file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
-/// Takes connections for as long as it is polled.
+/// Accepts connections until its task ends.
 pub(super) async fn serve(listener: TcpListener, context: Context) {
     let open = Rc::new(Cell::new(0));
     loop {
@@ -59,14 +59,14 @@
     }
 }
 
-/// Completes when there has been no call for long.
+/// Completes when there has been no call for [`IDLE_MAX`].
 async fn idle(last_call: &Cell<Instant>) {
     while last_call.get().elapsed() < IDLE_MAX {
         tokio::time::sleep_until(last_call.get() + IDLE_MAX).await;
     }
 }
 
-/// Answers the calls of one connection.
+/// Handles the calls of one connection.
 struct PeerServer {
     context: Context,
     caller: RefCell<Option<Hello>>,
--- a/crates/membership/src/peers/traffic.rs
+++ b/crates/membership/src/peers/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes between entry instances.
+//! Counts bytes and calls between entry instances.
 
 use std::io;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes and calls between this entry instance and the others. Clones share the counts.
+/// Counters of bytes and calls between this entry instance and others. Clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
     counts: Arc<Counts>,
@@ -23,22 +23,22 @@
 }
 
 impl Traffic {
-    /// Bytes sent, without those of TCP and IP headers.
+    /// Returns the bytes sent, without TCP and IP headers.
     pub fn sent_bytes(&self) -> u64 {
         self.counts.sent_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bytes received, without those of TCP and IP headers.
+    /// Returns the bytes received, without TCP and IP headers.
     pub fn received_bytes(&self) -> u64 {
         self.counts.received_bytes.load(Ordering::Relaxed)
     }
 
-    /// Calls made to other entry instances.
+    /// Returns the number of calls made to other entry instances.
     pub fn calls(&self) -> u64 {
         self.counts.calls.load(Ordering::Relaxed)
     }
 
-    /// Calls that failed or were not answered in time.
+    /// Returns the number of calls that failed or timed out.
     pub fn failed_calls(&self) -> u64 {
         self.counts.failed_calls.load(Ordering::Relaxed)
     }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Counts what goes through `inner`.
+    /// Wraps `inner` in a stream that counts its bytes.
     pub(super) fn counted<T>(&self, inner: T) -> Counted<T> {
         Counted { inner, traffic: self.clone() }
     }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -30,7 +30,7 @@
 pub enum Route {
     /// Directly, from an entry instance in the own zone.
     SameZone,
-    /// From the relay of another zone.
+    /// From an entry instance of another zone.
     OtherZone,
     /// Relayed by an entry instance of the own zone that received them from another zone.
     Relayed,
--- a/crates/membership/src/shares.rs
+++ b/crates/membership/src/shares.rs
@@ -1,4 +1,5 @@
-//! Shares of teams over all entry instances: weighted max-min, and local weights towards it.
+//! Shares of teams over all entry instances: weighted max-min fairness, and the local weights that
+//! approximate it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,20 +9,20 @@
 use crate::roster::Roster;
 use crate::usage::{TeamUsage, Usage};
 
-/// Smallest weight, so that a team without a known demand is not shut out.
+/// Smallest weight, so that a team without a known demand is not starved.
 const WEIGHT_MIN: f64 = 1e-3;
 
-/// What one team asks of a service.
+/// Demand of one team for a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TeamDemand {
-    /// Weight of the team when all is full.
+    /// Weight of the team when the service is at capacity.
     pub share: f64,
-    /// Requests that would run if nothing held them back, within the upper limit.
+    /// Number of requests that would run without contention, within the upper limit.
     pub demand: f64,
 }
 
-/// Divides `capacity` by weighted max-min: no team gets more than its demand, and what one leaves
-/// goes to the others in proportion to their shares.
+/// Divides `capacity` by weighted max-min fairness: no team gets more than its demand, and unused
+/// capacity goes to the others in proportion to their shares.
 pub fn water_fill(capacity: f64, teams: &[TeamDemand]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..teams.len()).filter(|team| teams[*team].share > 0.0).collect();
     let level = |team: usize| teams[team].demand / teams[team].share;
@@ -38,19 +39,20 @@
     parts
 }
 
-/// What one team should get.
+/// Target of one team and its local weight.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamWeight {
     /// The team.
     pub team: TeamId,
-    /// Requests of the team that should run in the whole service.
+    /// Number of the team's requests that should run in the whole service.
     pub target: f64,
-    /// Part of `target` that falls to this entry instance: the weight of the team's queue here.
+    /// Part of `target` for this entry instance, used as the weight of the team's queue here.
     pub weight: f64,
 }
 
-/// Weights of the teams at one entry instance. `local` is its own usage of the service and `total`
-/// that of all entry instances, its own included; `capacity` is what the service runs at once.
+/// Returns the weights of the teams at one entry instance. `local` is its own usage of the service
+/// and `total` that of all entry instances, its own included; `capacity` is the number of requests
+/// that the service runs concurrently.
 ///
 /// The target of a team is divided among the entry instances in proportion to the demand at each.
 pub fn weights(
@@ -80,18 +82,19 @@
         .collect()
 }
 
-/// Slots that an entry instance should take when the service is full: the sum of its weights.
+/// Returns the number of slots that an entry instance should take when the service is at capacity:
+/// the sum of its weights.
 pub fn slots_target(weights: &[TeamWeight]) -> u32 {
     weights.iter().map(|weight| weight.weight).sum::<f64>().round() as u32
 }
 
-/// Usage of one service by team.
+/// Returns the usage of one service by team.
 pub fn service_usage(usage: &Usage, service: &ServiceId) -> BTreeMap<TeamId, TeamUsage> {
     let queues = usage.queues.iter().filter(|(queue, _)| queue.service == *service);
     queues.map(|(queue, usage)| (queue.team.clone(), *usage)).collect()
 }
 
-/// Sum of the usage of several entry instances.
+/// Returns the sum of the usage of several entry instances.
 pub fn sum<'a>(
     usages: impl IntoIterator<Item = &'a BTreeMap<TeamId, TeamUsage>>,
 ) -> BTreeMap<TeamId, TeamUsage> {
@@ -104,7 +107,7 @@
     total
 }
 
-/// Shares from the usage that entry instances exchange. Cheap to clone.
+/// Computes shares from the usage that entry instances exchange. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Shares {
     roster: Roster,
@@ -112,13 +115,13 @@
 }
 
 impl Shares {
-    /// Shares over the live entry instances of `roster`.
+    /// Creates shares over the live entry instances of `roster`.
     pub fn new(roster: Roster, config: ActiveConfig) -> Self {
         Self { roster, config }
     }
 
-    /// Weights of the teams for a service that runs `capacity` requests at once. `local` is the
-    /// usage of this entry instance at this moment.
+    /// Returns the weights of the teams for a service that runs `capacity` requests concurrently.
+    /// `local` is the usage of this entry instance at this moment.
     pub fn weights(&self, service: &ServiceId, capacity: u32, local: &Usage) -> Vec<TeamWeight> {
         let Some(config) = self.config.load() else { return Vec::new() };
         let here = service_usage(local, service);
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,12 +1,12 @@
-//! Why a message was refused.
+//! Errors of rejected messages.
 
-/// Why a message was refused.
+/// Reason why a message was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The message is not valid Cap'n Proto or breaks a bound of its reader.
+    /// The message is not valid Cap'n Proto or exceeds a limit of the reader.
     #[error("malformed message: {0}")]
     Malformed(#[from] capnp::Error),
-    /// A text is not valid UTF-8.
+    /// A text field is not valid UTF-8.
     #[error("text is not valid UTF-8: {0}")]
     Text(#[from] std::str::Utf8Error),
     /// An address is not an IP address with a port.
@@ -17,19 +17,19 @@
     IdLength {
         /// Field of the message.
         field: &'static str,
-        /// Length found.
+        /// Length in bytes.
         bytes: usize,
     },
     /// A configuration document is too long.
     #[error("configuration document has {0} bytes")]
     DocumentLength(usize),
-    /// A table of names would grow beyond its bound.
+    /// A table of names would exceed its size limit.
     #[error("table of names would have {0} names")]
     Names(usize),
-    /// A position lies outside the table of names.
+    /// A position is outside the table of names.
     #[error("position {0} is outside the table of names")]
     Position(u16),
-    /// The peer speaks another version of the protocol.
+    /// The peer uses an unsupported version of the protocol.
     #[error("protocol version {0} is not supported")]
     ProtocolVersion(u16),
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! The inner protocol between entry instances.
+//! The protocol between entry instances.
 //!
-//! - [`message`]: typed messages, checked when read.
-//! - [`limits`]: bounds on what a peer may send.
+//! - [`message`]: typed messages, validated when read.
+//! - [`limits`]: limits on messages from peers.
 //! - [`peer_capnp`]: generated from `schema/peer.capnp` by `scripts/generate-wire.sh`.
 
 pub mod error;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! Typed messages and their Cap'n Proto form.
+//! Typed messages and their Cap'n Proto encoding.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
     self, config_document, entry_report, hello, instance_symptom, instance_usage, leave, report,
 };
 
-/// Introduces an entry instance.
+/// Introduces an entry instance to a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Hello {
     /// Identifier of the entry instance.
@@ -22,23 +22,23 @@
     pub region: RegionId,
     /// Configuration version in force there.
     pub config_version: Version,
-    /// Number of the run of the instance.
+    /// Incarnation number of its run.
     pub incarnation: u64,
-    /// Address at which it takes calls.
+    /// Address at which it accepts connections.
     pub address: SocketAddr,
 }
 
-/// A team's requests for one service. Names are positions in the table of the connection; counts
-/// above the width saturate.
+/// A team's requests for one service. Names are sent as positions in the table of the connection;
+/// counts saturate at the maximum of their type.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueUsage {
     /// Position of the service's name.
     pub service: u16,
     /// Position of the team's name.
     pub team: u16,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u16,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u16,
 }
 
@@ -47,18 +47,18 @@
 pub struct InstanceUsage {
     /// Position of the backend server's name.
     pub instance: u16,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u16,
 }
 
-/// How an instance fails, as one entry instance sees it.
+/// Failure of a backend server as one entry instance observes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Symptom {
     /// It refuses connections or cannot be reached.
     Unreachable,
-    /// It takes requests and does not answer.
+    /// It accepts requests and does not respond.
     Hanging,
-    /// It fails every request that it starts.
+    /// Every request that it starts fails.
     FailingAll,
 }
 
@@ -82,10 +82,10 @@
     }
 }
 
-/// A failing instance.
+/// A failing backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstanceSymptom {
-    /// Position of the instance's name.
+    /// Position of the backend server's name.
     pub instance: u16,
     /// How it fails.
     pub symptom: Symptom,
@@ -98,40 +98,40 @@
     pub entry: u16,
     /// Position of its zone's name.
     pub zone: u16,
-    /// Number of its run.
+    /// Incarnation number of its run.
     pub incarnation: u64,
-    /// Raised with each heartbeat.
+    /// Sequence number of the heartbeat, raised with each one.
     pub heartbeat: u64,
     /// Configuration version in force there.
     pub config_version: Version,
     /// Whether it takes new requests.
     pub ready: bool,
-    /// Queues that changed.
+    /// Queues whose usage changed.
     pub queues: Vec<QueueUsage>,
     /// Backend servers whose running requests changed.
     pub instances: Vec<InstanceUsage>,
-    /// Number of the fleet document on which it acts.
+    /// Number of the fleet document that it applies.
     pub fleet_number: u64,
-    /// Requests on backend servers that take no new work.
+    /// Running requests on draining backend servers.
     pub draining: Vec<InstanceUsage>,
-    /// Failing instances.
+    /// Failing backend servers.
     pub symptoms: Vec<InstanceSymptom>,
-    /// Whether the key-value service answered it lately.
+    /// Whether it can reach the key-value service.
     pub store_reachable: bool,
 }
 
-/// What an entry instance reports to a peer.
+/// Report of an entry instance to a peer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Report {
     /// Names appended to the table of the connection.
     pub names: Vec<Arc<str>>,
     /// Highest revision of the ledger of upper limits known to the sender.
     pub ledger_revision: u64,
-    /// Reports of the sender and of those for whom it relays.
+    /// Reports of the sender and of the entry instances for which it relays.
     pub entries: Vec<EntryReport>,
 }
 
-/// A numbered configuration as JSON; empty where the callee has nothing newer.
+/// A versioned configuration as JSON; the document is empty if the callee has no newer one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigDocument {
     /// Version of the configuration.
@@ -140,12 +140,12 @@
     pub document: Vec<u8>,
 }
 
-/// An entry instance leaves.
+/// Notifies a peer that an entry instance leaves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leave {
     /// Identifier of the entry instance.
     pub id: InstanceId,
-    /// Number of its run.
+    /// Incarnation number of its run.
     pub incarnation: u64,
 }
 
