--- a/crates/membership/examples/fleet/counting.rs
+++ b/crates/membership/examples/fleet/counting.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of values between a client and the store.
+//! Store client that counts the bytes of keys and values.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,12 +9,12 @@
     WriteOutcome,
 };
 
-/// Bytes of keys and values between a client and the store.
+/// Counter of the bytes of keys and values between a client and the store.
 #[derive(Debug, Clone, Default)]
 pub struct StoreBytes(Arc<AtomicU64>);
 
 impl StoreBytes {
-    /// Bytes so far.
+    /// Returns the bytes counted so far.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -28,7 +28,7 @@
     }
 }
 
-/// A client of the store whose bytes are counted.
+/// A store client that counts bytes.
 #[derive(Debug, Clone)]
 pub struct CountingStore<S> {
     inner: S,
@@ -36,7 +36,7 @@
 }
 
 impl<S> CountingStore<S> {
-    /// Counts the bytes of `inner`.
+    /// Creates a client that counts the bytes of `inner`.
     pub fn new(inner: S, bytes: StoreBytes) -> Self {
         Self { inner, bytes }
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// A watch whose bytes are counted.
+/// A watch that counts bytes.
 #[derive(Debug)]
 pub struct CountingWatch<W> {
     inner: W,
--- a/crates/membership/examples/fleet/mod.rs
+++ b/crates/membership/examples/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! Entry instances in one process, over TCP on loopback, with a stand-in store that counts bytes.
+//! Runs entry instances in one process, over TCP on loopback, with an in-memory store and counters of
+//! store bytes.
 
 #![allow(dead_code, reason = "each example uses a part of this module")]
 
@@ -23,11 +24,11 @@
 /// Any failure of an example.
 pub type Error = Box<dyn std::error::Error + Send + Sync>;
 
-/// Longest wait for the entry instances to find each other.
+/// Longest wait until the entry instances know each other.
 const JOIN_MAX: Duration = Duration::from_secs(30);
 const LEASE_TTL: Duration = Duration::from_secs(10);
 
-/// Usage that an example sets.
+/// Source of a usage that the example sets.
 #[derive(Debug, Clone, Default)]
 pub struct SetUsage(Arc<Mutex<Usage>>);
 
@@ -46,21 +47,22 @@
 
 /// One entry instance.
 pub struct Entry {
-    /// Its name, which is the name of its client of the store.
+    /// Identifier, which is also the name of its store client.
     pub id: String,
-    /// Position of its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its tasks.
+    /// Its membership.
     pub membership: Membership,
     /// Its configuration.
     pub config: ActiveConfig,
-    /// Its requests.
+    /// Its usage.
     pub usage: SetUsage,
     /// Bytes between it and the store.
     pub store_bytes: StoreBytes,
 }
 
-/// Starts entry instances, spread over the zones in turn, and waits until all know each other.
+/// Starts entry instances, distributed round-robin over the zones, and waits until all know each
+/// other.
 pub async fn start(store: &MemoryStore, entries: usize, zones: usize) -> Result<Vec<Entry>, Error> {
     let mut fleet = Vec::new();
     for index in 0..entries {
@@ -69,7 +71,7 @@
     let end = Instant::now() + JOIN_MAX;
     while fleet.iter().any(|entry| entry.membership.live(None).len() < entries) {
         if Instant::now() > end {
-            return Err("the entry instances have not found each other".into());
+            return Err("the entry instances do not know each other in time".into());
         }
         sleep(Duration::from_millis(20)).await;
     }
@@ -101,13 +103,13 @@
     Ok(Entry { id, zone, membership, config, usage, store_bytes })
 }
 
-/// Ends all entry instances.
+/// Stops all entry instances.
 pub async fn close(fleet: Vec<Entry>) {
     let closing = fleet.into_iter().map(|entry| entry.membership.close());
     futures_util::future::join_all(closing).await;
 }
 
-/// A configuration document of the letter's shape with this many teams.
+/// Returns a configuration document with this many teams, in the form that the requirements state.
 pub fn document(version: u64, teams: usize, upper_limit: u32) -> Result<Vec<u8>, Error> {
     let names = (0..teams).map(team);
     let key_hash = "84d53ce2f18ae4856edfe631810f984b8c78bf3c0e136bac89e45642c5c85b37";
@@ -132,7 +134,7 @@
     name.bytes().fold(17, |hash, byte| hash.wrapping_mul(31).wrapping_add(u32::from(byte)))
 }
 
-/// Name of a team.
+/// Returns the name of a team.
 pub fn team(index: usize) -> String {
     format!("team-{index:03}")
 }
--- a/crates/membership/examples/shares.rs
+++ b/crates/membership/examples/shares.rs
@@ -1,10 +1,10 @@
-//! Prints how near teams come to their shares, before and after entry instances exchange usage.
+//! Prints the deviation of teams from their shares, before and after entry instances exchange usage.
 //!
-//! The model: a service has `capacity` slots. Entry instances take freed slots in proportion to
-//! their backlog, or each its even part, and divide them among the teams by local weights. Before
-//! the exchange the local weights are the teams' shares; after it they are those of
-//! `cassiafold_membership::shares::weights`. The error of a team is its distance from the central
-//! water-filling, as a part of that.
+//! In the model a service has `CAPACITY` slots. Entry instances take freed slots in proportion to
+//! their backlog, in equal parts or by their targets, and divide them among the teams by local
+//! weights. Before the exchange the local weights are the teams' shares; after it they are those of
+//! `cassiafold_membership::shares::weights`. The error of a team is its deviation from the result of
+//! central water-filling, relative to that result.
 //!
 //! `cargo run --release -p cassiafold-membership --example shares`
 
@@ -24,14 +24,14 @@
 const SHARES: [u32; 6] = [1, 1, 1, 1, 2, 2];
 const UPPER_LIMIT: u32 = 60;
 
-/// How entry instances come to slots.
+/// Division of slots among entry instances.
 #[derive(Debug, Clone, Copy)]
 enum Slots {
     /// In proportion to their backlog.
     Backlog,
-    /// An even part each.
+    /// In equal parts.
     Even,
-    /// What the targets of their teams add up to.
+    /// By the sum of the local targets of their teams.
     Target,
 }
 
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Demand of each team at each entry instance.
+/// Returns the named scenarios with the demand of each team at each entry instance.
 fn scenarios() -> Vec<(&'static str, Demands)> {
     let even = vec![vec![6; SHARES.len()]; ENTRIES];
     let mut one_entry = vec![vec![6; SHARES.len()]; ENTRIES];
@@ -115,7 +115,7 @@
     water_fill(f64::from(CAPACITY), &demands)
 }
 
-/// Slots of each entry instance; none has more than its backlog, and what one leaves goes on.
+/// Returns the slots of each entry instance. None exceeds its backlog; unused slots go to the others.
 fn capacities(demands: &Demands, weights: &[Vec<f64>], slots: Slots) -> Vec<f64> {
     let backlog: Vec<f64> = demands.iter().map(|d| f64::from(d.iter().sum::<u32>())).collect();
     let share = |entry: usize| match slots {
--- a/crates/membership/examples/slopes.rs
+++ b/crates/membership/examples/slopes.rs
@@ -1,5 +1,5 @@
-//! Measures what an entry instance spends on shared state, over entry instances, teams and backend
-//! servers. Prints one JSON line for each size, for `docs/CAPACITY.md`.
+//! Measures the cost of shared state for one entry instance as the numbers of entry instances, teams
+//! and backend servers vary. Prints one JSON line for each size, for `docs/CAPACITY.md`.
 //!
 //! `cargo run --release -p cassiafold-membership --example slopes`
 
@@ -22,7 +22,7 @@
 const MEASURE: Duration = Duration::from_secs(8);
 const UPPER_LIMIT: u32 = 64;
 const SEED: u64 = 1;
-/// Processor clock ticks in a second, as `/proc` counts them.
+/// Clock ticks per second in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
 const PAGE_BYTES: u64 = 4_096;
 
@@ -34,10 +34,11 @@
     zones: usize,
     teams: usize,
     instances: usize,
-    /// Share of the counts that change in each second.
+    /// Fraction of the counts that change in each second.
     churn: f64,
 }
 
+/// Fleet size that the requirements state; each other size varies one dimension of it.
 const BASE_SIZE: Size =
     Size { varied: "base", entries: 8, zones: 4, teams: 200, instances: 870, churn: 0.25 };
 
@@ -112,7 +113,7 @@
     (value * scale).round() / scale
 }
 
-/// Bytes so far, by entry instance.
+/// Bytes of each entry instance since its start.
 struct Counts {
     sent: Vec<u64>,
     received: Vec<u64>,
@@ -150,7 +151,7 @@
     entries.iter().map(|entry| store.faults().counts(&entry.id).total()).collect()
 }
 
-/// Changing usage at every entry instance.
+/// Generates changing usage at every entry instance.
 struct Load {
     size: Size,
     random: SmallRng,
--- a/crates/membership/examples/spread.rs
+++ b/crates/membership/examples/spread.rs
@@ -1,5 +1,5 @@
-//! Measures the time from the first call of an operator to a version's being in force at the last
-//! entry instance: a read, a write and the spread. Prints one JSON line for each case.
+//! Measures the time from the first call of an operator until a configuration version is in force at
+//! every entry instance: a read, a write and the propagation. Prints one JSON line for each case.
 //!
 //! `cargo run --release -p cassiafold-membership --example spread [-- CASE]`
 
@@ -21,14 +21,14 @@
 const TEAMS: usize = 200;
 const UPPER_LIMIT: u32 = 64;
 const PATCHES: u64 = 200;
-/// Versions while all watches are silent; each waits for a read of some entry instance.
+/// Number of versions while no watch delivers changes; each takes until some entry instance rereads.
 const SILENT_PATCHES: u64 = 20;
-/// Delay of each call of the slow store.
+/// Delay of each call to the slow store.
 const STORE_DELAY: Duration = Duration::from_millis(400);
-/// Longest wait for one version.
+/// Longest wait until one version is in force.
 const IN_FORCE_MAX: Duration = Duration::from_secs(30);
 
-/// What is wrong while the versions spread.
+/// Fault during the propagation of versions.
 #[derive(Debug, Clone, Copy)]
 enum Case {
     Clean,
--- a/crates/membership/src/config_sync/tests.rs
+++ b/crates/membership/src/config_sync/tests.rs
@@ -14,7 +14,8 @@
 use crate::identity::Identity;
 use crate::roster::Roster;
 
-/// Longest time until a configuration is in force with the store in reach, from the users' letter.
+/// Longest allowed time until a configuration is in force while the store is reachable, as the
+/// requirements state.
 const IN_FORCE_MAX: Duration = Duration::from_secs(6);
 
 fn document(version: Version) -> Vec<u8> {
@@ -49,11 +50,11 @@
     Patch,
     Wait(u64),
     Restart,
-    OldFromPeer(u64),
-    NewFromPeer,
-    Garbage,
+    OlderFromPeer(u64),
+    NewerFromPeer,
+    Malformed,
     Outage(bool),
-    Stale(bool),
+    StaleReads(bool),
     SilentWatches(bool),
     RollBack(u64),
 }
@@ -63,11 +64,11 @@
         6 => Just(Action::Patch),
         6 => (1u64..8_000).prop_map(Action::Wait),
         1 => Just(Action::Restart),
-        2 => (0u64..10).prop_map(Action::OldFromPeer),
-        2 => Just(Action::NewFromPeer),
-        1 => Just(Action::Garbage),
+        2 => (0u64..10).prop_map(Action::OlderFromPeer),
+        2 => Just(Action::NewerFromPeer),
+        1 => Just(Action::Malformed),
         3 => any::<bool>().prop_map(Action::Outage),
-        3 => any::<bool>().prop_map(Action::Stale),
+        3 => any::<bool>().prop_map(Action::StaleReads),
         3 => any::<bool>().prop_map(Action::SilentWatches),
         1 => (1u64..5).prop_map(Action::RollBack),
     ]
@@ -95,24 +96,24 @@
                 let _ = config_sync.offer(&document(held.max(1)), "peer");
                 newest = newest.max(1);
             }
-            Action::OldFromPeer(age) => {
+            Action::OlderFromPeer(age) => {
                 let _ = config_sync.offer(&document(newest.saturating_sub(age).max(1)), "peer");
                 newest = newest.max(1);
             }
-            Action::NewFromPeer => {
+            Action::NewerFromPeer => {
                 newest += 1;
                 let _ = config_sync.offer(&document(newest), "peer");
             }
-            Action::Garbage => assert!(config_sync.offer(b"{\"version\": 99}", "peer").is_err()),
+            Action::Malformed => assert!(config_sync.offer(b"{\"version\": 99}", "peer").is_err()),
             Action::Outage(on) => faults.set_outage(on),
-            Action::Stale(on) => faults.set_stale_reads(on.then(|| faults.revision())),
+            Action::StaleReads(on) => faults.set_stale_reads(on.then(|| faults.revision())),
             Action::SilentWatches(on) => faults.set_silent_watches(on),
             Action::RollBack(age) => {
                 faults.roll_back(faults.revision().saturating_sub(age));
             }
         }
         let version = config_sync.version();
-        assert!(version >= lowest, "went back from {lowest} to {version}");
+        assert!(version >= lowest, "version went back from {lowest} to {version}");
         assert!(version <= newest);
         lowest = version;
     }
@@ -144,7 +145,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stale_version_is_refused_and_counted() {
+async fn stale_version_is_rejected_and_counted() {
     let config_sync = ConfigSync::new(ActiveConfig::default());
     config_sync.offer(&document(5), "peer").unwrap();
     config_sync.offer(&document(4), "peer").unwrap();
--- a/crates/membership/src/control/tests.rs
+++ b/crates/membership/src/control/tests.rs
@@ -44,7 +44,7 @@
     let entry = 0..ENTRIES;
     prop_oneof![
         6 => (1u64..9_000).prop_map(Action::Wait),
-        2 => (entry.clone(), any::<bool>()).prop_map(|(entry, way)| Action::CutOff(entry, way)),
+        2 => (entry.clone(), any::<bool>()).prop_map(|(entry, direction)| Action::CutOff(entry, direction)),
         2 => entry.clone().prop_map(Action::Reconnect),
         2 => any::<bool>().prop_map(Action::Outage),
         2 => any::<bool>().prop_map(Action::Fault),
@@ -61,8 +61,8 @@
         match action {
             Action::Wait(time_ms) => sleep(Duration::from_millis(time_ms)).await,
             Action::CutOff(entry, requests) => {
-                let way = if requests { Partition::Requests } else { Partition::Answers };
-                faults.cut_off(format!("a{entry}"), way);
+                let direction = if requests { Partition::Requests } else { Partition::Answers };
+                faults.cut_off(format!("a{entry}"), direction);
             }
             Action::Reconnect(entry) => faults.reconnect(&format!("a{entry}")),
             Action::Outage(outage) => faults.set_outage(outage),
@@ -95,7 +95,7 @@
     })]
 
     #[test]
-    fn one_at_most_holds_the_control_role(actions in prop::collection::vec(action(), 1..40)) {
+    fn at_most_one_entry_holds_the_control_role(actions in prop::collection::vec(action(), 1..40)) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_paused_holder_finds_its_term_over() {
+async fn term_ends_while_its_holder_is_paused() {
     let store = MemoryStore::default();
     let (control, _stop) = start(&store, 0);
     sleep(TTL).await;
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stale_read_does_not_give_the_role_to_a_second_one() {
+async fn stale_reads_do_not_elect_a_second_holder() {
     let store = MemoryStore::default();
     let before = store.faults().revision();
     let (first, _stop) = start(&store, 0);
--- a/crates/membership/src/directory/tests.rs
+++ b/crates/membership/src/directory/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_registration_lives_as_long_as_its_entry() {
+async fn registration_is_deleted_when_its_entry_stops() {
     let store = MemoryStore::default();
     let roster = Roster::new(identity("a1", 1));
     tokio::spawn(follow(store.client("a1"), roster.clone(), StoreContact::default()));
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_registration_is_made_again() {
+async fn expired_registration_is_created_again() {
     let store = MemoryStore::default();
     let (_stop, _task) = registered(&store, identity("a2", 1));
     sleep(TTL).await;
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_to_the_registration_is_settled() {
+async fn registration_with_unknown_outcome_is_resolved() {
     for fault in [WriteFault::LostAnswer, WriteFault::LostRequest] {
         let store = MemoryStore::default();
         store.faults().fail_writes(1, fault);
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_older_run_does_not_replace_a_newer_one() {
+async fn older_run_does_not_replace_a_newer_registration() {
     let store = MemoryStore::default();
     let (_newer, _task) = registered(&store, identity("a2", 2));
     sleep(TTL).await;
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_fails_is_no_answer_of_the_service() {
+async fn failed_watch_does_not_count_as_a_response() {
     let store = MemoryStore::default();
     let contact = StoreContact::default();
     tokio::spawn(follow(store.client("a1"), Roster::new(identity("a1", 1)), contact.clone()));
--- a/crates/membership/src/escrow/keeper/tests/cluster.rs
+++ b/crates/membership/src/escrow/keeper/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Entry instances, their store and the work that they start.
+//! Simulated entry instances, their store and the requests that they start.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -65,8 +65,8 @@
     pub run: u64,
 }
 
-/// One started request: it runs to its end whatever happens to the entry that started it.
-pub struct Work {
+/// One started request. It runs to its end even if the entry that started it crashes.
+pub struct RunningRequest {
     pub run: u64,
     team: usize,
     ends: Instant,
@@ -76,11 +76,11 @@
 pub struct Cluster {
     pub store: MemoryStore,
     pub entries: Vec<Entry>,
-    /// Entries whose instance was started again elsewhere while they were paused.
+    /// Paused entries whose instance was started again elsewhere.
     pub superseded: Vec<Entry>,
     runs: u64,
     pub configs: Vec<Arc<Config>>,
-    pub work: RefCell<Vec<Work>>,
+    pub requests: RefCell<Vec<RunningRequest>>,
 }
 
 impl Cluster {
@@ -91,7 +91,7 @@
             superseded: Vec::new(),
             runs: 0,
             configs: vec![config(1, limits)],
-            work: RefCell::default(),
+            requests: RefCell::default(),
         };
         for index in 0..ENTRIES {
             let entry = cluster.entry(&format!("entry-{index}"));
@@ -107,8 +107,9 @@
             (Escrow::default(), ActiveConfig::default(), Waiting::default());
         config.offer(self.configs.last().unwrap().clone());
         let store = self.store.client(id);
-        let (for_keeper, of_entry) = (config.clone(), waiting.clone());
-        let keeper = Keeper::new(holder, SETTINGS, store, for_keeper, of_entry, escrow.clone());
+        let (keeper_config, entry_waiting) = (config.clone(), waiting.clone());
+        let keeper =
+            Keeper::new(holder, SETTINGS, store, keeper_config, entry_waiting, escrow.clone());
         escrow.tick(SETTINGS.pause_max);
         Entry { keeper, escrow, config, waiting, paused: false, run: self.runs }
     }
@@ -117,20 +118,21 @@
         self.entries[index].step().await;
     }
 
-    /// Steps all entries at once against a slow store, while all start what they can.
+    /// Steps all entries concurrently against a slow store while all start as many requests as they
+    /// can.
     pub async fn race(&mut self, delay: Duration) {
         self.store.faults().set_delay(delay);
-        let bounds = [self.bound(0), self.bound(1)];
-        let starters: Vec<(u64, Escrow)> = self.starters();
-        let work = &self.work;
+        let limits_max = [self.limit_max(0), self.limit_max(1)];
+        let active: Vec<(u64, Escrow)> = self.active();
+        let requests = &self.requests;
         let steps = join_all(self.entries.iter_mut().map(Entry::step));
         let starts = async {
             loop {
                 sleep(delay / 5).await;
-                end_work(work);
-                for (team, bound) in bounds.into_iter().enumerate() {
-                    for (run, escrow) in &starters {
-                        saturate(work, *run, escrow, team, bound);
+                end_requests(requests);
+                for (team, limit_max) in limits_max.into_iter().enumerate() {
+                    for (run, escrow) in &active {
+                        saturate(requests, *run, escrow, team, limit_max);
                     }
                 }
             }
@@ -142,53 +144,53 @@
         self.store.faults().set_delay(Duration::ZERO);
     }
 
-    fn starters(&self) -> Vec<(u64, Escrow)> {
+    fn active(&self) -> Vec<(u64, Escrow)> {
         let all = self.entries.iter().chain(&self.superseded).filter(|entry| !entry.paused);
         all.map(|entry| (entry.run, entry.escrow.clone())).collect()
     }
 
-    /// Starts whatever any entry may start.
+    /// Starts as many requests of the team as all active entries may start.
     pub fn saturate(&mut self, team: usize) {
-        let bound = self.bound(team);
-        for (run, escrow) in self.starters() {
-            saturate(&self.work, run, &escrow, team, bound);
+        let limit_max = self.limit_max(team);
+        for (run, escrow) in self.active() {
+            saturate(&self.requests, run, &escrow, team, limit_max);
         }
     }
 
-    /// Lets time pass; entries that are not paused notice it each second.
-    pub async fn pass(&mut self, time: Duration) {
-        let mut left = time;
-        while !left.is_zero() {
-            let part = left.min(SETTINGS.interval);
+    /// Advances the time; entries that are not paused record a tick each second.
+    pub async fn advance_time(&mut self, time: Duration) {
+        let mut remaining = time;
+        while !remaining.is_zero() {
+            let part = remaining.min(SETTINGS.interval);
             advance(part).await;
-            left -= part;
+            remaining -= part;
             for entry in self.entries.iter().filter(|entry| !entry.paused) {
                 entry.escrow.tick(SETTINGS.pause_max);
             }
-            end_work(&self.work);
+            end_requests(&self.requests);
         }
     }
 
     pub fn start(&mut self, index: usize, team: usize, run: Duration) -> bool {
         let entry = &self.entries[index];
-        start(&self.work, entry.run, &entry.escrow, team, run, self.bound(team))
+        start(&self.requests, entry.run, &entry.escrow, team, run, self.limit_max(team))
     }
 
     pub fn finish(&mut self, index: usize) {
         let run = self.entries[index].run;
-        let mut work = self.work.borrow_mut();
-        if let Some(position) = work.iter().position(|work| work.run == run) {
-            work.remove(position);
+        let mut requests = self.requests.borrow_mut();
+        if let Some(position) = requests.iter().position(|request| request.run == run) {
+            requests.remove(position);
         }
     }
 
     pub fn running(&self, team: usize) -> u32 {
-        running(&self.work.borrow(), team)
+        running(&self.requests.borrow(), team)
     }
 
-    /// Highest limit that may be in force: from the oldest version that a holder or its copy of
-    /// the ledger has.
-    fn bound(&self, team: usize) -> u32 {
+    /// Returns the highest limit that may be in force, from the oldest version that a holder or its
+    /// copy of the ledger has.
+    fn limit_max(&self, team: usize) -> u32 {
         let holders = self.entries.iter().chain(&self.superseded);
         let known = holders.map(|entry| {
             let ledger = entry.keeper.ledger();
@@ -207,17 +209,20 @@
         self.configs.push(config(version, limits));
     }
 
-    /// Ends an entry without notice and starts another run in its place.
+    /// Crashes an entry and starts another run in its place.
     pub fn crash(&mut self, index: usize, same_id: bool) {
         let id = if same_id { format!("entry-{index}") } else { format!("new-{}", self.runs) };
         let run = self.entries[index].run;
-        let mut work = self.work.borrow_mut();
-        work.iter_mut().filter(|work| work.run == run).for_each(|work| work.permit = None);
-        drop(work);
+        let mut requests = self.requests.borrow_mut();
+        requests
+            .iter_mut()
+            .filter(|request| request.run == run)
+            .for_each(|request| request.permit = None);
+        drop(requests);
         self.entries[index] = self.entry(&id);
     }
 
-    /// Starts another run in the place of an entry that is paused but not ended.
+    /// Starts another run of an entry that is paused and not stopped.
     pub fn supersede(&mut self, index: usize) {
         let next = self.entry(&format!("entry-{index}"));
         let mut superseded = std::mem::replace(&mut self.entries[index], next);
@@ -225,8 +230,9 @@
         self.superseded.push(superseded);
     }
 
-    /// Wakes superseded runs: they start what they can before and after they notice.
-    pub async fn wake(&mut self) {
+    /// Resumes superseded runs, which start as many requests as they can before and after they
+    /// detect that they are superseded.
+    pub async fn resume_superseded(&mut self) {
         self.superseded.iter_mut().for_each(|entry| entry.paused = false);
         for team in 0..TEAMS.len() {
             self.saturate(team);
@@ -249,32 +255,38 @@
     }
 }
 
-fn running(work: &[Work], team: usize) -> u32 {
-    work.iter().filter(|work| work.team == team).count() as u32
+fn running(requests: &[RunningRequest], team: usize) -> u32 {
+    requests.iter().filter(|request| request.team == team).count() as u32
 }
 
-pub fn end_work(work: &RefCell<Vec<Work>>) {
+pub fn end_requests(requests: &RefCell<Vec<RunningRequest>>) {
     let now = Instant::now();
-    work.borrow_mut().retain(|work| work.ends > now);
+    requests.borrow_mut().retain(|request| request.ends > now);
 }
 
 fn start(
-    work: &RefCell<Vec<Work>>,
+    requests: &RefCell<Vec<RunningRequest>>,
     run: u64,
     escrow: &Escrow,
     team: usize,
     time: Duration,
-    bound: u32,
+    limit_max: u32,
 ) -> bool {
     let Some(permit) = escrow.try_acquire(&TEAMS[team].into()) else { return false };
     let ends = Instant::now() + time.min(DEADLINE_MAX);
-    let mut work = work.borrow_mut();
-    work.push(Work { run, team, ends, permit: Some(permit) });
-    let running = running(&work, team);
-    assert!(running <= bound, "{running} of {} run, limit {bound}", TEAMS[team]);
+    let mut requests = requests.borrow_mut();
+    requests.push(RunningRequest { run, team, ends, permit: Some(permit) });
+    let running = running(&requests, team);
+    assert!(running <= limit_max, "{running} of {} run, limit {limit_max}", TEAMS[team]);
     true
 }
 
-fn saturate(work: &RefCell<Vec<Work>>, run: u64, escrow: &Escrow, team: usize, bound: u32) {
-    while start(work, run, escrow, team, DEADLINE_MAX, bound) {}
+fn saturate(
+    requests: &RefCell<Vec<RunningRequest>>,
+    run: u64,
+    escrow: &Escrow,
+    team: usize,
+    limit_max: u32,
+) {
+    while start(requests, run, escrow, team, DEADLINE_MAX, limit_max) {}
 }
--- a/crates/membership/src/escrow/keeper/tests/schedules.rs
+++ b/crates/membership/src/escrow/keeper/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults.
+//! Random schedules of actions and faults.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use super::cluster::{Cluster, ENTRIES, SETTINGS, TEAMS, end_work};
+use super::cluster::{Cluster, ENTRIES, SETTINGS, TEAMS, end_requests};
 
 #[derive(Debug, Clone)]
 pub enum Action {
     Step(usize),
     Round,
-    Pass(u64),
+    AdvanceTime(u64),
     Start { entry: usize, team: usize, count: u32, run_s: u64 },
     Finish { entry: usize, count: u32 },
-    Want { entry: usize, team: usize, waiting: u32 },
+    SetWaiting { entry: usize, team: usize, waiting: u32 },
     Pause(usize),
     Resume(usize),
     Crash { entry: usize, same_id: bool },
@@ -23,57 +23,57 @@
     Reconnect(usize),
     Outage(bool),
     Fault(u8),
-    Stale(bool),
-    Limits([u32; 2]),
-    Learn(usize),
+    StaleReads(bool),
+    SetLimits([u32; 2]),
+    AdoptConfig(usize),
     Saturate(usize),
     Race(u64),
     Supersede(usize),
-    Wake,
+    ResumeSuperseded,
 }
 
-/// Actions that leave the limits as they are.
-fn steady_action() -> impl Strategy<Value = Action> {
+/// Generates actions that do not change the limits.
+fn action_with_fixed_limits() -> impl Strategy<Value = Action> {
     let entry = 0..ENTRIES;
     let team = 0..TEAMS.len();
     prop_oneof![
         12 => entry.clone().prop_map(Action::Step),
         10 => Just(Action::Round),
-        8 => (1u64..4).prop_map(Action::Pass),
-        3 => (5u64..100).prop_map(Action::Pass),
+        8 => (1u64..4).prop_map(Action::AdvanceTime),
+        3 => (5u64..100).prop_map(Action::AdvanceTime),
         20 => (entry.clone(), team.clone(), 1u32..8, 1u64..30)
             .prop_map(|(entry, team, count, run_s)| Action::Start { entry, team, count, run_s }),
         6 => (entry.clone(), 1u32..8).prop_map(|(entry, count)| Action::Finish { entry, count }),
         10 => (entry.clone(), team, 0u32..12)
-            .prop_map(|(entry, team, waiting)| Action::Want { entry, team, waiting }),
+            .prop_map(|(entry, team, waiting)| Action::SetWaiting { entry, team, waiting }),
         2 => entry.clone().prop_map(Action::Pause),
         2 => entry.clone().prop_map(Action::Resume),
         2 => (entry.clone(), any::<bool>())
             .prop_map(|(entry, same_id)| Action::Crash { entry, same_id }),
-        2 => (entry.clone(), any::<bool>()).prop_map(|(entry, way)| Action::CutOff(entry, way)),
+        2 => (entry.clone(), any::<bool>()).prop_map(|(entry, direction)| Action::CutOff(entry, direction)),
         3 => entry.clone().prop_map(Action::Reconnect),
         1 => Just(Action::Outage(true)),
         2 => Just(Action::Outage(false)),
         4 => (0u8..3).prop_map(Action::Fault),
-        1 => Just(Action::Stale(true)),
-        2 => Just(Action::Stale(false)),
+        1 => Just(Action::StaleReads(true)),
+        2 => Just(Action::StaleReads(false)),
         15 => (0..TEAMS.len()).prop_map(Action::Saturate),
         4 => (10u64..600).prop_map(Action::Race),
         2 => entry.prop_map(Action::Supersede),
-        2 => Just(Action::Wake),
+        2 => Just(Action::ResumeSuperseded),
     ]
 }
 
-/// Actions of all kinds.
+/// Generates actions of all kinds.
 fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        20 => steady_action(),
-        1 => (1u32..16, 1u32..5).prop_map(|(large, small)| Action::Limits([large, small])),
-        2 => (0..ENTRIES).prop_map(Action::Learn),
+        20 => action_with_fixed_limits(),
+        1 => (1u32..16, 1u32..5).prop_map(|(large, small)| Action::SetLimits([large, small])),
+        2 => (0..ENTRIES).prop_map(Action::AdoptConfig),
     ]
 }
 
-pub async fn act(cluster: &mut Cluster, action: Action) {
+pub async fn apply(cluster: &mut Cluster, action: Action) {
     let faults = cluster.store.faults();
     match action {
         Action::Step(entry) => cluster.step(entry).await,
@@ -81,41 +81,41 @@
             for index in 0..ENTRIES {
                 cluster.step(index).await;
             }
-            cluster.pass(SETTINGS.interval).await;
+            cluster.advance_time(SETTINGS.interval).await;
         }
-        Action::Pass(seconds) => cluster.pass(Duration::from_secs(seconds)).await,
+        Action::AdvanceTime(seconds) => cluster.advance_time(Duration::from_secs(seconds)).await,
         Action::Start { entry, team, count, run_s } => {
             for _ in 0..count {
                 cluster.start(entry, team, Duration::from_secs(run_s));
             }
         }
         Action::Finish { entry, count } => (0..count).for_each(|_| cluster.finish(entry)),
-        Action::Want { entry, team, waiting } => {
+        Action::SetWaiting { entry, team, waiting } => {
             cluster.entries[entry].waiting.set(TEAMS[team], waiting);
         }
         Action::Pause(entry) => cluster.entries[entry].paused = true,
         Action::Resume(entry) => cluster.entries[entry].paused = false,
         Action::Crash { entry, same_id } => cluster.crash(entry, same_id),
         Action::CutOff(entry, requests) => {
-            let way = if requests { Partition::Requests } else { Partition::Answers };
-            faults.cut_off(format!("entry-{entry}"), way);
+            let direction = if requests { Partition::Requests } else { Partition::Answers };
+            faults.cut_off(format!("entry-{entry}"), direction);
         }
         Action::Reconnect(entry) => faults.reconnect(&format!("entry-{entry}")),
         Action::Outage(outage) => faults.set_outage(outage),
         Action::Fault(0) => faults.fail_writes(1, WriteFault::LostAnswer),
         Action::Fault(1) => faults.fail_writes(1, WriteFault::LostRequest),
         Action::Fault(_) => faults.fail_writes(1, WriteFault::Late(Duration::from_secs(3))),
-        Action::Stale(on) => faults.set_stale_reads(on.then(|| faults.revision())),
-        Action::Limits(limits) => cluster.set_limits(limits),
-        Action::Learn(entry) => {
+        Action::StaleReads(on) => faults.set_stale_reads(on.then(|| faults.revision())),
+        Action::SetLimits(limits) => cluster.set_limits(limits),
+        Action::AdoptConfig(entry) => {
             cluster.entries[entry].config.offer(cluster.configs.last().unwrap().clone());
         }
         Action::Saturate(team) => cluster.saturate(team),
         Action::Race(delay_ms) => cluster.race(Duration::from_millis(delay_ms)).await,
         Action::Supersede(entry) => cluster.supersede(entry),
-        Action::Wake => cluster.wake().await,
+        Action::ResumeSuperseded => cluster.resume_superseded().await,
     }
-    end_work(&cluster.work);
+    end_requests(&cluster.requests);
 }
 
 fn paused_runtime() -> tokio::runtime::Runtime {
@@ -132,12 +132,12 @@
 
     #[test]
     fn running_requests_never_exceed_the_limit(
-        actions in prop::collection::vec(steady_action(), 20..150),
+        actions in prop::collection::vec(action_with_fixed_limits(), 20..150),
     ) {
         paused_runtime().block_on(async {
             let mut cluster = Cluster::new([12, 3]);
             for action in actions {
-                act(&mut cluster, action).await;
+                apply(&mut cluster, action).await;
             }
         });
     }
@@ -149,7 +149,7 @@
         paused_runtime().block_on(async {
             let mut cluster = Cluster::new([12, 3]);
             for action in actions {
-                act(&mut cluster, action).await;
+                apply(&mut cluster, action).await;
             }
         });
     }
--- a/crates/membership/src/escrow/local/tests.rs
+++ b/crates/membership/src/escrow/local/tests.rs
@@ -8,7 +8,7 @@
 const SLICE_VALIDITY: Duration = Duration::from_secs(60);
 
 #[tokio::test(start_paused = true)]
-async fn a_write_sent_before_a_pause_confirms_nothing() {
+async fn write_sent_before_a_pause_does_not_confirm_slices() {
     let escrow = Escrow::default();
     escrow.tick(PAUSE_MAX);
     let sent = Instant::now();
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_permit_knows_that_its_slice_has_lapsed() {
+async fn permit_becomes_invalid_with_its_slice() {
     let escrow = Escrow::default();
     escrow.set_usable(&"cutting".into(), 1);
     escrow.tick(PAUSE_MAX);
--- a/crates/membership/src/exchange/tests.rs
+++ b/crates/membership/src/exchange/tests.rs
@@ -52,10 +52,10 @@
     values.into_iter().map(|(id, value)| (format!("i{id}").into(), value)).collect()
 }
 
-/// The receiver may differ from the truth by what is not worth telling, and by saturation.
-fn close(truth: u32, seen: u32) -> bool {
-    let truth = truth.min(u32::from(u16::MAX));
-    (truth == 0) == (seen == 0) && truth.abs_diff(seen) <= seen / CHANGE_DIVISOR + 1
+/// Returns whether the received count is within the change that is not sent, after saturation.
+fn is_close(expected: u32, actual: u32) -> bool {
+    let expected = expected.min(u32::from(u16::MAX));
+    (expected == 0) == (actual == 0) && expected.abs_diff(actual) <= actual / CHANGE_DIVISOR + 1
 }
 
 proptest! {
@@ -67,7 +67,7 @@
     })]
 
     #[test]
-    fn the_receiver_sees_what_the_sender_has(
+    fn receiver_state_follows_sender_state(
         rounds in prop::collection::vec((0usize..3, 1u64..3, usage()), 1..20),
     ) {
         let (mut encoder, mut decoder) = (ReportEncoder::default(), ReportDecoder::default());
@@ -76,24 +76,24 @@
             let report = encoder.encode(std::slice::from_ref(&sent), true, 0).unwrap();
             let received = decoder.decode(report).unwrap();
             prop_assert_eq!(received.len(), 1);
-            let (truth, seen) = (&sent.usage, &received[0].usage);
+            let (expected, actual) = (&sent.usage, &received[0].usage);
             prop_assert_eq!(&received[0].id, &sent.id);
-            prop_assert_eq!(&truth.instances, &seen.instances);
-            prop_assert_eq!(truth.fleet_number, seen.fleet_number);
-            prop_assert_eq!(truth.store_reachable, seen.store_reachable);
-            prop_assert_eq!(&truth.draining, &seen.draining);
-            prop_assert_eq!(&truth.symptoms, &seen.symptoms);
-            prop_assert!(truth.queues.keys().eq(seen.queues.keys()));
-            for (queue, truth) in &truth.queues {
-                let seen = seen.queues[queue];
-                prop_assert!(close(truth.running, seen.running) && close(truth.waiting, seen.waiting));
+            prop_assert_eq!(&expected.instances, &actual.instances);
+            prop_assert_eq!(expected.fleet_number, actual.fleet_number);
+            prop_assert_eq!(expected.store_reachable, actual.store_reachable);
+            prop_assert_eq!(&expected.draining, &actual.draining);
+            prop_assert_eq!(&expected.symptoms, &actual.symptoms);
+            prop_assert!(expected.queues.keys().eq(actual.queues.keys()));
+            for (queue, expected) in &expected.queues {
+                let actual = actual.queues[queue];
+                prop_assert!(is_close(expected.running, actual.running) && is_close(expected.waiting, actual.waiting));
             }
         }
     }
 }
 
 #[test]
-fn unchanged_usage_is_not_told_again() {
+fn unchanged_usage_is_not_sent_again() {
     let queue = QueueId { service: "portal".into(), team: "parishes".into() };
     let mut usage = Usage::default();
     usage.queues.insert(queue, TeamUsage { running: 3, waiting: 4 });
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_position_outside_the_table_is_refused() {
+fn position_outside_the_table_is_rejected() {
     let queue = QueueUsage { service: 9, team: 0, running: 1, waiting: 0 };
     let entry = EntryReport {
         entry: 0,
--- a/crates/membership/src/relay/tests.rs
+++ b/crates/membership/src/relay/tests.rs
@@ -32,7 +32,7 @@
     })]
 
     #[test]
-    fn one_entry_of_each_zone_relays_to_each_other_zone(
+    fn exactly_one_entry_of_each_zone_relays_to_each_other_zone(
         sizes in prop::collection::vec(1usize..6, 1..6),
     ) {
         let all = members(&sizes);
@@ -47,7 +47,7 @@
     }
 
     #[test]
-    fn a_lost_entry_moves_only_its_own_relays(size in 2usize..8, lost in 0usize..8) {
+    fn removing_an_entry_moves_only_its_own_relays(size in 2usize..8, lost in 0usize..8) {
         let all = members(&[size]);
         let lost = &all[lost % size];
         for zone in ["b", "c", "d", "e"] {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn relays_spread_over_a_zone() {
+fn relays_are_distributed_over_a_zone() {
     let all = members(&[6]);
     let zones: Vec<String> = (0..60).map(|zone| format!("zone-{zone}")).collect();
     let first = zones.iter().map(|zone| ranked(all.iter(), zone)[0].id.clone());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_silent_mate_is_no_relay_but_stays_a_target() {
+fn entry_that_is_not_live_is_a_target_but_no_relay() {
     let mut all = members(&[2, 1, 1, 1, 1, 1, 1, 1, 1, 1]);
     all[1].live = false;
     let zones = (1..10).map(|zone| Target::Zone(format!("zone-{zone}").into()));
--- a/crates/membership/src/roster/tests.rs
+++ b/crates/membership/src/roster/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_entry_is_not_live_and_may_return() {
+async fn entry_without_heartbeats_is_not_live_until_the_next_one() {
     let roster = Roster::new(identity("a1", "a", 1));
     roster.record_heartbeat(heartbeat("a2", "a", 5, 1, 1), Route::SameZone);
     assert_eq!(live(&roster), ["a1", "a2"]);
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn late_heartbeats_of_an_old_run_change_nothing() {
+async fn late_heartbeats_of_a_previous_run_are_ignored() {
     let roster = Roster::new(identity("a1", "a", 1));
     roster.record_heartbeat(heartbeat("a2", "a", 6, 1, 9), Route::SameZone);
     roster.record_heartbeat(heartbeat("a2", "a", 5, 100, 2), Route::Relayed);
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_run_that_left_stays_away_and_its_successor_may_come() {
+async fn only_a_later_run_of_a_departed_entry_is_live() {
     let roster = Roster::new(identity("a1", "a", 1));
     roster.record_heartbeat(heartbeat("a2", "a", 5, 1, 1), Route::SameZone);
     roster.record_leave(&"a2".into(), 5);
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn reports_are_relayed_between_zones_and_not_in_circles() {
+async fn reports_are_relayed_between_zones_without_loops() {
     let roster = Roster::new(identity("a1", "a", 1));
     roster.record_heartbeat(heartbeat("a2", "a", 1, 1, 1), Route::SameZone);
     roster.record_heartbeat(heartbeat("b1", "b", 1, 1, 1), Route::OtherZone);
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_higher_version_wakes_once() {
+async fn higher_version_notifies_once() {
     let roster = Roster::new(identity("a1", "a", 1));
     let mut changes = roster.changes();
     roster.record_heartbeat(heartbeat("a2", "a", 5, 1, 3), Route::SameZone);
--- a/crates/membership/src/shares.rs
+++ b/crates/membership/src/shares.rs
@@ -28,12 +28,12 @@
     let level = |team: usize| teams[team].demand / teams[team].share;
     order.sort_by(|a, b| level(*a).total_cmp(&level(*b)));
     let mut parts = vec![0.0; teams.len()];
-    let mut left = capacity;
+    let mut remaining = capacity;
     let mut shares: f64 = order.iter().map(|team| teams[*team].share).sum();
     for team in order {
-        let part = teams[team].demand.min(left * teams[team].share / shares);
+        let part = teams[team].demand.min(remaining * teams[team].share / shares);
         parts[team] = part;
-        left -= part;
+        remaining -= part;
         shares -= teams[team].share;
     }
     parts
--- a/crates/membership/src/shares/tests.rs
+++ b/crates/membership/src/shares/tests.rs
@@ -8,23 +8,24 @@
 use super::{TeamDemand, WEIGHT_MIN, sum, water_fill, weights};
 use crate::usage::TeamUsage;
 
-/// Raises the level of all teams in small steps until the capacity is used.
-fn naive(capacity: f64, teams: &[TeamDemand]) -> Vec<f64> {
+/// Reference implementation: raises the parts of all teams in small steps until the capacity is
+/// used.
+fn water_fill_in_steps(capacity: f64, teams: &[TeamDemand]) -> Vec<f64> {
     let steps = 20_000;
     let mut parts = vec![0.0; teams.len()];
-    let mut left = capacity;
+    let mut remaining = capacity;
     for _ in 0..steps {
-        let open: Vec<usize> =
+        let unsatisfied: Vec<usize> =
             (0..teams.len()).filter(|team| parts[*team] < teams[*team].demand - 1e-9).collect();
-        let shares: f64 = open.iter().map(|team| teams[*team].share).sum();
-        if open.is_empty() || left <= 1e-9 {
+        let shares: f64 = unsatisfied.iter().map(|team| teams[*team].share).sum();
+        if unsatisfied.is_empty() || remaining <= 1e-9 {
             break;
         }
-        let pour = (capacity / f64::from(steps) * 10.0).min(left);
-        for team in open {
-            let more = (pour * teams[team].share / shares).min(teams[team].demand - parts[team]);
-            parts[team] += more;
-            left -= more;
+        let step = (capacity / f64::from(steps) * 10.0).min(remaining);
+        for team in unsatisfied {
+            let added = (step * teams[team].share / shares).min(teams[team].demand - parts[team]);
+            parts[team] += added;
+            remaining -= added;
         }
     }
     parts
@@ -64,21 +65,21 @@
     })]
 
     #[test]
-    fn water_filling_agrees_with_pouring_in_small_steps(
+    fn water_fill_matches_a_stepwise_reference(
         capacity in 1u32..300,
         teams in prop::collection::vec(demand(), 1..8),
     ) {
         let capacity = f64::from(capacity);
-        let (parts, expected) = (water_fill(capacity, &teams), naive(capacity, &teams));
+        let (parts, expected) = (water_fill(capacity, &teams), water_fill_in_steps(capacity, &teams));
         for (part, expected) in parts.iter().zip(expected) {
             prop_assert!((part - expected).abs() < 0.01 * capacity, "{part} {expected}");
         }
-        let wanted: f64 = teams.iter().map(|team| team.demand).sum();
-        prop_assert!((parts.iter().sum::<f64>() - wanted.min(capacity)).abs() < 1e-6);
+        let demand_total: f64 = teams.iter().map(|team| team.demand).sum();
+        prop_assert!((parts.iter().sum::<f64>() - demand_total.min(capacity)).abs() < 1e-6);
     }
 
     #[test]
-    fn local_weights_of_all_entries_make_up_the_targets(
+    fn local_weights_of_all_entries_add_up_to_the_targets(
         capacity in 1u32..200,
         demands in prop::collection::vec(prop::collection::vec(0u32..40, 4), 1..6),
     ) {
@@ -96,9 +97,9 @@
         let all: Vec<_> =
             locals.iter().map(|local| weights(&config, capacity, local, &total)).collect();
         for (index, target) in targets.iter().enumerate() {
-            let made: f64 = all.iter().map(|weights| weights[index].weight).sum();
+            let sum_of_weights: f64 = all.iter().map(|weights| weights[index].weight).sum();
             let tolerance = WEIGHT_MIN * locals.len() as f64 + 1e-6;
-            prop_assert!((made - target).abs() <= tolerance, "{made} {target}");
+            prop_assert!((sum_of_weights - target).abs() <= tolerance, "{sum_of_weights} {target}");
         }
     }
 }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Entry instances over TCP on loopback.
+//! Tests of entry instances that communicate over TCP on loopback.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,7 +19,7 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// Longest wait for something that has to happen; far above what it takes.
+/// Longest wait for an expected state, far above the time that it takes.
 const WAIT_MAX: Duration = Duration::from_secs(20);
 const ZONES: [&str; 7] = ["a", "a", "b", "b", "c", "c", "d"];
 
@@ -76,7 +76,7 @@
 async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + WAIT_MAX;
     while !holds().await {
-        assert!(Instant::now() < end, "in vain: {what}");
+        assert!(Instant::now() < end, "timed out: {what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -103,7 +103,7 @@
     futures_util::future::join_all(closing).await;
 }
 
-/// Runs a test on a runtime of several threads.
+/// Runs a test on a multi-threaded runtime.
 fn run(test: impl Future<Output = ()>) {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_entry_without_the_store_learns_a_configuration_from_its_peers() {
+fn entry_without_the_store_receives_configurations_from_peers() {
     run(async {
         let store = MemoryStore::default();
         put_config(&store, 1).await;
@@ -126,7 +126,7 @@
         }
         for entry in &entries {
             let confirmed = || entry.membership.confirmations().missing(5).count() == 0;
-            eventually("all confirmations are seen", async || confirmed()).await;
+            eventually("all confirmations are received", async || confirmed()).await;
         }
         assert_eq!(entries[0].membership.confirmations().list.len(), ZONES.len());
         close(entries).await;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_new_entry_starts_from_a_peer_while_the_store_is_down() {
+fn new_entry_gets_its_configuration_from_a_peer_during_a_store_outage() {
     run(async {
         let store = MemoryStore::default();
         put_config(&store, 7).await;
@@ -142,10 +142,10 @@
         in_force(&entries, 7).await;
         store.faults().set_outage(true);
         let new = start(&store, "new", "b", vec![entries[0].address]).await;
-        assert_eq!(new.config.version(), 0, "knows none before a peer has told it");
+        assert_eq!(new.config.version(), 0, "has no configuration before a peer sends one");
         eventually("the new entry has a configuration", async || new.config.version() == 7).await;
         let known = || new.membership.live(None).len() == ZONES.len() + 1;
-        eventually("the new entry knows all", async || known()).await;
+        eventually("the new entry knows all others", async || known()).await;
         let heard = || {
             let lists = entries.iter().map(|entry| entry.membership.live(None));
             lists.into_iter().all(|list| list.iter().any(|live| &*live.id == "new"))
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn usage_reaches_every_entry_and_a_leaving_one_is_forgotten() {
+fn usage_reaches_every_entry_and_a_departed_one_is_removed() {
     run(async {
         let store = MemoryStore::default();
         put_config(&store, 1).await;
@@ -173,18 +173,18 @@
             weights.first().map_or(0.0, |weight| weight.target)
         };
         let shared = || entries.iter().all(|entry| target(entry) == 14.0);
-        eventually("all see the usage of all", async || shared()).await;
+        eventually("all know the usage of all", async || shared()).await;
         let last = entries.pop().unwrap();
         last.membership.close().await;
         let gone = || entries.iter().all(|entry| entry.membership.live(None).len() == 6);
-        eventually("the one that left is gone", async || gone()).await;
+        eventually("the departed entry is removed", async || gone()).await;
         assert_eq!(entries[0].membership.confirmations().list.len(), 6);
         close(entries).await;
     });
 }
 
 #[test]
-fn slices_and_control_role_pass_on_when_an_entry_leaves() {
+fn slices_and_control_role_move_when_an_entry_leaves() {
     run(async {
         let store = MemoryStore::default();
         put_config(&store, 1).await;
@@ -193,19 +193,20 @@
         let usable = |entries: &[Entry]| -> u32 {
             entries.iter().map(|entry| entry.membership.escrow().usable(&team)).sum()
         };
-        eventually("the whole limit is held", async || usable(&entries) == 14).await;
+        eventually("the whole limit is assigned", async || usable(&entries) == 14).await;
         let holder = |entries: &[Entry]| {
             entries.iter().position(|entry| entry.membership.control().held().is_some())
         };
-        eventually("one holds the control role", async || holder(&entries).is_some()).await;
+        eventually("one entry holds the control role", async || holder(&entries).is_some()).await;
         let leaving = entries.swap_remove(holder(&entries).unwrap());
         leaving.membership.close().await;
         let queue = QueueId { service: "portal".into(), team: team.clone() };
         let usage = TeamUsage { running: 0, waiting: 50 };
         entries[0].usage.0.lock().unwrap().queues.insert(queue, usage);
         let all = || entries[0].membership.escrow().usable(&team) == 14;
-        eventually("the whole limit follows the demand", async || all()).await;
-        eventually("another holds the control role", async || holder(&entries).is_some()).await;
+        eventually("the whole limit moves to the demand", async || all()).await;
+        eventually("another entry holds the control role", async || holder(&entries).is_some())
+            .await;
         close(entries).await;
     });
 }
--- a/crates/wire/src/message/tests.rs
+++ b/crates/wire/src/message/tests.rs
@@ -11,7 +11,7 @@
 use crate::limits::{CONFIG_BYTES_MAX, ID_BYTES_MAX, reader_options};
 use crate::peer_capnp::{config_document, hello, leave, report};
 
-/// Writes a message, reads it back and gives its length in bytes.
+/// Writes a message, reads it back and returns the result and its length in bytes.
 macro_rules! round_trip {
     ($message:expr, $module:ident, $type:ty) => {{
         let mut builder = Builder::new_default();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn bounds_are_kept() {
+fn oversized_messages_are_rejected() {
     let long = Leave { id: "x".repeat(ID_BYTES_MAX + 1).into(), incarnation: 9 };
     assert!(round_trip!(long, leave, Leave).0.is_err());
     let document = vec![b' '; CONFIG_BYTES_MAX + 1];
