--- a/crates/membership/src/config_sync.rs
+++ b/crates/membership/src/config_sync.rs
@@ -90,7 +90,12 @@
             Ok(config) => config,
             Err(error) => {
                 self.counts.malformed.fetch_add(1, Ordering::Relaxed);
-                emit!(target: LOG_TARGET, MembershipEvent::ConfigMalformed, source = source, error = error);
+                emit!(
+                    target: LOG_TARGET,
+                    MembershipEvent::ConfigMalformed,
+                    source = source,
+                    error = error
+                );
                 return Err(error);
             }
         };
@@ -99,7 +104,12 @@
         match offer {
             Offer::Adopted => {
                 self.counts.adopted.fetch_add(1, Ordering::Relaxed);
-                emit!(target: LOG_TARGET, MembershipEvent::ConfigAdopted, version = version, source = source);
+                emit!(
+                    target: LOG_TARGET,
+                    MembershipEvent::ConfigAdopted,
+                    version = version,
+                    source = source
+                );
             }
             Offer::Known => {}
             Offer::Stale { in_force } => {
--- a/crates/membership/src/directory/tests.rs
+++ b/crates/membership/src/directory/tests.rs
@@ -42,7 +42,7 @@
     tokio::spawn(follow(store.client("a1"), roster.clone(), StoreContact::default()));
     let (stop, task) = registered(&store, identity("a2", 1));
     sleep(3 * TTL).await;
-    assert_eq!((count(&store).await, roster.known().len()), (1, 2));
+    assert_eq!((count(&store).await, roster.known_entries().len()), (1, 2));
     stop.cancel();
     task.await.unwrap();
     assert_eq!(count(&store).await, 0);
--- a/crates/membership/src/escrow/expiry.rs
+++ b/crates/membership/src/escrow/expiry.rs
@@ -59,13 +59,13 @@
 
     fn has_expired(&self, holder: &Holder, deadline_max: Duration) -> bool {
         let Some(observation) = self.by_holder.get(&holder.id) else { return false };
-        observation.since.elapsed() >= self.wait(holder, deadline_max)
+        observation.since.elapsed() >= self.expiry_time(holder, deadline_max)
     }
 
     /// Returns the time without a write after which no work of the holder can still be running.
-    fn wait(&self, holder: &Holder, deadline_max: Duration) -> Duration {
+    fn expiry_time(&self, holder: &Holder, deadline_max: Duration) -> Duration {
         let use_max = if holder.retired { self.pause_max } else { holder.slice_validity };
-        let wait = use_max + holder.deadline_max.max(deadline_max);
-        wait + wait / CLOCK_RATE_DIVISOR + START_MARGIN
+        let expiry_time = use_max + holder.deadline_max.max(deadline_max);
+        expiry_time + expiry_time / CLOCK_RATE_DIVISOR + START_MARGIN
     }
 }
--- a/crates/membership/src/escrow/keeper.rs
+++ b/crates/membership/src/escrow/keeper.rs
@@ -16,7 +16,7 @@
 use super::expiry::HolderObservations;
 use super::ledger::{Holder, HolderId, LEDGER_KEY, Ledger};
 use super::local::Escrow;
-use super::plan::{Bound, Context, TeamLoad, plan, usable};
+use super::plan::{Context, TeamLoad, TeamTokens, plan, usable};
 use super::restore::RestoreGuard;
 use crate::event::MembershipEvent;
 use crate::usage::UsageSource;
@@ -47,13 +47,13 @@
     }
 }
 
-/// A write whose outcome is unknown.
+/// A prepared write, kept while its outcome is unknown.
 #[derive(Debug)]
 struct PendingWrite {
     write: Write,
     ledger: Ledger,
     writes: u64,
-    sent: Instant,
+    sent_at: Instant,
 }
 
 /// Reads and writes the ledger for one entry instance.
@@ -65,7 +65,7 @@
     escrow: Escrow,
     settings: EscrowSettings,
     id: HolderId,
-    hint: Arc<AtomicU64>,
+    revision_hint: Arc<AtomicU64>,
     copy: Option<LedgerCopy>,
     pending: Option<PendingWrite>,
     writes: u64,
@@ -76,7 +76,7 @@
     deadline_max: Duration,
     last_read: Option<Instant>,
     last_write: Option<Instant>,
-    confirmed: Option<Instant>,
+    confirmed_at: Option<Instant>,
     retired: bool,
     restore: RestoreGuard,
 }
@@ -98,7 +98,7 @@
             escrow,
             settings,
             id,
-            hint: Arc::default(),
+            revision_hint: Arc::default(),
             copy: None,
             pending: None,
             writes: 0,
@@ -109,7 +109,7 @@
             deadline_max: Duration::ZERO,
             last_read: None,
             last_write: None,
-            confirmed: None,
+            confirmed_at: None,
             retired: false,
             restore: RestoreGuard::default(),
         }
@@ -117,8 +117,8 @@
 
     /// Returns the highest ledger revision that other entry instances have reported. The receiver
     /// of their reports raises it.
-    pub fn hint(&self) -> Arc<AtomicU64> {
-        self.hint.clone()
+    pub fn revision_hint(&self) -> Arc<AtomicU64> {
+        self.revision_hint.clone()
     }
 
     /// Returns the last known state of the ledger.
@@ -197,7 +197,7 @@
             return false;
         }
         last.elapsed() >= READ_INTERVAL_MAX
-            || self.hint.load(Ordering::Relaxed) > copy.revision()
+            || self.revision_hint.load(Ordering::Relaxed) > copy.revision()
             || self.demand.teams().any(lacks_tokens)
     }
 
@@ -257,7 +257,7 @@
             self.escrow.invalidate_slices();
         }
         self.copy = Some(LedgerCopy { compare: Compare::Revision(revision), ledger });
-        self.hint.fetch_max(revision, Ordering::Relaxed);
+        self.revision_hint.fetch_max(revision, Ordering::Relaxed);
         self.refresh();
     }
 
@@ -275,7 +275,7 @@
         let (tokens, confirmed) = ledger.confirmed(team, me, self.version());
         let previous_limit = self.previous_limits.get(team).copied().unwrap_or(0);
         let total = ledger.total(team).max(previous_limit);
-        let tokens = usable(Bound { tokens, confirmed, total, limit: self.limit(team) });
+        let tokens = usable(TeamTokens { tokens, confirmed, total, limit: self.limit(team) });
         self.restore.limit_tokens(team, tokens)
     }
 
@@ -285,7 +285,7 @@
     }
 
     fn confirmation_due(&self) -> bool {
-        let age = self.confirmed.map(|confirmed| confirmed.elapsed());
+        let age = self.confirmed_at.map(|confirmed| confirmed.elapsed());
         let interval = self.settings.slice_validity / CONFIRMATIONS_PER_VALIDITY;
         !self.escrow.is_valid() || age.is_none_or(|age| age >= interval)
     }
@@ -351,18 +351,18 @@
         }
         let value = Bytes::from(ledger.to_json().ok()?);
         let write = Write::put(LEDGER_KEY, compare, value);
-        Some(PendingWrite { write, ledger, writes, sent: Instant::now() })
+        Some(PendingWrite { write, ledger, writes, sent_at: Instant::now() })
     }
 
     async fn attempt(&mut self, mut pending: PendingWrite) -> Attempt {
         self.writes = pending.writes;
         self.last_write = Some(Instant::now());
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         match self.store.write(pending.write.clone()).await {
             Ok(WriteOutcome::Written(revision)) => {
                 self.report_reclaimed(&pending.ledger);
                 self.adopt(revision, pending.ledger);
-                self.confirm(sent);
+                self.confirm(sent_at);
                 Attempt::Done
             }
             Ok(WriteOutcome::Conflict) => {
@@ -371,7 +371,7 @@
             }
             Err(StoreError::OutcomeUnknown(reason)) => {
                 emit!(MembershipEvent::TransferUnknown, reason = reason);
-                pending.sent = sent;
+                pending.sent_at = sent_at;
                 self.pending = Some(pending);
                 Attempt::Done
             }
@@ -382,10 +382,10 @@
         }
     }
 
-    fn confirm(&mut self, sent: Instant) {
-        self.confirmed = Some(sent);
+    fn confirm(&mut self, sent_at: Instant) {
+        self.confirmed_at = Some(sent_at);
         if !self.retired {
-            self.escrow.extend(sent, self.settings.slice_validity);
+            self.escrow.extend(sent_at, self.settings.slice_validity);
         }
     }
 
--- a/crates/membership/src/escrow/keeper/leave.rs
+++ b/crates/membership/src/escrow/keeper/leave.rs
@@ -16,7 +16,7 @@
             }
             let Some(copy) = self.copy.as_ref().filter(|_| self.pending.is_none()) else { return };
             let Some(me) = copy.ledger.position(&self.id) else { return };
-            let ledger = self.without_idle(copy.ledger.clone(), me);
+            let ledger = self.release_idle(copy.ledger.clone(), me);
             let Some(pending) = self.pending_write(copy.compare, ledger) else { return };
             match self.attempt(pending).await {
                 Attempt::Done if self.pending.is_none() => return,
@@ -26,7 +26,7 @@
         }
     }
 
-    fn without_idle(&self, mut ledger: Ledger, me: usize) -> Ledger {
+    fn release_idle(&self, mut ledger: Ledger, me: usize) -> Ledger {
         let mut remaining = 0;
         for (team, slices) in &mut ledger.teams {
             let in_use = self.escrow.set_usable(team, 0);
--- a/crates/membership/src/escrow/keeper/resolve.rs
+++ b/crates/membership/src/escrow/keeper/resolve.rs
@@ -12,11 +12,11 @@
     /// take effect at most once, and a conflict proves that the ledger has changed since the
     /// revision that the write is conditional on.
     pub(super) async fn resolve(&mut self, pending: PendingWrite) {
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         match self.store.write(pending.write.clone()).await {
             Ok(WriteOutcome::Written(revision)) => {
                 self.adopt(revision, pending.ledger);
-                self.confirm(sent);
+                self.confirm(sent_at);
             }
             Ok(WriteOutcome::Conflict) => self.resolve_by_read(pending).await,
             Err(_) => self.pending = Some(pending),
@@ -35,7 +35,7 @@
         let Some(ledger) = self.ledger() else { return };
         let own_holder = ledger.position(&self.id).map(|index| &ledger.holders[index]);
         if own_holder.is_some_and(|holder| holder.writes == pending.writes) {
-            self.confirm(pending.sent);
+            self.confirm(pending.sent_at);
         }
     }
 }
--- a/crates/membership/src/escrow/keeper/tests.rs
+++ b/crates/membership/src/escrow/keeper/tests.rs
@@ -196,7 +196,7 @@
     cluster.step(1).await;
     faults.set_stale_reads(Some(faults.revision()));
     faults.fail_writes(1, WriteFault::LostAnswer);
-    cluster.entries[0].keeper.hint().store(u64::MAX, Ordering::Relaxed);
+    cluster.entries[0].keeper.revision_hint().store(u64::MAX, Ordering::Relaxed);
     for _ in 0..5 {
         cluster.step(0).await;
         assert_eq!(usable(&cluster, 0), 0, "the transfer took effect");
--- a/crates/membership/src/escrow/local.rs
+++ b/crates/membership/src/escrow/local.rs
@@ -178,14 +178,14 @@
         self.inner.teams.load().keys().cloned().collect()
     }
 
-    /// Extends the validity of the slices to `slice_validity` after `sent`, the time at which the
+    /// Extends the validity of the slices to `slice_validity` after `sent_at`, the time at which the
     /// write that confirmed them was sent. A write sent before the last pause of the process is
     /// ignored.
-    pub(super) fn extend(&self, sent: Instant, slice_validity: Duration) {
+    pub(super) fn extend(&self, sent_at: Instant, slice_validity: Duration) {
         let window = &self.inner.window;
         let resumed_at = window.lock_resumed_at();
-        if sent >= *resumed_at {
-            let until_ms = window.elapsed_ms(sent + slice_validity);
+        if sent_at >= *resumed_at {
+            let until_ms = window.elapsed_ms(sent_at + slice_validity);
             window.valid_until_ms.fetch_max(until_ms, Ordering::AcqRel);
         }
     }
--- a/crates/membership/src/escrow/local/tests.rs
+++ b/crates/membership/src/escrow/local/tests.rs
@@ -11,10 +11,10 @@
 async fn write_sent_before_a_pause_does_not_confirm_slices() {
     let escrow = Escrow::default();
     escrow.tick(PAUSE_MAX);
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     advance(PAUSE_MAX).await;
     assert!(escrow.tick(PAUSE_MAX));
-    escrow.extend(sent, SLICE_VALIDITY);
+    escrow.extend(sent_at, SLICE_VALIDITY);
     assert!(!escrow.is_valid());
     escrow.extend(Instant::now(), SLICE_VALIDITY);
     assert!(escrow.is_valid());
--- a/crates/membership/src/escrow/plan.rs
+++ b/crates/membership/src/escrow/plan.rs
@@ -55,12 +55,12 @@
     }
 
     /// Returns an equal share of the limit for each holder.
-    fn even_share(&self) -> u32 {
+    fn equal_share(&self) -> u32 {
         self.limit / self.slices.len() as u32
     }
 
     /// Returns the tokens that the holder needs itself, with headroom.
-    fn need(&self) -> u32 {
+    fn required(&self) -> u32 {
         let demand = self.load.demand.max(self.load.in_use);
         demand.saturating_add(demand.div_ceil(HEADROOM_DIVISOR))
     }
@@ -69,22 +69,22 @@
         let tokens = self.own_slice().tokens;
         let total = self.total();
         if total > self.limit {
-            let over = u64::from(total - self.limit);
-            let cut = (over * u64::from(tokens)).div_ceil(u64::from(total)) as u32;
-            return Decision { keep: tokens - cut, claim: 0, want: 0, lowered: true };
+            let excess = u64::from(total - self.limit);
+            let reduction = (excess * u64::from(tokens)).div_ceil(u64::from(total)) as u32;
+            return Decision { keep: tokens - reduction, claim: 0, want: 0, lowered: true };
         }
-        let goal = self.load.demand.max(self.even_share()).min(self.limit);
+        let goal = self.load.demand.max(self.equal_share()).min(self.limit);
         let free = if may_claim { self.limit - total } else { 0 };
         let claim = free.min(goal.saturating_sub(tokens));
         let held = tokens + claim;
         let demand = self.load.demand.min(self.limit);
         let want = if demand > held { demand } else { 0 };
         let keep = if claim > 0 { tokens } else { tokens - self.surplus() };
-        Decision { keep, claim, want: self.steady_want(want), lowered: false }
+        Decision { keep, claim, want: self.stable_want(want), lowered: false }
     }
 
     /// Returns the recorded want unless the change justifies a write.
-    fn steady_want(&self, want: u32) -> u32 {
+    fn stable_want(&self, want: u32) -> u32 {
         let recorded = self.own_slice().want;
         let small = want.abs_diff(recorded) <= recorded / WANT_DIVISOR;
         if want > 0 && recorded > 0 && small { recorded } else { want }
@@ -97,7 +97,7 @@
         if unmet == 0 {
             return self.idle_surplus();
         }
-        let spare = tokens.saturating_sub(self.need());
+        let spare = tokens.saturating_sub(self.required());
         if spare > 0 {
             return spare.min(unmet);
         }
@@ -109,10 +109,10 @@
     /// Returns the tokens above the equal share that an idle holder transfers to holders far below
     /// it, so that each holder has some tokens when a network partition begins.
     fn idle_surplus(&self) -> u32 {
-        let even_share = self.even_share();
+        let equal_share = self.equal_share();
         let total_shortfall: u32 =
-            self.others().map(|(_, slice)| shortfall(slice, even_share)).sum();
-        let spare = self.own_slice().tokens.saturating_sub(even_share.max(self.need()));
+            self.others().map(|(_, slice)| shortfall(slice, equal_share)).sum();
+        let spare = self.own_slice().tokens.saturating_sub(equal_share.max(self.required()));
         spare.min(total_shortfall)
     }
 
@@ -137,7 +137,7 @@
 
     /// Divides `released` tokens among the holders that lack some.
     fn transfers(&self, released: u32) -> Vec<u32> {
-        let even_share = self.even_share();
+        let equal_share = self.equal_share();
         let unmet: u32 = self.others().map(|(_, slice)| slice.unmet()).sum();
         let requested: Vec<u32> = self
             .slices
@@ -146,7 +146,7 @@
             .map(|(index, slice)| match (index == self.me, unmet > 0) {
                 (true, _) => 0,
                 (false, true) => slice.unmet(),
-                (false, false) => shortfall(*slice, even_share),
+                (false, false) => shortfall(*slice, equal_share),
             })
             .collect();
         max_min(released, &requested)
@@ -154,8 +154,8 @@
 }
 
 /// Returns the tokens that a holder with less than half of the equal share lacks to reach it.
-fn shortfall(slice: Slice, even_share: u32) -> u32 {
-    if slice.tokens < even_share / 2 { even_share - slice.tokens } else { 0 }
+fn shortfall(slice: Slice, equal_share: u32) -> u32 {
+    if slice.tokens < equal_share / 2 { equal_share - slice.tokens } else { 0 }
 }
 
 /// Inputs of [`plan`] that are the same for all teams.
@@ -248,7 +248,7 @@
 
 /// A holder's tokens of one team together with the limit in force.
 #[derive(Debug, Clone, Copy)]
-pub struct Bound {
+pub struct TeamTokens {
     /// Tokens of the holder.
     pub tokens: u32,
     /// Tokens of all holders that have confirmed the configuration with this limit.
@@ -262,11 +262,11 @@
 /// Returns the tokens that may be used when the limit is lower than at the time the slices were
 /// assigned. Holders that may not know the limit are assumed to use all their tokens; the slices of
 /// the others shrink in proportion.
-pub fn usable(bound: Bound) -> u32 {
-    let unconfirmed = bound.total.saturating_sub(bound.confirmed);
-    let available = bound.limit.saturating_sub(unconfirmed);
-    if bound.confirmed <= available {
-        return bound.tokens;
+pub fn usable(team_tokens: TeamTokens) -> u32 {
+    let unconfirmed = team_tokens.total.saturating_sub(team_tokens.confirmed);
+    let available = team_tokens.limit.saturating_sub(unconfirmed);
+    if team_tokens.confirmed <= available {
+        return team_tokens.tokens;
     }
-    (u64::from(bound.tokens) * u64::from(available) / u64::from(bound.confirmed)) as u32
+    (u64::from(team_tokens.tokens) * u64::from(available) / u64::from(team_tokens.confirmed)) as u32
 }
--- a/crates/membership/src/escrow/restore.rs
+++ b/crates/membership/src/escrow/restore.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct LostState {
     tokens: BTreeMap<TeamId, u32>,
-    ends_at: Instant,
+    wait_ends_at: Instant,
 }
 
 impl RestoreGuard {
@@ -54,13 +54,13 @@
             (team.clone(), tokens)
         });
         let wait = use_max + RESTORED_AFTER;
-        let ends_at = Instant::now() + wait + wait / CLOCK_RATE_DIVISOR;
-        self.lost_state = Some(LostState { tokens: tokens.collect(), ends_at });
+        let wait_ends_at = Instant::now() + wait + wait / CLOCK_RATE_DIVISOR;
+        self.lost_state = Some(LostState { tokens: tokens.collect(), wait_ends_at });
         self.behind_since = None;
     }
 
     fn lost_state(&self) -> Option<&LostState> {
-        self.lost_state.as_ref().filter(|lost_state| Instant::now() < lost_state.ends_at)
+        self.lost_state.as_ref().filter(|lost_state| Instant::now() < lost_state.wait_ends_at)
     }
 
     /// Returns whether the wait is in progress.
--- a/crates/membership/src/exchange.rs
+++ b/crates/membership/src/exchange.rs
@@ -104,13 +104,13 @@
     fn queues(
         &mut self,
         sent: &mut BTreeMap<QueueId, TeamUsage>,
-        now: &BTreeMap<QueueId, TeamUsage>,
+        current: &BTreeMap<QueueId, TeamUsage>,
     ) -> Result<Vec<QueueUsage>, WireError> {
         let mut changes = Vec::new();
-        let gone = sent.keys().filter(|queue| !now.contains_key(queue)).cloned();
-        let gone: Vec<_> = gone.map(|queue| (queue, TeamUsage::default())).collect();
-        let present = now.iter().map(|(queue, usage)| (queue.clone(), *usage));
-        for (queue, usage) in gone.into_iter().chain(present) {
+        let removed = sent.keys().filter(|queue| !current.contains_key(queue)).cloned();
+        let removed: Vec<_> = removed.map(|queue| (queue, TeamUsage::default())).collect();
+        let present = current.iter().map(|(queue, usage)| (queue.clone(), *usage));
+        for (queue, usage) in removed.into_iter().chain(present) {
             let before = sent.get(&queue).copied().unwrap_or_default();
             if !is_significant_change(before, usage) {
                 continue;
@@ -133,13 +133,13 @@
     fn instances(
         &mut self,
         sent: &mut BTreeMap<InstanceId, u32>,
-        now: &BTreeMap<InstanceId, u32>,
+        current: &BTreeMap<InstanceId, u32>,
     ) -> Result<Vec<InstanceUsage>, WireError> {
         let mut changes = Vec::new();
-        let gone = sent.keys().filter(|id| !now.contains_key(*id)).cloned();
-        let gone: Vec<_> = gone.map(|id| (id, 0)).collect();
-        let present = now.iter().map(|(id, running)| (id.clone(), *running));
-        for (id, running) in gone.into_iter().chain(present) {
+        let removed = sent.keys().filter(|id| !current.contains_key(*id)).cloned();
+        let removed: Vec<_> = removed.map(|id| (id, 0)).collect();
+        let present = current.iter().map(|(id, running)| (id.clone(), *running));
+        for (id, running) in removed.into_iter().chain(present) {
             if sent.get(&id).copied().unwrap_or(0) == running {
                 continue;
             }
@@ -167,12 +167,12 @@
 }
 
 /// Returns whether a count of the queue changed to or from zero or by enough to be sent.
-fn is_significant_change(before: TeamUsage, now: TeamUsage) -> bool {
-    let differs = |before: u32, now: u32| {
-        let zero = (before == 0) != (now == 0);
-        zero || before.abs_diff(now) > before / CHANGE_DIVISOR
+fn is_significant_change(before: TeamUsage, current: TeamUsage) -> bool {
+    let differs = |before: u32, current: u32| {
+        let zero = (before == 0) != (current == 0);
+        zero || before.abs_diff(current) > before / CHANGE_DIVISOR
     };
-    differs(before.running, now.running) || differs(before.waiting, now.waiting)
+    differs(before.running, current.running) || differs(before.waiting, current.waiting)
 }
 
 fn saturate(count: u32) -> u16 {
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -115,9 +115,14 @@
             usage.clone(),
             escrow.clone(),
         );
-        let hint = keeper.hint();
-        let peers =
-            Peers::start(listener, settings.peers, roster.clone(), config_sync.clone(), hint)?;
+        let revision_hint = keeper.revision_hint();
+        let peers = Peers::start(
+            listener,
+            settings.peers,
+            roster.clone(),
+            config_sync.clone(),
+            revision_hint,
+        )?;
         let closing = vec![
             tokio::spawn(keeper.run(stop.clone().cancelled_owned())),
             tokio::spawn(directory::register(
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -58,7 +58,7 @@
 struct Context {
     roster: Roster,
     config_sync: ConfigSync,
-    ledger_hint: Arc<AtomicU64>,
+    ledger_revision_hint: Arc<AtomicU64>,
     settings: PeersSettings,
     traffic: Traffic,
     stop: CancellationToken,
@@ -79,7 +79,7 @@
         settings: PeersSettings,
         roster: Roster,
         config_sync: ConfigSync,
-        ledger_hint: Arc<AtomicU64>,
+        ledger_revision_hint: Arc<AtomicU64>,
     ) -> io::Result<Self> {
         let listener = listener.into_std()?;
         let traffic = Traffic::default();
@@ -87,7 +87,7 @@
         let context = Context {
             roster,
             config_sync,
-            ledger_hint,
+            ledger_revision_hint,
             settings,
             traffic: traffic.clone(),
             stop: stop.clone(),
--- a/crates/membership/src/peers/client.rs
+++ b/crates/membership/src/peers/client.rs
@@ -73,7 +73,7 @@
     let mut backoff = Backoff::new(RETRY_MIN, RETRY_MAX);
     loop {
         for seed in seeds.iter().filter(|seed| **seed != context.roster.me().address) {
-            if context.roster.known().len() > 1 && context.config_sync.version() > 0 {
+            if context.roster.known_entries().len() > 1 && context.config_sync.version() > 0 {
                 break;
             }
             let _ = query_seed(*seed, &context).await;
@@ -163,7 +163,7 @@
     ) -> Result<Version, SessionError> {
         let entries = context.roster.outgoing(target);
         let with_instances = matches!(target, Target::Entry(_));
-        let revision = context.ledger_hint.load(Ordering::Relaxed);
+        let revision = context.ledger_revision_hint.load(Ordering::Relaxed);
         let report = encoder.encode(&entries, with_instances, revision)?;
         let mut request = self.client.report_request();
         report.write(request.get().init_report());
--- a/crates/membership/src/peers/server.rs
+++ b/crates/membership/src/peers/server.rs
@@ -85,7 +85,7 @@
         let caller = caller.as_ref().ok_or(capnp::Error::failed("report before hello".into()))?;
         let roster = &self.context.roster;
         let same_zone = caller.zone == roster.me().zone;
-        self.context.ledger_hint.fetch_max(report.ledger_revision, Ordering::Relaxed);
+        self.context.ledger_revision_hint.fetch_max(report.ledger_revision, Ordering::Relaxed);
         for heartbeat in self.decoder.borrow_mut().decode(report).map_err(reject)? {
             let route = match (same_zone, heartbeat.id == caller.id) {
                 (true, true) => Route::SameZone,
@@ -108,7 +108,7 @@
         let caller = Hello::try_from(params.get()?.get_hello()?).map_err(reject)?;
         self.context.roster.record_identity(&identity_of(&caller));
         *self.caller.borrow_mut() = Some(caller);
-        let known = self.context.roster.known();
+        let known = self.context.roster.known_entries();
         let mut list = results.get().init_known(known.len() as u32);
         for (index, (identity, version)) in known.iter().enumerate() {
             hello_of(identity, *version).write(list.reborrow().get(index as u32));
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -23,7 +23,7 @@
 const CONFIG_READER_HASH_KEY: &str = "configuration";
 /// Time without a heartbeat after which an unregistered entry instance is removed; departures are
 /// kept for the same time.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+const REMOVE_AFTER: Duration = Duration::from_secs(600);
 
 /// Path by which the reports of an entry instance arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Departure {
     incarnation: Incarnation,
-    at: Instant,
+    left_at: Instant,
 }
 
 /// Table of all entry instances. Clones share it.
@@ -181,7 +181,7 @@
         table.own.config_version = config_version;
         table.own.ready = ready;
         table.highest_version = table.highest_version.max(config_version);
-        table.forget();
+        table.remove_expired();
         drop(table);
         if changed {
             self.notify();
@@ -226,12 +226,12 @@
         if table.entries.get(id).is_some_and(|entry| entry.heartbeat.incarnation <= incarnation) {
             table.entries.remove(id);
         }
-        table.departures.insert(id.clone(), Departure { incarnation, at: Instant::now() });
+        table.departures.insert(id.clone(), Departure { incarnation, left_at: Instant::now() });
     }
 
     /// Returns the entry instances with a known address and their configuration versions, this one
     /// first.
-    pub fn known(&self) -> Vec<(Identity, Version)> {
+    pub fn known_entries(&self) -> Vec<(Identity, Version)> {
         let table = self.lock();
         let own = (self.me.clone(), table.own.config_version);
         let others = table.entries.values().filter_map(EntryState::identity);
@@ -371,9 +371,9 @@
         self.departures.get(id).is_some_and(|departure| incarnation <= departure.incarnation)
     }
 
-    fn forget(&mut self) {
-        self.departures.retain(|_, departure| departure.at.elapsed() < FORGET_AFTER);
-        self.entries.retain(|_, entry| entry.registered || entry.silence() < FORGET_AFTER);
+    fn remove_expired(&mut self) {
+        self.departures.retain(|_, departure| departure.left_at.elapsed() < REMOVE_AFTER);
+        self.entries.retain(|_, entry| entry.registered || entry.heartbeat_age() < REMOVE_AFTER);
     }
 
     fn members(&self) -> Vec<Member> {
@@ -400,7 +400,7 @@
         }
     }
 
-    fn silence(&self) -> Duration {
+    fn heartbeat_age(&self) -> Duration {
         self.heartbeat_at.unwrap_or(self.added_at).elapsed()
     }
 
@@ -425,7 +425,7 @@
             zone: self.heartbeat.zone.clone(),
             version: self.heartbeat.config_version,
             ready: self.is_live().then_some(self.heartbeat.ready),
-            age: self.silence(),
+            age: self.heartbeat_age(),
         }
     }
 }
--- a/crates/membership/src/roster/tests.rs
+++ b/crates/membership/src/roster/tests.rs
@@ -66,7 +66,7 @@
     roster.record_heartbeat(heartbeat("a2", "a", 5, 2, 1), Route::Relayed);
     roster.record_identity(&identity("a2", "a", 5));
     assert_eq!(live(&roster), ["a1"]);
-    assert_eq!(roster.known().len(), 1);
+    assert_eq!(roster.known_entries().len(), 1);
     roster.record_heartbeat(heartbeat("a2", "a", 6, 1, 1), Route::SameZone);
     assert_eq!(live(&roster), ["a1", "a2"]);
 }
--- a/crates/membership/src/shares.rs
+++ b/crates/membership/src/shares.rs
@@ -75,8 +75,8 @@
     let pairs = known.into_iter().zip(targets);
     pairs
         .map(|((team, usage, _), target)| {
-            let here = local.get(team).copied().unwrap_or_default().demand();
-            let part = f64::from(here) / f64::from(usage.demand().max(1));
+            let own_demand = local.get(team).copied().unwrap_or_default().demand();
+            let part = f64::from(own_demand) / f64::from(usage.demand().max(1));
             TeamWeight { team: team.clone(), target, weight: (target * part).max(WEIGHT_MIN) }
         })
         .collect()
@@ -124,20 +124,20 @@
     /// `local` is the usage of this entry instance at this moment.
     pub fn weights(&self, service: &ServiceId, capacity: u32, local: &Usage) -> Vec<TeamWeight> {
         let Some(config) = self.config.load() else { return Vec::new() };
-        let here = service_usage(local, service);
-        let total = self.total_usage(service, &here);
-        weights(&config, capacity, &here, &total)
+        let own_usage = service_usage(local, service);
+        let total = self.total_usage(service, &own_usage);
+        weights(&config, capacity, &own_usage, &total)
     }
 
     fn total_usage(
         &self,
         service: &ServiceId,
-        here: &BTreeMap<TeamId, TeamUsage>,
+        own_usage: &BTreeMap<TeamId, TeamUsage>,
     ) -> BTreeMap<TeamId, TeamUsage> {
         let usages: Vec<(_, Arc<Usage>)> = self.roster.usages();
         let others = usages.iter().filter(|(id, _)| *id != self.roster.me().id);
         let others: Vec<_> = others.map(|(_, usage)| service_usage(usage, service)).collect();
-        sum(others.iter().chain([here]))
+        sum(others.iter().chain([own_usage]))
     }
 }
 
