--- a/crates/membership/examples/fleet/mod.rs
+++ b/crates/membership/examples/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Runs entry instances in one process, over TCP on loopback, with an in-memory store and counters of
-//! store bytes.
+//! Runs entry instances in one process, over TCP on loopback, with an in-memory store and counters
+//! of store bytes.
 
 #![allow(dead_code, reason = "each example uses a part of this module")]
 
--- a/crates/membership/examples/shares.rs
+++ b/crates/membership/examples/shares.rs
@@ -1,10 +1,10 @@
-//! Prints the deviation of teams from their shares, before and after entry instances exchange usage.
+//! Prints how far teams deviate from their shares, before and after entry instances exchange usage.
 //!
 //! In the model a service has `CAPACITY` slots. Entry instances take freed slots in proportion to
 //! their backlog, in equal parts or by their targets, and divide them among the teams by local
 //! weights. Before the exchange the local weights are the teams' shares; after it they are those of
-//! `cassiafold_membership::shares::weights`. The error of a team is its deviation from the result of
-//! central water-filling, relative to that result.
+//! `cassiafold_membership::shares::weights`. The error of a team is its deviation from the
+//! result of central water-filling, relative to that result.
 //!
 //! `cargo run --release -p cassiafold-membership --example shares`
 
@@ -81,7 +81,7 @@
     let locals: Vec<BTreeMap<TeamId, TeamUsage>> = demands.iter().map(|d| usage(d)).collect();
     let total = sum(&locals);
     let targets = central(config, &total);
-    let mut got = vec![0.0; SHARES.len()];
+    let mut received = vec![0.0; SHARES.len()];
     let local_weights: Vec<Vec<f64>> = locals
         .iter()
         .map(|local| weights(config, CAPACITY, local, &total))
@@ -98,10 +98,10 @@
             })
             .collect();
         let divided = water_fill(parts[entry], &teams);
-        got.iter_mut().zip(divided).for_each(|(got, part)| *got += part);
+        received.iter_mut().zip(divided).for_each(|(received, part)| *received += part);
     }
-    let pairs = got.iter().zip(&targets);
-    pairs.map(|(got, target)| (got - target).abs() / target.max(1.0)).collect()
+    let pairs = received.iter().zip(&targets);
+    pairs.map(|(received, target)| (received - target).abs() / target.max(1.0)).collect()
 }
 
 fn central(config: &Config, total: &BTreeMap<TeamId, TeamUsage>) -> Vec<f64> {
@@ -115,7 +115,7 @@
     water_fill(f64::from(CAPACITY), &demands)
 }
 
-/// Returns the slots of each entry instance. None exceeds its backlog; unused slots go to the others.
+/// Returns the slots of each entry instance. None exceeds its backlog; the others get unused slots.
 fn capacities(demands: &Demands, weights: &[Vec<f64>], slots: Slots) -> Vec<f64> {
     let backlog: Vec<f64> = demands.iter().map(|d| f64::from(d.iter().sum::<u32>())).collect();
     let share = |entry: usize| match slots {
@@ -130,8 +130,8 @@
 }
 
 fn usage(demands: &[u32]) -> BTreeMap<TeamId, TeamUsage> {
-    let of = |demand: u32| TeamUsage { running: 0, waiting: demand };
-    demands.iter().enumerate().map(|(index, demand)| (team(index), of(*demand))).collect()
+    let team_usage = |demand: u32| TeamUsage { running: 0, waiting: demand };
+    demands.iter().enumerate().map(|(index, demand)| (team(index), team_usage(*demand))).collect()
 }
 
 fn team(index: usize) -> TeamId {
--- a/crates/membership/examples/slopes.rs
+++ b/crates/membership/examples/slopes.rs
@@ -1,5 +1,5 @@
-//! Measures the cost of shared state for one entry instance as the numbers of entry instances, teams
-//! and backend servers vary. Prints one JSON line for each size, for `docs/CAPACITY.md`.
+//! Measures the cost of shared state for one entry instance as the numbers of entry instances,
+//! teams and backend servers vary. Prints one JSON line for each size, for `docs/CAPACITY.md`.
 //!
 //! `cargo run --release -p cassiafold-membership --example slopes`
 
@@ -92,17 +92,17 @@
     Ok(json!({
         "varied": size.varied, "entries": size.entries, "zones": size.zones,
         "teams": size.teams, "instances": size.instances, "churn": size.churn,
-        "sent_bytes_per_s": spread_of(&rates.sent),
-        "received_bytes_per_s": spread_of(&rates.received),
-        "store_bytes_per_s": spread_of(&rates.store),
-        "store_calls_per_s": spread_of(&calls),
+        "sent_bytes_per_s": mean_and_max(&rates.sent),
+        "received_bytes_per_s": mean_and_max(&rates.received),
+        "store_bytes_per_s": mean_and_max(&rates.store),
+        "store_calls_per_s": mean_and_max(&calls),
         "processor_share": round((cpu_after - cpu_before) / seconds / count, 5),
         "resident_bytes_per_entry": resident / size.entries as u64,
         "ledger_bytes": ledger_bytes,
     }))
 }
 
-fn spread_of(values: &[f64]) -> Value {
+fn mean_and_max(values: &[f64]) -> Value {
     let mean = values.iter().sum::<f64>() / values.len() as f64;
     let max = values.iter().copied().fold(0.0, f64::max);
     json!({"mean": round(mean, 1), "max": round(max, 1)})
--- a/crates/membership/examples/spread.rs
+++ b/crates/membership/examples/spread.rs
@@ -1,5 +1,6 @@
-//! Measures the time from the first call of an operator until a configuration version is in force at
-//! every entry instance: a read, a write and the propagation. Prints one JSON line for each case.
+//! Measures the time from the first call of an operator until a configuration version is in force
+//! at every entry instance: a read, a write and the propagation. Prints one JSON line for each
+//! case.
 //!
 //! `cargo run --release -p cassiafold-membership --example spread [-- CASE]`
 
@@ -21,7 +22,7 @@
 const TEAMS: usize = 200;
 const UPPER_LIMIT: u32 = 64;
 const PATCHES: u64 = 200;
-/// Number of versions while no watch delivers changes; each takes until some entry instance rereads.
+/// Number of versions while no watch delivers changes; each takes until an entry instance rereads.
 const SILENT_PATCHES: u64 = 20;
 /// Delay of each call to the slow store.
 const STORE_DELAY: Duration = Duration::from_millis(400);
--- a/crates/membership/src/config_sync.rs
+++ b/crates/membership/src/config_sync.rs
@@ -141,8 +141,8 @@
 
 const STORE_SOURCE: &str = "key-value service";
 
-/// Follows the configuration in the key-value service with a watch. Also rereads it at intervals, in
-/// case the watch no longer delivers changes. Runs until its task is aborted.
+/// Follows the configuration in the key-value service with a watch. Also rereads it at intervals,
+/// in case the watch no longer delivers changes. Runs until its task is aborted.
 pub async fn follow<S: Store>(
     store: S,
     config_sync: ConfigSync,
--- a/crates/membership/src/control/tests.rs
+++ b/crates/membership/src/control/tests.rs
@@ -44,7 +44,8 @@
     let entry = 0..ENTRIES;
     prop_oneof![
         6 => (1u64..9_000).prop_map(Action::Wait),
-        2 => (entry.clone(), any::<bool>()).prop_map(|(entry, direction)| Action::CutOff(entry, direction)),
+        2 => (entry.clone(), any::<bool>())
+            .prop_map(|(entry, direction)| Action::CutOff(entry, direction)),
         2 => entry.clone().prop_map(Action::Reconnect),
         2 => any::<bool>().prop_map(Action::Outage),
         2 => any::<bool>().prop_map(Action::Fault),
@@ -74,16 +75,16 @@
             }
         }
         let held: Vec<_> = entries.iter().filter_map(|(control, _)| control.held()).collect();
-        assert!(held.len() <= 1, "{} hold the control role", held.len());
+        assert!(held.len() <= 1, "{} entries hold the control role", held.len());
         if let Some(term) = held.first() {
-            assert!(term.revision >= last_revision, "terms are not in order");
+            assert!(term.revision >= last_revision, "revisions of the terms do not rise");
             last_revision = term.revision;
         }
     }
     faults.clear();
     sleep(6 * TTL).await;
     let held = entries.iter().filter(|(control, _)| control.held().is_some()).count();
-    assert_eq!(held, 1, "one holds the role when the faults are over");
+    assert_eq!(held, 1, "one entry holds the role after the faults");
 }
 
 proptest! {
--- a/crates/membership/src/directory/tests.rs
+++ b/crates/membership/src/directory/tests.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn registered(store: &MemoryStore, me: Identity) -> (CancellationToken, JoinHandle<()>) {
+fn start(store: &MemoryStore, me: Identity) -> (CancellationToken, JoinHandle<()>) {
     let stop = CancellationToken::new();
     let client = store.client(&*me.id);
     let task = register(client, me, TTL, stop.clone(), StoreContact::default());
@@ -40,7 +40,7 @@
     let store = MemoryStore::default();
     let roster = Roster::new(identity("a1", 1));
     tokio::spawn(follow(store.client("a1"), roster.clone(), StoreContact::default()));
-    let (stop, task) = registered(&store, identity("a2", 1));
+    let (stop, task) = start(&store, identity("a2", 1));
     sleep(3 * TTL).await;
     assert_eq!((count(&store).await, roster.known_entries().len()), (1, 2));
     stop.cancel();
@@ -51,7 +51,7 @@
 #[tokio::test(start_paused = true)]
 async fn expired_registration_is_created_again() {
     let store = MemoryStore::default();
-    let (_stop, _task) = registered(&store, identity("a2", 1));
+    let (_stop, _task) = start(&store, identity("a2", 1));
     sleep(TTL).await;
     store.faults().cut_off("a2", Partition::Requests);
     sleep(2 * TTL).await;
@@ -66,7 +66,7 @@
     for fault in [WriteFault::LostAnswer, WriteFault::LostRequest] {
         let store = MemoryStore::default();
         store.faults().fail_writes(1, fault);
-        let (_stop, _task) = registered(&store, identity("a2", 1));
+        let (_stop, _task) = start(&store, identity("a2", 1));
         sleep(TTL).await;
         assert_eq!(count(&store).await, 1);
         assert!(store.faults().counts("a2").writes <= 2);
@@ -76,10 +76,10 @@
 #[tokio::test(start_paused = true)]
 async fn older_run_does_not_replace_a_newer_registration() {
     let store = MemoryStore::default();
-    let (_newer, _task) = registered(&store, identity("a2", 2));
+    let (_newer, _task) = start(&store, identity("a2", 2));
     sleep(TTL).await;
     let before = store.list(ENTRIES_PREFIX).await.unwrap().records;
-    let (_older, _other) = registered(&store, identity("a2", 1));
+    let (_older, _other) = start(&store, identity("a2", 1));
     sleep(2 * TTL).await;
     assert_eq!(store.list(ENTRIES_PREFIX).await.unwrap().records, before);
 }
--- a/crates/membership/src/escrow/keeper.rs
+++ b/crates/membership/src/escrow/keeper.rs
@@ -131,12 +131,12 @@
         let escrow = self.escrow.clone();
         tokio::select! {
             () = detect_pauses(&escrow, self.settings) => {}
-            () = self.keep(stop) => {}
+            () = self.maintain(stop) => {}
         }
         self.leave().await;
     }
 
-    async fn keep(&mut self, stop: impl Future<Output = ()>) {
+    async fn maintain(&mut self, stop: impl Future<Output = ()>) {
         let mut ticks = interval(self.settings.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         tokio::pin!(stop);
--- a/crates/membership/src/escrow/keeper/tests.rs
+++ b/crates/membership/src/escrow/keeper/tests.rs
@@ -179,12 +179,12 @@
     run_rounds(&mut cluster, 15).await;
     cluster.supersede(0);
     run_rounds(&mut cluster, 20).await;
-    let superseded = cluster.superseded[0].run;
+    let superseded = cluster.superseded[0].incarnation;
     for _ in 0..5 {
         cluster.resume_superseded().await;
         advance(SETTINGS.interval).await;
     }
-    assert!(cluster.requests.borrow().iter().all(|request| request.run != superseded));
+    assert!(cluster.requests.borrow().iter().all(|request| request.incarnation != superseded));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/membership/src/escrow/keeper/tests/cluster.rs
+++ b/crates/membership/src/escrow/keeper/tests/cluster.rs
@@ -62,12 +62,12 @@
     pub config: ActiveConfig,
     pub waiting: Waiting,
     pub paused: bool,
-    pub run: u64,
+    pub incarnation: u64,
 }
 
 /// One started request. It runs to its end even if the entry that started it crashes.
 pub struct RunningRequest {
-    pub run: u64,
+    pub incarnation: u64,
     team: usize,
     ends: Instant,
     permit: Option<Permit>,
@@ -78,7 +78,7 @@
     pub entries: Vec<Entry>,
     /// Paused entries whose instance was started again elsewhere.
     pub superseded: Vec<Entry>,
-    runs: u64,
+    last_incarnation: u64,
     pub configs: Vec<Arc<Config>>,
     pub requests: RefCell<Vec<RunningRequest>>,
 }
@@ -89,7 +89,7 @@
             store: MemoryStore::default(),
             entries: Vec::new(),
             superseded: Vec::new(),
-            runs: 0,
+            last_incarnation: 0,
             configs: vec![config(1, limits)],
             requests: RefCell::default(),
         };
@@ -101,8 +101,8 @@
     }
 
     fn entry(&mut self, id: &str) -> Entry {
-        self.runs += 1;
-        let holder = HolderId { instance: id.into(), incarnation: self.runs };
+        self.last_incarnation += 1;
+        let holder = HolderId { instance: id.into(), incarnation: self.last_incarnation };
         let (escrow, config, waiting) =
             (Escrow::default(), ActiveConfig::default(), Waiting::default());
         config.offer(self.configs.last().unwrap().clone());
@@ -111,7 +111,7 @@
         let keeper =
             Keeper::new(holder, SETTINGS, store, keeper_config, entry_waiting, escrow.clone());
         escrow.tick(SETTINGS.pause_max);
-        Entry { keeper, escrow, config, waiting, paused: false, run: self.runs }
+        Entry { keeper, escrow, config, waiting, paused: false, incarnation: self.last_incarnation }
     }
 
     pub async fn step(&mut self, index: usize) {
@@ -131,8 +131,8 @@
                 sleep(delay / 5).await;
                 end_requests(requests);
                 for (team, limit_max) in limits_max.into_iter().enumerate() {
-                    for (run, escrow) in &active {
-                        saturate(requests, *run, escrow, team, limit_max);
+                    for (incarnation, escrow) in &active {
+                        saturate(requests, *incarnation, escrow, team, limit_max);
                     }
                 }
             }
@@ -146,14 +146,14 @@
 
     fn active(&self) -> Vec<(u64, Escrow)> {
         let all = self.entries.iter().chain(&self.superseded).filter(|entry| !entry.paused);
-        all.map(|entry| (entry.run, entry.escrow.clone())).collect()
+        all.map(|entry| (entry.incarnation, entry.escrow.clone())).collect()
     }
 
     /// Starts as many requests of the team as all active entries may start.
     pub fn saturate(&mut self, team: usize) {
         let limit_max = self.limit_max(team);
-        for (run, escrow) in self.active() {
-            saturate(&self.requests, run, &escrow, team, limit_max);
+        for (incarnation, escrow) in self.active() {
+            saturate(&self.requests, incarnation, &escrow, team, limit_max);
         }
     }
 
@@ -171,15 +171,24 @@
         }
     }
 
-    pub fn start(&mut self, index: usize, team: usize, run: Duration) -> bool {
+    pub fn start(&mut self, index: usize, team: usize, duration: Duration) -> bool {
         let entry = &self.entries[index];
-        start(&self.requests, entry.run, &entry.escrow, team, run, self.limit_max(team))
+        start(
+            &self.requests,
+            entry.incarnation,
+            &entry.escrow,
+            team,
+            duration,
+            self.limit_max(team),
+        )
     }
 
     pub fn finish(&mut self, index: usize) {
-        let run = self.entries[index].run;
+        let incarnation = self.entries[index].incarnation;
         let mut requests = self.requests.borrow_mut();
-        if let Some(position) = requests.iter().position(|request| request.run == run) {
+        if let Some(position) =
+            requests.iter().position(|request| request.incarnation == incarnation)
+        {
             requests.remove(position);
         }
     }
@@ -211,12 +220,16 @@
 
     /// Crashes an entry and starts another run in its place.
     pub fn crash(&mut self, index: usize, same_id: bool) {
-        let id = if same_id { format!("entry-{index}") } else { format!("new-{}", self.runs) };
-        let run = self.entries[index].run;
+        let id = if same_id {
+            format!("entry-{index}")
+        } else {
+            format!("new-{}", self.last_incarnation)
+        };
+        let incarnation = self.entries[index].incarnation;
         let mut requests = self.requests.borrow_mut();
         requests
             .iter_mut()
-            .filter(|request| request.run == run)
+            .filter(|request| request.incarnation == incarnation)
             .for_each(|request| request.permit = None);
         drop(requests);
         self.entries[index] = self.entry(&id);
@@ -266,7 +279,7 @@
 
 fn start(
     requests: &RefCell<Vec<RunningRequest>>,
-    run: u64,
+    incarnation: u64,
     escrow: &Escrow,
     team: usize,
     time: Duration,
@@ -275,7 +288,7 @@
     let Some(permit) = escrow.try_acquire(&TEAMS[team].into()) else { return false };
     let ends = Instant::now() + time.min(DEADLINE_MAX);
     let mut requests = requests.borrow_mut();
-    requests.push(RunningRequest { run, team, ends, permit: Some(permit) });
+    requests.push(RunningRequest { incarnation, team, ends, permit: Some(permit) });
     let running = running(&requests, team);
     assert!(running <= limit_max, "{running} of {} run, limit {limit_max}", TEAMS[team]);
     true
@@ -283,10 +296,10 @@
 
 fn saturate(
     requests: &RefCell<Vec<RunningRequest>>,
-    run: u64,
+    incarnation: u64,
     escrow: &Escrow,
     team: usize,
     limit_max: u32,
 ) {
-    while start(requests, run, escrow, team, DEADLINE_MAX, limit_max) {}
+    while start(requests, incarnation, escrow, team, DEADLINE_MAX, limit_max) {}
 }
--- a/crates/membership/src/escrow/keeper/tests/schedules.rs
+++ b/crates/membership/src/escrow/keeper/tests/schedules.rs
@@ -50,7 +50,8 @@
         2 => entry.clone().prop_map(Action::Resume),
         2 => (entry.clone(), any::<bool>())
             .prop_map(|(entry, same_id)| Action::Crash { entry, same_id }),
-        2 => (entry.clone(), any::<bool>()).prop_map(|(entry, direction)| Action::CutOff(entry, direction)),
+        2 => (entry.clone(), any::<bool>())
+            .prop_map(|(entry, direction)| Action::CutOff(entry, direction)),
         3 => entry.clone().prop_map(Action::Reconnect),
         1 => Just(Action::Outage(true)),
         2 => Just(Action::Outage(false)),
--- a/crates/membership/src/escrow/local.rs
+++ b/crates/membership/src/escrow/local.rs
@@ -97,7 +97,7 @@
 
 impl Permit {
     /// Returns whether the slice of the permit may still be used to start work. Check it again
-    /// right before the first byte is sent, as time may have passed since the permit was taken.
+    /// right before the first byte is sent, as time may have passed since the permit was issued.
     pub fn is_valid(&self) -> bool {
         self.inner.window.is_valid()
     }
@@ -178,9 +178,9 @@
         self.inner.teams.load().keys().cloned().collect()
     }
 
-    /// Extends the validity of the slices to `slice_validity` after `sent_at`, the time at which the
-    /// write that confirmed them was sent. A write sent before the last pause of the process is
-    /// ignored.
+    /// Extends the validity of the slices to `slice_validity` after `sent_at`, the time at which
+    /// the write that confirmed them was sent. A write sent before the last pause of the process
+    /// is ignored.
     pub(super) fn extend(&self, sent_at: Instant, slice_validity: Duration) {
         let window = &self.inner.window;
         let resumed_at = window.lock_resumed_at();
--- a/crates/membership/src/escrow/plan.rs
+++ b/crates/membership/src/escrow/plan.rs
@@ -8,7 +8,7 @@
 use super::ledger::{Ledger, Slice};
 use super::max_min::max_min;
 
-/// Headroom that a holder keeps above its demand when it gives tokens away, as a divisor of the
+/// Headroom that a holder keeps above its demand when it transfers tokens, as a divisor of the
 /// demand.
 const HEADROOM_DIVISOR: u32 = 8;
 /// Smallest change of a recorded want that justifies a write, as a divisor of the want.
--- a/crates/membership/src/exchange/tests.rs
+++ b/crates/membership/src/exchange/tests.rs
@@ -86,7 +86,10 @@
             prop_assert!(expected.queues.keys().eq(actual.queues.keys()));
             for (queue, expected) in &expected.queues {
                 let actual = actual.queues[queue];
-                prop_assert!(is_close(expected.running, actual.running) && is_close(expected.waiting, actual.waiting));
+                prop_assert!(
+                    is_close(expected.running, actual.running)
+                        && is_close(expected.waiting, actual.waiting)
+                );
             }
         }
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -64,12 +64,12 @@
     started.duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// Switch that sets whether this entry instance reports that it takes new requests.
+/// Switch that sets whether this entry instance reports that it accepts new requests.
 #[derive(Debug, Clone)]
 pub struct Readiness(Arc<AtomicBool>);
 
 impl Readiness {
-    /// Sets whether this entry instance reports that it takes new requests.
+    /// Sets whether this entry instance reports that it accepts new requests.
     pub fn set(&self, ready: bool) {
         self.0.store(ready, Ordering::Relaxed);
     }
@@ -205,12 +205,12 @@
         self.peers.traffic()
     }
 
-    /// Returns the switch for whether this entry instance reports that it takes new requests.
+    /// Returns the switch for whether this entry instance reports that it accepts new requests.
     pub fn ready(&self) -> Readiness {
         Readiness(self.ready.clone())
     }
 
-    /// Sets whether this entry instance reports that it takes new requests.
+    /// Sets whether this entry instance reports that it accepts new requests.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Relaxed);
     }
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -128,8 +128,8 @@
             () = context.stop.cancelled() => {}
         }
     }
-    let leaves = futures_util::future::join_all(tasks.into_values());
-    let _ = tokio::time::timeout(CLOSE_TIMEOUT, leaves).await;
+    let sessions = futures_util::future::join_all(tasks.into_values());
+    let _ = tokio::time::timeout(CLOSE_TIMEOUT, sessions).await;
     Ok(())
 }
 
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -49,7 +49,7 @@
     pub sequence: u64,
     /// Configuration version in force there.
     pub config_version: Version,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub ready: bool,
     /// Its running and waiting requests.
     pub usage: Arc<Usage>,
@@ -76,7 +76,7 @@
     pub zone: ZoneId,
     /// Version in force there according to its last heartbeat; zero if unknown.
     pub version: Version,
-    /// Whether it takes new requests; `None` if it is not live.
+    /// Whether it accepts new requests; `None` if it is not live.
     pub ready: Option<bool>,
     /// Time since its last heartbeat, or since it became known.
     pub age: Duration,
--- a/crates/membership/src/roster/tests.rs
+++ b/crates/membership/src/roster/tests.rs
@@ -40,7 +40,7 @@
     assert_eq!(live(&roster), ["a1", "a2"]);
     advance(HEARTBEAT_TIMEOUT).await;
     assert_eq!(live(&roster), ["a1"]);
-    assert_eq!(roster.confirmations().list.len(), 1, "neither registered nor heard");
+    assert_eq!(roster.confirmations().list.len(), 1, "neither registered nor live");
     roster.set_registered(&[identity("a2", "a", 5)]);
     let confirmation = roster.confirmations().list[1].clone();
     assert_eq!((confirmation.version, confirmation.ready), (1, None));
@@ -96,6 +96,6 @@
     roster.record_heartbeat(heartbeat("b1", "b", 5, 2, 3), Route::Relayed);
     assert!(!changes.has_changed().unwrap());
     roster.advance_heartbeat(Arc::default(), 3, true);
-    assert!(changes.has_changed().unwrap(), "peers are told the version in force");
+    assert!(changes.has_changed().unwrap(), "peers get a report with the version in force");
     advance(Duration::from_secs(1)).await;
 }
--- a/crates/membership/src/shares/tests.rs
+++ b/crates/membership/src/shares/tests.rs
@@ -70,7 +70,8 @@
         teams in prop::collection::vec(demand(), 1..8),
     ) {
         let capacity = f64::from(capacity);
-        let (parts, expected) = (water_fill(capacity, &teams), water_fill_in_steps(capacity, &teams));
+        let (parts, expected) =
+            (water_fill(capacity, &teams), water_fill_in_steps(capacity, &teams));
         for (part, expected) in parts.iter().zip(expected) {
             prop_assert!((part - expected).abs() < 0.01 * capacity, "{part} {expected}");
         }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -56,9 +56,9 @@
     let lease_ttl = Duration::from_secs(3);
     let settings = MembershipSettings { identity, lease_ttl, escrow, peers };
     let (config, usage) = (ActiveConfig::default(), FixedUsage::default());
-    let (store, for_tasks) = (store.client(id), config.clone());
+    let (store, membership_config) = (store.client(id), config.clone());
     let membership =
-        Membership::start(settings, listener, store, for_tasks, usage.clone()).unwrap();
+        Membership::start(settings, listener, store, membership_config, usage.clone()).unwrap();
     membership.set_ready(true);
     Entry { membership, config, usage, address }
 }
@@ -73,10 +73,10 @@
     entries
 }
 
-async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+async fn eventually(expectation: &str, mut condition: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + WAIT_MAX;
-    while !holds().await {
-        assert!(Instant::now() < end, "timed out: {what}");
+    while !condition().await {
+        assert!(Instant::now() < end, "timed out: {expectation}");
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -93,7 +93,7 @@
     store.write(Write::put(CURRENT_KEY, compare, document)).await.unwrap();
 }
 
-async fn in_force(entries: &[Entry], version: Version) {
+async fn wait_until_in_force(entries: &[Entry], version: Version) {
     let all = || entries.iter().all(|entry| entry.config.version() == version);
     eventually("the version is in force everywhere", async || all()).await;
 }
@@ -116,13 +116,13 @@
         let store = MemoryStore::default();
         put_config(&store, 1).await;
         let entries = fleet(&store).await;
-        in_force(&entries, 1).await;
+        wait_until_in_force(&entries, 1).await;
         for cut_off in [1, 6] {
             store.faults().cut_off(format!("entry-{cut_off}"), Partition::Requests);
         }
         for version in 2..6 {
             put_config(&store, version).await;
-            in_force(&entries, version).await;
+            wait_until_in_force(&entries, version).await;
         }
         for entry in &entries {
             let confirmed = || entry.membership.confirmations().missing(5).count() == 0;
@@ -139,18 +139,18 @@
         let store = MemoryStore::default();
         put_config(&store, 7).await;
         let entries = fleet(&store).await;
-        in_force(&entries, 7).await;
+        wait_until_in_force(&entries, 7).await;
         store.faults().set_outage(true);
         let new = start(&store, "new", "b", vec![entries[0].address]).await;
         assert_eq!(new.config.version(), 0, "has no configuration before a peer sends one");
         eventually("the new entry has a configuration", async || new.config.version() == 7).await;
         let known = || new.membership.live(None).len() == ZONES.len() + 1;
         eventually("the new entry knows all others", async || known()).await;
-        let heard = || {
+        let known_to_all = || {
             let lists = entries.iter().map(|entry| entry.membership.live(None));
             lists.into_iter().all(|list| list.iter().any(|live| &*live.id == "new"))
         };
-        eventually("all know the new entry", async || heard()).await;
+        eventually("all know the new entry", async || known_to_all()).await;
         new.membership.close().await;
         close(entries).await;
     });
@@ -176,8 +176,8 @@
         eventually("all know the usage of all", async || shared()).await;
         let last = entries.pop().unwrap();
         last.membership.close().await;
-        let gone = || entries.iter().all(|entry| entry.membership.live(None).len() == 6);
-        eventually("the departed entry is removed", async || gone()).await;
+        let removed = || entries.iter().all(|entry| entry.membership.live(None).len() == 6);
+        eventually("the departed entry is removed", async || removed()).await;
         assert_eq!(entries[0].membership.confirmations().list.len(), 6);
         close(entries).await;
     });
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -104,7 +104,7 @@
     pub heartbeat: u64,
     /// Configuration version in force there.
     pub config_version: Version,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub ready: bool,
     /// Queues whose usage changed.
     pub queues: Vec<QueueUsage>,
