--- a/crates/membership/examples/shares.rs
+++ b/crates/membership/examples/shares.rs
@@ -1,10 +1,10 @@
-//! Prints how near teams come to their shares, before and after entry instances exchange usage.
+//! Prints how far teams deviate from their shares, before and after entry instances exchange usage.
 //!
-//! The model: a service has `capacity` slots. Entry instances take freed slots in proportion to
-//! their backlog, or each its even part, and divide them among the teams by local weights. Before
-//! the exchange the local weights are the teams' shares; after it they are those of
-//! `cassiafold_membership::shares::weights`. The error of a team is its distance from the central
-//! water-filling, as a part of that.
+//! In the model a service has `CAPACITY` slots. Entry instances take freed slots in proportion to
+//! their backlog, in equal parts or by their targets, and divide them among the teams by local
+//! weights. Before the exchange the local weights are the teams' shares; after it they are those of
+//! `cassiafold_membership::shares::weights`. The error of a team is its deviation from the
+//! result of central water-filling, relative to that result.
 //!
 //! `cargo run --release -p cassiafold-membership --example shares`
 
@@ -24,14 +24,14 @@
 const SHARES: [u32; 6] = [1, 1, 1, 1, 2, 2];
 const UPPER_LIMIT: u32 = 60;
 
-/// How entry instances come to slots.
+/// Division of slots among entry instances.
 #[derive(Debug, Clone, Copy)]
 enum Slots {
     /// In proportion to their backlog.
     Backlog,
-    /// An even part each.
+    /// In equal parts.
     Even,
-    /// What the targets of their teams add up to.
+    /// By the sum of the local targets of their teams.
     Target,
 }
 
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Demand of each team at each entry instance.
+/// Returns the named scenarios with the demand of each team at each entry instance.
 fn scenarios() -> Vec<(&'static str, Demands)> {
     let even = vec![vec![6; SHARES.len()]; ENTRIES];
     let mut one_entry = vec![vec![6; SHARES.len()]; ENTRIES];
@@ -81,7 +81,7 @@
     let locals: Vec<BTreeMap<TeamId, TeamUsage>> = demands.iter().map(|d| usage(d)).collect();
     let total = sum(&locals);
     let targets = central(config, &total);
-    let mut got = vec![0.0; SHARES.len()];
+    let mut received = vec![0.0; SHARES.len()];
     let local_weights: Vec<Vec<f64>> = locals
         .iter()
         .map(|local| weights(config, CAPACITY, local, &total))
@@ -98,10 +98,10 @@
             })
             .collect();
         let divided = water_fill(parts[entry], &teams);
-        got.iter_mut().zip(divided).for_each(|(got, part)| *got += part);
+        received.iter_mut().zip(divided).for_each(|(received, part)| *received += part);
     }
-    let pairs = got.iter().zip(&targets);
-    pairs.map(|(got, target)| (got - target).abs() / target.max(1.0)).collect()
+    let pairs = received.iter().zip(&targets);
+    pairs.map(|(received, target)| (received - target).abs() / target.max(1.0)).collect()
 }
 
 fn central(config: &Config, total: &BTreeMap<TeamId, TeamUsage>) -> Vec<f64> {
@@ -115,7 +115,7 @@
     water_fill(f64::from(CAPACITY), &demands)
 }
 
-/// Slots of each entry instance; none has more than its backlog, and what one leaves goes on.
+/// Returns the slots of each entry instance. None exceeds its backlog; the others get unused slots.
 fn capacities(demands: &Demands, weights: &[Vec<f64>], slots: Slots) -> Vec<f64> {
     let backlog: Vec<f64> = demands.iter().map(|d| f64::from(d.iter().sum::<u32>())).collect();
     let share = |entry: usize| match slots {
@@ -130,8 +130,8 @@
 }
 
 fn usage(demands: &[u32]) -> BTreeMap<TeamId, TeamUsage> {
-    let of = |demand: u32| TeamUsage { running: 0, waiting: demand };
-    demands.iter().enumerate().map(|(index, demand)| (team(index), of(*demand))).collect()
+    let team_usage = |demand: u32| TeamUsage { running: 0, waiting: demand };
+    demands.iter().enumerate().map(|(index, demand)| (team(index), team_usage(*demand))).collect()
 }
 
 fn team(index: usize) -> TeamId {
--- a/crates/membership/examples/slopes.rs
+++ b/crates/membership/examples/slopes.rs
@@ -1,5 +1,5 @@
-//! Measures what an entry instance spends on shared state, over entry instances, teams and backend
-//! servers. Prints one JSON line for each size, for `docs/CAPACITY.md`.
+//! Measures the cost of shared state for one entry instance as the numbers of entry instances,
+//! teams and backend servers vary. Prints one JSON line for each size, for `docs/CAPACITY.md`.
 //!
 //! `cargo run --release -p cassiafold-membership --example slopes`
 
@@ -18,11 +18,11 @@
 
 use self::fleet::{Entry, Error};
 
-const SETTLE: Duration = Duration::from_secs(6);
+const WARM_UP: Duration = Duration::from_secs(6);
 const MEASURE: Duration = Duration::from_secs(8);
 const UPPER_LIMIT: u32 = 64;
 const SEED: u64 = 1;
-/// Processor clock ticks in a second, as `/proc` counts them.
+/// Clock ticks per second in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
 const PAGE_BYTES: u64 = 4_096;
 
@@ -34,20 +34,21 @@
     zones: usize,
     teams: usize,
     instances: usize,
-    /// Share of the counts that change in each second.
+    /// Fraction of the counts that change in each second.
     churn: f64,
 }
 
-const LETTER: Size =
+/// Fleet size that the requirements state; each other size varies one dimension of it.
+const BASE_SIZE: Size =
     Size { varied: "base", entries: 8, zones: 4, teams: 200, instances: 870, churn: 0.25 };
 
 fn sizes() -> Vec<Size> {
-    let mut sizes = vec![LETTER];
-    let entries = [4, 16, 24].map(|entries| Size { varied: "entries", entries, ..LETTER });
-    let teams = [50, 100, 400].map(|teams| Size { varied: "teams", teams, ..LETTER });
+    let mut sizes = vec![BASE_SIZE];
+    let entries = [4, 16, 24].map(|entries| Size { varied: "entries", entries, ..BASE_SIZE });
+    let teams = [50, 100, 400].map(|teams| Size { varied: "teams", teams, ..BASE_SIZE });
     let instances =
-        [100, 200, 400].map(|count| Size { varied: "instances", instances: count, ..LETTER });
-    let churn = [0.0, 1.0].map(|churn| Size { varied: "churn", churn, ..LETTER });
+        [100, 200, 400].map(|count| Size { varied: "instances", instances: count, ..BASE_SIZE });
+    let churn = [0.0, 1.0].map(|churn| Size { varied: "churn", churn, ..BASE_SIZE });
     sizes.extend(entries);
     sizes.extend(teams);
     sizes.extend(instances);
@@ -73,7 +74,7 @@
     let entries = fleet::start(&store, size.entries, size.zones).await?;
     let mut load = Load::new(size);
     load.fill(&entries);
-    load.run(&entries, SETTLE).await;
+    load.run(&entries, WARM_UP).await;
     let (before, cpu_before) = (Counts::of(&entries), processor_s()?);
     let calls_before = calls(&store, &entries);
     load.run(&entries, MEASURE).await;
@@ -91,17 +92,17 @@
     Ok(json!({
         "varied": size.varied, "entries": size.entries, "zones": size.zones,
         "teams": size.teams, "instances": size.instances, "churn": size.churn,
-        "sent_bytes_per_s": spread_of(&rates.sent),
-        "received_bytes_per_s": spread_of(&rates.received),
-        "store_bytes_per_s": spread_of(&rates.store),
-        "store_calls_per_s": spread_of(&calls),
+        "sent_bytes_per_s": mean_and_max(&rates.sent),
+        "received_bytes_per_s": mean_and_max(&rates.received),
+        "store_bytes_per_s": mean_and_max(&rates.store),
+        "store_calls_per_s": mean_and_max(&calls),
         "processor_share": round((cpu_after - cpu_before) / seconds / count, 5),
         "resident_bytes_per_entry": resident / size.entries as u64,
         "ledger_bytes": ledger_bytes,
     }))
 }
 
-fn spread_of(values: &[f64]) -> Value {
+fn mean_and_max(values: &[f64]) -> Value {
     let mean = values.iter().sum::<f64>() / values.len() as f64;
     let max = values.iter().copied().fold(0.0, f64::max);
     json!({"mean": round(mean, 1), "max": round(max, 1)})
@@ -112,7 +113,7 @@
     (value * scale).round() / scale
 }
 
-/// Bytes so far, by entry instance.
+/// Bytes of each entry instance since its start.
 struct Counts {
     sent: Vec<u64>,
     received: Vec<u64>,
@@ -150,7 +151,7 @@
     entries.iter().map(|entry| store.faults().counts(&entry.id).total()).collect()
 }
 
-/// Changing usage at every entry instance.
+/// Generates changing usage at every entry instance.
 struct Load {
     size: Size,
     random: SmallRng,
--- a/crates/membership/examples/spread.rs
+++ b/crates/membership/examples/spread.rs
@@ -1,5 +1,6 @@
-//! Measures the time from the first call of an operator to a version's being in force at the last
-//! entry instance: a read, a write and the spread. Prints one JSON line for each case.
+//! Measures the time from the first call of an operator until a configuration version is in force
+//! at every entry instance: a read, a write and the propagation. Prints one JSON line for each
+//! case.
 //!
 //! `cargo run --release -p cassiafold-membership --example spread [-- CASE]`
 
@@ -21,14 +22,14 @@
 const TEAMS: usize = 200;
 const UPPER_LIMIT: u32 = 64;
 const PATCHES: u64 = 200;
-/// Versions while all watches are silent; each waits for a read of some entry instance.
+/// Number of versions while no watch delivers changes; each takes until an entry instance rereads.
 const SILENT_PATCHES: u64 = 20;
-/// Delay of each call of the slow store.
-const SLOW: Duration = Duration::from_millis(400);
-/// Longest wait for one version.
+/// Delay of each call to the slow store.
+const STORE_DELAY: Duration = Duration::from_millis(400);
+/// Longest wait until one version is in force.
 const IN_FORCE_MAX: Duration = Duration::from_secs(30);
 
-/// What is wrong while the versions spread.
+/// Fault during the propagation of versions.
 #[derive(Debug, Clone, Copy)]
 enum Case {
     Clean,
@@ -66,7 +67,7 @@
     wait(&entries, 1).await?;
     match case {
         Case::Clean => {}
-        Case::StoreSlow => store.faults().set_delay(SLOW),
+        Case::StoreSlow => store.faults().set_delay(STORE_DELAY),
         Case::OneCutOff => store.faults().cut_off("entry-0", Partition::Requests),
         Case::WatchesSilent => store.faults().set_silent_watches(true),
     }
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -20,14 +20,14 @@
 use crate::identity::Identity;
 use crate::roster::Roster;
 
-/// Prefix of the keys of registrations.
+/// Prefix of the registration keys.
 pub const ENTRIES_PREFIX: &str = "cassiafold/entries/";
-/// Time between two reads of all registrations, in case a watch has gone silent.
+/// Interval at which all registrations are read again, in case a watch no longer delivers changes.
 const RELIST_INTERVAL: Duration = Duration::from_secs(30);
 const RETRY_MIN: Duration = Duration::from_millis(200);
 const RETRY_MAX: Duration = Duration::from_secs(5);
-/// Wait between two looks at a registration held by another run of the same instance.
-const IN_USE_WAIT: Duration = Duration::from_secs(1);
+/// Interval at which a registration held by a later run of the same instance is checked again.
+const IN_USE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Stored registration of an entry instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
     }
 }
 
-/// Keeps this entry instance registered until `stop`; then ends the registration.
+/// Keeps this entry instance registered until `stop`; then deletes the registration.
 pub async fn register<S: Store>(
     store: S,
     me: Identity,
@@ -86,7 +86,7 @@
         };
         if let Ok(lease) = lease {
             emit!(MembershipEvent::Registered, instance = me.id);
-            contact.note();
+            contact.record_response();
             backoff.reset();
             tokio::select! {
                 () = lease.ended() => emit!(MembershipEvent::RegistrationLost, instance = me.id),
@@ -103,7 +103,8 @@
     }
 }
 
-/// Writes the registration. A lost answer is settled by reading it back: the lease in it is new.
+/// Writes the registration. An unknown outcome is resolved by reading the key: the lease identifies
+/// this write, as it is new.
 async fn put<S: Store>(store: &S, me: &Identity, lease: LeaseId) -> Result<(), StoreError> {
     let key = format!("{ENTRIES_PREFIX}{}", me.id);
     let registration = Registration::new(me, lease);
@@ -117,7 +118,7 @@
         }
         if known.is_some_and(|known: Registration| known.run > me.incarnation) {
             emit!(MembershipEvent::IdInUse, instance = me.id);
-            sleep(IN_USE_WAIT).await;
+            sleep(IN_USE_RETRY_INTERVAL).await;
             continue;
         }
         let compare = stored.map_or(Compare::Absent, |record| Compare::Revision(record.revision));
@@ -131,13 +132,13 @@
     }
 }
 
-/// Follows the registrations of all entry instances. While the service cannot be reached the last
-/// known ones stay. Ends with the task that runs it.
+/// Follows the registrations of all entry instances. While the service is unreachable, the last
+/// known ones are kept. Runs until its task is aborted.
 pub async fn follow<S: Store>(store: S, roster: Roster, contact: StoreContact) {
     let mut backoff = Backoff::new(RETRY_MIN, RETRY_MAX);
     loop {
         if let Ok(snapshot) = store.list(ENTRIES_PREFIX).await {
-            contact.note();
+            contact.record_response();
             if watch(&store, &roster, &contact, snapshot).await.is_ok() {
                 backoff.reset();
                 continue;
@@ -167,7 +168,7 @@
         roster.set_registered(&identities);
         let Ok(changes) = timeout_at(until, watch.next()).await else { break };
         let changes = changes?;
-        contact.note();
+        contact.record_response();
         for change in changes {
             match change.record.and_then(|record| parse(&record.value)) {
                 Some(registration) => {
--- a/crates/membership/src/directory/tests.rs
+++ b/crates/membership/src/directory/tests.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn registered(store: &MemoryStore, me: Identity) -> (CancellationToken, JoinHandle<()>) {
+fn start(store: &MemoryStore, me: Identity) -> (CancellationToken, JoinHandle<()>) {
     let stop = CancellationToken::new();
     let client = store.client(&*me.id);
     let task = register(client, me, TTL, stop.clone(), StoreContact::default());
@@ -36,22 +36,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_registration_lives_as_long_as_its_entry() {
+async fn registration_is_deleted_when_its_entry_stops() {
     let store = MemoryStore::default();
     let roster = Roster::new(identity("a1", 1));
     tokio::spawn(follow(store.client("a1"), roster.clone(), StoreContact::default()));
-    let (stop, task) = registered(&store, identity("a2", 1));
+    let (stop, task) = start(&store, identity("a2", 1));
     sleep(3 * TTL).await;
-    assert_eq!((count(&store).await, roster.known().len()), (1, 2));
+    assert_eq!((count(&store).await, roster.known_entries().len()), (1, 2));
     stop.cancel();
     task.await.unwrap();
     assert_eq!(count(&store).await, 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_registration_is_made_again() {
+async fn expired_registration_is_created_again() {
     let store = MemoryStore::default();
-    let (_stop, _task) = registered(&store, identity("a2", 1));
+    let (_stop, _task) = start(&store, identity("a2", 1));
     sleep(TTL).await;
     store.faults().cut_off("a2", Partition::Requests);
     sleep(2 * TTL).await;
@@ -62,11 +62,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_to_the_registration_is_settled() {
+async fn registration_with_unknown_outcome_is_resolved() {
     for fault in [WriteFault::LostAnswer, WriteFault::LostRequest] {
         let store = MemoryStore::default();
         store.faults().fail_writes(1, fault);
-        let (_stop, _task) = registered(&store, identity("a2", 1));
+        let (_stop, _task) = start(&store, identity("a2", 1));
         sleep(TTL).await;
         assert_eq!(count(&store).await, 1);
         assert!(store.faults().counts("a2").writes <= 2);
@@ -74,18 +74,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_older_run_does_not_replace_a_newer_one() {
+async fn older_run_does_not_replace_a_newer_registration() {
     let store = MemoryStore::default();
-    let (_newer, _task) = registered(&store, identity("a2", 2));
+    let (_newer, _task) = start(&store, identity("a2", 2));
     sleep(TTL).await;
     let before = store.list(ENTRIES_PREFIX).await.unwrap().records;
-    let (_older, _other) = registered(&store, identity("a2", 1));
+    let (_older, _other) = start(&store, identity("a2", 1));
     sleep(2 * TTL).await;
     assert_eq!(store.list(ENTRIES_PREFIX).await.unwrap().records, before);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_fails_is_no_answer_of_the_service() {
+async fn failed_watch_does_not_count_as_a_response() {
     let store = MemoryStore::default();
     let contact = StoreContact::default();
     tokio::spawn(follow(store.client("a1"), Roster::new(identity("a1", 1)), contact.clone()));
--- a/crates/membership/src/escrow/keeper.rs
+++ b/crates/membership/src/escrow/keeper.rs
@@ -1,4 +1,4 @@
-//! Keeps the slices of this entry instance in step with the ledger.
+//! Synchronizes the slices of this entry instance with the ledger.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,32 +13,32 @@
 
 use super::EscrowSettings;
 use super::demand::Demand;
+use super::expiry::HolderObservations;
 use super::ledger::{Holder, HolderId, LEDGER_KEY, Ledger};
 use super::local::Escrow;
-use super::plan::{Bound, Context, Use, plan, usable};
-use super::restore::Restore;
-use super::silence::Sightings;
+use super::plan::{Context, TeamLoad, TeamTokens, plan, usable};
+use super::restore::RestoreGuard;
 use crate::event::MembershipEvent;
 use crate::usage::UsageSource;
 
-/// Writes within the time for which slices are valid, as long as the service answers.
-const CONFIRMATIONS_PER_HOLD: u32 = 12;
-/// Least time between two reads and between two writes of one holder, for each holder in the
-/// ledger.
+/// Number of confirming writes in one validity period while the service responds.
+const CONFIRMATIONS_PER_VALIDITY: u32 = 12;
+/// Shortest time between two reads and between two writes of one holder, multiplied by the number
+/// of holders in the ledger.
 const SPACING_PER_HOLDER: Duration = Duration::from_millis(250);
 /// Longest time between two reads of the ledger.
 const READ_INTERVAL_MAX: Duration = Duration::from_secs(5);
-/// Attempts of one write against conflicts.
+/// Most attempts of one write that meets conflicts.
 const ATTEMPTS_MAX: usize = 3;
 
-/// A state of the ledger and the condition under which it may be retired.
+/// A state of the ledger and the condition under which a write may replace it.
 #[derive(Debug)]
-struct Copy {
+struct LedgerCopy {
     compare: Compare,
     ledger: Ledger,
 }
 
-impl Copy {
+impl LedgerCopy {
     fn revision(&self) -> Revision {
         match self.compare {
             Compare::Absent => 0,
@@ -47,13 +47,13 @@
     }
 }
 
-/// A write whose outcome is unknown.
+/// A prepared write, kept while its outcome is unknown.
 #[derive(Debug)]
-struct Pending {
+struct PendingWrite {
     write: Write,
     ledger: Ledger,
     writes: u64,
-    sent: Instant,
+    sent_at: Instant,
 }
 
 /// Reads and writes the ledger for one entry instance.
@@ -65,24 +65,24 @@
     escrow: Escrow,
     settings: EscrowSettings,
     id: HolderId,
-    hint: Arc<AtomicU64>,
-    copy: Option<Copy>,
-    pending: Option<Pending>,
+    revision_hint: Arc<AtomicU64>,
+    copy: Option<LedgerCopy>,
+    pending: Option<PendingWrite>,
     writes: u64,
-    sightings: Sightings,
+    observations: HolderObservations,
     demand: Demand,
-    ceilings: BTreeMap<TeamId, u32>,
+    previous_limits: BTreeMap<TeamId, u32>,
     applied: Option<Arc<Config>>,
     deadline_max: Duration,
     last_read: Option<Instant>,
     last_write: Option<Instant>,
-    confirmed: Option<Instant>,
+    confirmed_at: Option<Instant>,
     retired: bool,
-    restore: Restore,
+    restore: RestoreGuard,
 }
 
 impl<S: Store, U: UsageSource> Keeper<S, U> {
-    /// A keeper for one run of an entry instance. The clones of `escrow` give its permits.
+    /// Creates a keeper for one run of an entry instance. Its permits are issued by `escrow`.
     pub fn new(
         id: HolderId,
         settings: EscrowSettings,
@@ -98,44 +98,45 @@
             escrow,
             settings,
             id,
-            hint: Arc::default(),
+            revision_hint: Arc::default(),
             copy: None,
             pending: None,
             writes: 0,
-            sightings: Sightings::new(settings.pause_max),
+            observations: HolderObservations::new(settings.pause_max),
             demand: Demand::default(),
-            ceilings: BTreeMap::new(),
+            previous_limits: BTreeMap::new(),
             applied: None,
             deadline_max: Duration::ZERO,
             last_read: None,
             last_write: None,
-            confirmed: None,
+            confirmed_at: None,
             retired: false,
-            restore: Restore::default(),
+            restore: RestoreGuard::default(),
         }
     }
 
-    /// Highest revision of the ledger known to other entry instances; raised by their messages.
-    pub fn hint(&self) -> Arc<AtomicU64> {
-        self.hint.clone()
+    /// Returns the highest ledger revision that other entry instances have reported. The receiver
+    /// of their reports raises it.
+    pub fn revision_hint(&self) -> Arc<AtomicU64> {
+        self.revision_hint.clone()
     }
 
-    /// State of the ledger as last seen.
+    /// Returns the last known state of the ledger.
     pub fn ledger(&self) -> Option<&Ledger> {
         self.copy.as_ref().map(|copy| &copy.ledger)
     }
 
-    /// Keeps the slices until `stop` completes; then gives them back.
+    /// Maintains the slices until `stop` completes; then returns the tokens that are not in use.
     pub async fn run(mut self, stop: impl Future<Output = ()>) {
         let escrow = self.escrow.clone();
         tokio::select! {
-            () = note_pauses(&escrow, self.settings) => {}
-            () = self.keep(stop) => {}
+            () = detect_pauses(&escrow, self.settings) => {}
+            () = self.maintain(stop) => {}
         }
         self.leave().await;
     }
 
-    async fn keep(&mut self, stop: impl Future<Output = ()>) {
+    async fn maintain(&mut self, stop: impl Future<Output = ()>) {
         let mut ticks = interval(self.settings.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         tokio::pin!(stop);
@@ -148,13 +149,13 @@
         }
     }
 
-    /// Looks at configuration, demand and ledger once and writes what has to change.
+    /// Checks configuration, demand and ledger once and writes the ledger if it has to change.
     pub async fn step(&mut self) {
         let Some(config) = self.config.load() else { return };
         self.apply(&config);
         self.demand.sample(&self.usage.usage(), &self.escrow);
         if let Some(pending) = self.pending.take() {
-            self.settle(pending).await;
+            self.resolve(pending).await;
         }
         if self.pending.is_some() || self.retired {
             return;
@@ -166,15 +167,16 @@
         self.escrow.notify();
     }
 
-    /// Puts a configuration in force: lowered limits stop starts at once.
+    /// Puts a configuration in force. A lowered limit applies to new work immediately, before the
+    /// ledger is written.
     fn apply(&mut self, config: &Arc<Config>) {
         if config.version == self.version() {
             return;
         }
         if let Some(applied) = &self.applied {
             for (team, before) in &applied.teams {
-                let ceiling = self.ceilings.entry(team.clone()).or_insert(0);
-                *ceiling = before.upper_limit.max(*ceiling);
+                let previous_limit = self.previous_limits.entry(team.clone()).or_insert(0);
+                *previous_limit = before.upper_limit.max(*previous_limit);
             }
         }
         let longest = config.services.values().map(|service| service.deadline_max).max();
@@ -183,31 +185,32 @@
         self.refresh();
     }
 
-    fn work(&self, team: &TeamId) -> Use {
-        Use { in_use: self.escrow.in_use(team), demand: self.demand.of(team) }
+    fn team_load(&self, team: &TeamId) -> TeamLoad {
+        TeamLoad { in_use: self.escrow.in_use(team), demand: self.demand.of(team) }
     }
 
     fn read_due(&self) -> bool {
         let (Some(copy), Some(last)) = (&self.copy, self.last_read) else { return true };
-        let short = |team: &TeamId| self.work(team).demand > self.escrow.usable(team);
+        let lacks_tokens = |team: &TeamId| self.team_load(team).demand > self.escrow.usable(team);
         let spacing = SPACING_PER_HOLDER * copy.ledger.holders.len() as u32;
         if last.elapsed() < spacing {
             return false;
         }
         last.elapsed() >= READ_INTERVAL_MAX
-            || self.hint.load(Ordering::Relaxed) > copy.revision()
-            || self.demand.teams().any(short)
+            || self.revision_hint.load(Ordering::Relaxed) > copy.revision()
+            || self.demand.teams().any(lacks_tokens)
     }
 
     async fn read(&mut self) {
         self.last_read = Some(Instant::now());
         match self.store.get(LEDGER_KEY).await {
             Ok(Some(record)) => {
-                self.note_restored(record.revision);
+                self.check_restored(record.revision);
                 self.adopt_bytes(record.revision, &record.value);
             }
             Ok(None) if self.copy.is_none() => {
-                self.copy = Some(Copy { compare: Compare::Absent, ledger: Ledger::default() });
+                self.copy =
+                    Some(LedgerCopy { compare: Compare::Absent, ledger: Ledger::default() });
             }
             Ok(None) | Err(_) => {}
         }
@@ -220,41 +223,41 @@
         }
     }
 
-    /// Starts anew from the stored ledger when it went back to an older state.
-    fn note_restored(&mut self, revision: Revision) {
+    /// Discards the known state when the stored ledger was restored to an older one.
+    fn check_restored(&mut self, revision: Revision) {
         let Some(copy) = &self.copy else { return };
-        if !self.restore.is_behind(copy.revision() > revision) {
+        if !self.restore.record_read(copy.revision() > revision) {
             return;
         }
         emit!(MembershipEvent::LedgerRestored, instance = self.id.instance, revision = revision);
-        let use_max = self.settings.hold + self.deadline_max;
-        self.restore.begin(&copy.ledger, &self.id, use_max);
+        let use_max = self.settings.slice_validity + self.deadline_max;
+        self.restore.start_wait(&copy.ledger, &self.id, use_max);
         self.pending = None;
         self.copy = None;
     }
 
-    /// Takes over a newer state of the ledger; an older one is ignored.
+    /// Adopts a newer state of the ledger; an older one is ignored.
     fn adopt(&mut self, revision: Revision, ledger: Ledger) {
         if self.copy.as_ref().is_some_and(|copy| copy.revision() >= revision) {
             return;
         }
         if ledger.config_version >= self.version() {
-            self.ceilings.clear();
+            self.previous_limits.clear();
         }
-        self.sightings.note(&ledger);
-        let was_in = self.ledger().is_some_and(|before| before.position(&self.id).is_some());
+        self.observations.observe(&ledger);
+        let was_holder = self.ledger().is_some_and(|before| before.position(&self.id).is_some());
         let position = ledger.position(&self.id);
-        if was_in && position.is_none() && !self.retired {
+        if was_holder && position.is_none() && !self.retired {
             emit!(MembershipEvent::SlicesLost, instance = self.id.instance);
-            self.escrow.shut();
+            self.escrow.invalidate_slices();
         }
         if !self.retired && position.is_some_and(|position| ledger.holders[position].retired) {
             emit!(MembershipEvent::SlicesRetired, instance = self.id.instance);
             self.retired = true;
-            self.escrow.shut();
+            self.escrow.invalidate_slices();
         }
-        self.copy = Some(Copy { compare: Compare::Revision(revision), ledger });
-        self.hint.fetch_max(revision, Ordering::Relaxed);
+        self.copy = Some(LedgerCopy { compare: Compare::Revision(revision), ledger });
+        self.revision_hint.fetch_max(revision, Ordering::Relaxed);
         self.refresh();
     }
 
@@ -270,10 +273,10 @@
 
     fn usable(&self, ledger: &Ledger, me: usize, team: &TeamId) -> u32 {
         let (tokens, confirmed) = ledger.confirmed(team, me, self.version());
-        let ceiling = self.ceilings.get(team).copied().unwrap_or(0);
-        let total = ledger.total(team).max(ceiling);
-        let tokens = usable(Bound { tokens, confirmed, total, limit: self.limit(team) });
-        self.restore.bound(team, tokens)
+        let previous_limit = self.previous_limits.get(team).copied().unwrap_or(0);
+        let total = ledger.total(team).max(previous_limit);
+        let tokens = usable(TeamTokens { tokens, confirmed, total, limit: self.limit(team) });
+        self.restore.limit_tokens(team, tokens)
     }
 
     fn limit(&self, team: &TeamId) -> u32 {
@@ -282,9 +285,9 @@
     }
 
     fn confirmation_due(&self) -> bool {
-        let age = self.confirmed.map(|confirmed| confirmed.elapsed());
-        let interval = self.settings.hold / CONFIRMATIONS_PER_HOLD;
-        !self.escrow.is_open() || age.is_none_or(|age| age >= interval)
+        let age = self.confirmed_at.map(|confirmed| confirmed.elapsed());
+        let interval = self.settings.slice_validity / CONFIRMATIONS_PER_VALIDITY;
+        !self.escrow.is_valid() || age.is_none_or(|age| age >= interval)
     }
 
     fn may_write(&self, ledger: &Ledger) -> bool {
@@ -306,23 +309,24 @@
         }
     }
 
-    /// Plans a write; `None` when the ledger needs none.
-    fn prepare(&self, copy: &Copy, config: &Config) -> Option<Pending> {
+    /// Plans a write; returns `None` if none is needed.
+    fn prepare(&self, copy: &LedgerCopy, config: &Config) -> Option<PendingWrite> {
         let mut ledger = copy.ledger.clone();
         self.refresh();
         let joins = ledger.position(&self.id).is_none();
         if joins {
             ledger.join(self.new_holder());
         }
-        let lapsed = self.sightings.lapsed(&ledger, &self.id, self.deadline_max);
+        let expired = self.observations.expired(&ledger, &self.id, self.deadline_max);
         let me = ledger.position(&self.id)?;
         let deadline_max = self.deadline_max;
-        let context = Context { me, config, deadline_max, lapsed: &lapsed };
-        let work = |team: &TeamId| self.work(team);
-        let take = |team: &TeamId, keep: u32| {
+        let context = Context { me, config, deadline_max, expired: &expired };
+        let team_load = |team: &TeamId| self.team_load(team);
+        let reduce_usable = |team: &TeamId, keep: u32| {
             self.escrow.set_usable(team, keep.min(self.escrow.usable(team)))
         };
-        let changed = !self.restore.is_active() && plan(&mut ledger, &context, work, take);
+        let changed =
+            !self.restore.is_active() && plan(&mut ledger, &context, team_load, reduce_usable);
         if !changed && !joins && !self.confirmation_due() {
             return None;
         }
@@ -335,30 +339,30 @@
             writes: 0,
             version: 0,
             deadline_max: self.deadline_max,
-            hold: self.settings.hold,
+            slice_validity: self.settings.slice_validity,
             retired: false,
         }
     }
 
-    fn pending_write(&self, compare: Compare, mut ledger: Ledger) -> Option<Pending> {
+    fn pending_write(&self, compare: Compare, mut ledger: Ledger) -> Option<PendingWrite> {
         let writes = self.writes + 1;
         if let Some(me) = ledger.position(&self.id) {
             ledger.holders[me].writes = writes;
         }
         let value = Bytes::from(ledger.to_json().ok()?);
         let write = Write::put(LEDGER_KEY, compare, value);
-        Some(Pending { write, ledger, writes, sent: Instant::now() })
+        Some(PendingWrite { write, ledger, writes, sent_at: Instant::now() })
     }
 
-    async fn attempt(&mut self, mut pending: Pending) -> Attempt {
+    async fn attempt(&mut self, mut pending: PendingWrite) -> Attempt {
         self.writes = pending.writes;
         self.last_write = Some(Instant::now());
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         match self.store.write(pending.write.clone()).await {
             Ok(WriteOutcome::Written(revision)) => {
                 self.report_reclaimed(&pending.ledger);
                 self.adopt(revision, pending.ledger);
-                self.confirm(sent);
+                self.confirm(sent_at);
                 Attempt::Done
             }
             Ok(WriteOutcome::Conflict) => {
@@ -367,7 +371,7 @@
             }
             Err(StoreError::OutcomeUnknown(reason)) => {
                 emit!(MembershipEvent::TransferUnknown, reason = reason);
-                pending.sent = sent;
+                pending.sent_at = sent_at;
                 self.pending = Some(pending);
                 Attempt::Done
             }
@@ -378,30 +382,32 @@
         }
     }
 
-    fn confirm(&mut self, sent: Instant) {
-        self.confirmed = Some(sent);
+    fn confirm(&mut self, sent_at: Instant) {
+        self.confirmed_at = Some(sent_at);
         if !self.retired {
-            self.escrow.extend(sent, self.settings.hold);
+            self.escrow.extend(sent_at, self.settings.slice_validity);
         }
     }
 
     fn report_reclaimed(&self, ledger: &Ledger) {
         let before = self.ledger().map(|ledger| ledger.holders.as_slice()).unwrap_or_default();
-        let gone = |holder: &&Holder| holder.id != self.id && ledger.position(&holder.id).is_none();
-        for holder in before.iter().filter(gone) {
+        let removed =
+            |holder: &&Holder| holder.id != self.id && ledger.position(&holder.id).is_none();
+        for holder in before.iter().filter(removed) {
             let run = holder.id.incarnation;
             emit!(MembershipEvent::SlicesReclaimed, instance = holder.id.instance, run = run);
         }
     }
 
-    /// Configuration version that the keeper has put in force.
+    /// Returns the configuration version that the keeper has put in force.
     pub fn version(&self) -> Version {
         self.applied.as_ref().map_or(0, |config| config.version)
     }
 }
 
-/// Watches for pauses of the process, apart from the calls to the key-value service.
-async fn note_pauses(escrow: &Escrow, settings: EscrowSettings) {
+/// Detects pauses of the process. Runs concurrently with calls to the key-value service, so that a
+/// slow call does not count as a pause.
+async fn detect_pauses(escrow: &Escrow, settings: EscrowSettings) {
     let mut ticks = interval(settings.interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut started = false;
@@ -420,6 +426,6 @@
 }
 
 mod leave;
-mod settle;
+mod resolve;
 #[cfg(test)]
 mod tests;
--- a/crates/membership/src/escrow/keeper/tests/world.rs
+++ b/crates/membership/src/escrow/keeper/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Entry instances, their store and the work that they start.
+//! Simulated entry instances, their store and the requests that they start.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 use crate::usage::{QueueId, TeamUsage, Usage, UsageSource};
 
 pub const SETTINGS: EscrowSettings = EscrowSettings {
-    hold: Duration::from_secs(60),
+    slice_validity: Duration::from_secs(60),
     pause_max: Duration::from_secs(10),
     interval: Duration::from_secs(1),
 };
@@ -62,75 +62,77 @@
     pub config: ActiveConfig,
     pub waiting: Waiting,
     pub paused: bool,
-    pub run: u64,
+    pub incarnation: u64,
 }
 
-/// One started request: it runs to its end whatever happens to the entry that started it.
-pub struct Work {
-    pub run: u64,
+/// One started request. It runs to its end even if the entry that started it crashes.
+pub struct RunningRequest {
+    pub incarnation: u64,
     team: usize,
     ends: Instant,
     permit: Option<Permit>,
 }
 
-pub struct World {
+pub struct Cluster {
     pub store: MemoryStore,
     pub entries: Vec<Entry>,
-    /// Entries whose instance was started again elsewhere while they were paused.
-    pub former: Vec<Entry>,
-    runs: u64,
+    /// Paused entries whose instance was started again elsewhere.
+    pub superseded: Vec<Entry>,
+    last_incarnation: u64,
     pub configs: Vec<Arc<Config>>,
-    pub work: RefCell<Vec<Work>>,
+    pub requests: RefCell<Vec<RunningRequest>>,
 }
 
-impl World {
+impl Cluster {
     pub fn new(limits: [u32; 2]) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             store: MemoryStore::default(),
             entries: Vec::new(),
-            former: Vec::new(),
-            runs: 0,
+            superseded: Vec::new(),
+            last_incarnation: 0,
             configs: vec![config(1, limits)],
-            work: RefCell::default(),
+            requests: RefCell::default(),
         };
         for index in 0..ENTRIES {
-            let entry = world.entry(&format!("entry-{index}"));
-            world.entries.push(entry);
+            let entry = cluster.entry(&format!("entry-{index}"));
+            cluster.entries.push(entry);
         }
-        world
+        cluster
     }
 
     fn entry(&mut self, id: &str) -> Entry {
-        self.runs += 1;
-        let holder = HolderId { instance: id.into(), incarnation: self.runs };
+        self.last_incarnation += 1;
+        let holder = HolderId { instance: id.into(), incarnation: self.last_incarnation };
         let (escrow, config, waiting) =
             (Escrow::default(), ActiveConfig::default(), Waiting::default());
         config.offer(self.configs.last().unwrap().clone());
         let store = self.store.client(id);
-        let (for_keeper, of_entry) = (config.clone(), waiting.clone());
-        let keeper = Keeper::new(holder, SETTINGS, store, for_keeper, of_entry, escrow.clone());
+        let (keeper_config, entry_waiting) = (config.clone(), waiting.clone());
+        let keeper =
+            Keeper::new(holder, SETTINGS, store, keeper_config, entry_waiting, escrow.clone());
         escrow.tick(SETTINGS.pause_max);
-        Entry { keeper, escrow, config, waiting, paused: false, run: self.runs }
+        Entry { keeper, escrow, config, waiting, paused: false, incarnation: self.last_incarnation }
     }
 
     pub async fn step(&mut self, index: usize) {
         self.entries[index].step().await;
     }
 
-    /// Steps all entries at once against a slow store, while all start what they can.
+    /// Steps all entries concurrently against a slow store while all start as many requests as they
+    /// can.
     pub async fn race(&mut self, delay: Duration) {
         self.store.faults().set_delay(delay);
-        let bounds = [self.bound(0), self.bound(1)];
-        let starters: Vec<(u64, Escrow)> = self.starters();
-        let work = &self.work;
+        let limits_max = [self.limit_max(0), self.limit_max(1)];
+        let active: Vec<(u64, Escrow)> = self.active();
+        let requests = &self.requests;
         let steps = join_all(self.entries.iter_mut().map(Entry::step));
         let starts = async {
             loop {
                 sleep(delay / 5).await;
-                end_work(work);
-                for (team, bound) in bounds.into_iter().enumerate() {
-                    for (run, escrow) in &starters {
-                        saturate(work, *run, escrow, team, bound);
+                end_requests(requests);
+                for (team, limit_max) in limits_max.into_iter().enumerate() {
+                    for (incarnation, escrow) in &active {
+                        saturate(requests, *incarnation, escrow, team, limit_max);
                     }
                 }
             }
@@ -142,54 +144,63 @@
         self.store.faults().set_delay(Duration::ZERO);
     }
 
-    fn starters(&self) -> Vec<(u64, Escrow)> {
-        let all = self.entries.iter().chain(&self.former).filter(|entry| !entry.paused);
-        all.map(|entry| (entry.run, entry.escrow.clone())).collect()
+    fn active(&self) -> Vec<(u64, Escrow)> {
+        let all = self.entries.iter().chain(&self.superseded).filter(|entry| !entry.paused);
+        all.map(|entry| (entry.incarnation, entry.escrow.clone())).collect()
     }
 
-    /// Starts whatever any entry may start.
+    /// Starts as many requests of the team as all active entries may start.
     pub fn saturate(&mut self, team: usize) {
-        let bound = self.bound(team);
-        for (run, escrow) in self.starters() {
-            saturate(&self.work, run, &escrow, team, bound);
+        let limit_max = self.limit_max(team);
+        for (incarnation, escrow) in self.active() {
+            saturate(&self.requests, incarnation, &escrow, team, limit_max);
         }
     }
 
-    /// Lets time pass; entries that are not paused notice it each second.
-    pub async fn pass(&mut self, time: Duration) {
-        let mut left = time;
-        while !left.is_zero() {
-            let part = left.min(SETTINGS.interval);
+    /// Advances the time; entries that are not paused record a tick each second.
+    pub async fn advance_time(&mut self, time: Duration) {
+        let mut remaining = time;
+        while !remaining.is_zero() {
+            let part = remaining.min(SETTINGS.interval);
             advance(part).await;
-            left -= part;
+            remaining -= part;
             for entry in self.entries.iter().filter(|entry| !entry.paused) {
                 entry.escrow.tick(SETTINGS.pause_max);
             }
-            end_work(&self.work);
+            end_requests(&self.requests);
         }
     }
 
-    pub fn start(&mut self, index: usize, team: usize, run: Duration) -> bool {
+    pub fn start(&mut self, index: usize, team: usize, duration: Duration) -> bool {
         let entry = &self.entries[index];
-        start(&self.work, entry.run, &entry.escrow, team, run, self.bound(team))
+        start(
+            &self.requests,
+            entry.incarnation,
+            &entry.escrow,
+            team,
+            duration,
+            self.limit_max(team),
+        )
     }
 
     pub fn finish(&mut self, index: usize) {
-        let run = self.entries[index].run;
-        let mut work = self.work.borrow_mut();
-        if let Some(position) = work.iter().position(|work| work.run == run) {
-            work.remove(position);
+        let incarnation = self.entries[index].incarnation;
+        let mut requests = self.requests.borrow_mut();
+        if let Some(position) =
+            requests.iter().position(|request| request.incarnation == incarnation)
+        {
+            requests.remove(position);
         }
     }
 
     pub fn running(&self, team: usize) -> u32 {
-        running(&self.work.borrow(), team)
+        running(&self.requests.borrow(), team)
     }
 
-    /// Highest limit that may be in force: from the oldest version that a holder or its copy of
-    /// the ledger has.
-    fn bound(&self, team: usize) -> u32 {
-        let holders = self.entries.iter().chain(&self.former);
+    /// Returns the highest limit that may be in force, from the oldest version that a holder or its
+    /// copy of the ledger has.
+    fn limit_max(&self, team: usize) -> u32 {
+        let holders = self.entries.iter().chain(&self.superseded);
         let known = holders.map(|entry| {
             let ledger = entry.keeper.ledger();
             let held = ledger.filter(|ledger| ledger.position(&entry.keeper.id).is_some());
@@ -207,34 +218,42 @@
         self.configs.push(config(version, limits));
     }
 
-    /// Ends an entry without notice and starts another run in its place.
+    /// Crashes an entry and starts another run in its place.
     pub fn crash(&mut self, index: usize, same_id: bool) {
-        let id = if same_id { format!("entry-{index}") } else { format!("new-{}", self.runs) };
-        let run = self.entries[index].run;
-        let mut work = self.work.borrow_mut();
-        work.iter_mut().filter(|work| work.run == run).for_each(|work| work.permit = None);
-        drop(work);
+        let id = if same_id {
+            format!("entry-{index}")
+        } else {
+            format!("new-{}", self.last_incarnation)
+        };
+        let incarnation = self.entries[index].incarnation;
+        let mut requests = self.requests.borrow_mut();
+        requests
+            .iter_mut()
+            .filter(|request| request.incarnation == incarnation)
+            .for_each(|request| request.permit = None);
+        drop(requests);
         self.entries[index] = self.entry(&id);
     }
 
-    /// Starts another run in the place of an entry that is paused but not ended.
+    /// Starts another run of an entry that is paused and not stopped.
     pub fn supersede(&mut self, index: usize) {
         let next = self.entry(&format!("entry-{index}"));
-        let mut former = std::mem::replace(&mut self.entries[index], next);
-        former.paused = true;
-        self.former.push(former);
+        let mut superseded = std::mem::replace(&mut self.entries[index], next);
+        superseded.paused = true;
+        self.superseded.push(superseded);
     }
 
-    /// Wakes superseded runs: they start what they can before and after they notice.
-    pub async fn wake(&mut self) {
-        self.former.iter_mut().for_each(|entry| entry.paused = false);
+    /// Resumes superseded runs, which start as many requests as they can before and after they
+    /// detect that they are superseded.
+    pub async fn resume_superseded(&mut self) {
+        self.superseded.iter_mut().for_each(|entry| entry.paused = false);
         for team in 0..TEAMS.len() {
             self.saturate(team);
         }
-        for index in 0..self.former.len() {
-            self.former[index].escrow.tick(SETTINGS.pause_max);
+        for index in 0..self.superseded.len() {
+            self.superseded[index].escrow.tick(SETTINGS.pause_max);
             self.saturate(0);
-            self.former[index].step().await;
+            self.superseded[index].step().await;
             self.saturate(0);
         }
     }
@@ -249,32 +268,38 @@
     }
 }
 
-fn running(work: &[Work], team: usize) -> u32 {
-    work.iter().filter(|work| work.team == team).count() as u32
+fn running(requests: &[RunningRequest], team: usize) -> u32 {
+    requests.iter().filter(|request| request.team == team).count() as u32
 }
 
-pub fn end_work(work: &RefCell<Vec<Work>>) {
+pub fn end_requests(requests: &RefCell<Vec<RunningRequest>>) {
     let now = Instant::now();
-    work.borrow_mut().retain(|work| work.ends > now);
+    requests.borrow_mut().retain(|request| request.ends > now);
 }
 
 fn start(
-    work: &RefCell<Vec<Work>>,
-    run: u64,
+    requests: &RefCell<Vec<RunningRequest>>,
+    incarnation: u64,
     escrow: &Escrow,
     team: usize,
     time: Duration,
-    bound: u32,
+    limit_max: u32,
 ) -> bool {
     let Some(permit) = escrow.try_acquire(&TEAMS[team].into()) else { return false };
     let ends = Instant::now() + time.min(DEADLINE_MAX);
-    let mut work = work.borrow_mut();
-    work.push(Work { run, team, ends, permit: Some(permit) });
-    let running = running(&work, team);
-    assert!(running <= bound, "{running} of {} run, limit {bound}", TEAMS[team]);
+    let mut requests = requests.borrow_mut();
+    requests.push(RunningRequest { incarnation, team, ends, permit: Some(permit) });
+    let running = running(&requests, team);
+    assert!(running <= limit_max, "{running} of {} run, limit {limit_max}", TEAMS[team]);
     true
 }
 
-fn saturate(work: &RefCell<Vec<Work>>, run: u64, escrow: &Escrow, team: usize, bound: u32) {
-    while start(work, run, escrow, team, DEADLINE_MAX, bound) {}
+fn saturate(
+    requests: &RefCell<Vec<RunningRequest>>,
+    incarnation: u64,
+    escrow: &Escrow,
+    team: usize,
+    limit_max: u32,
+) {
+    while start(requests, incarnation, escrow, team, DEADLINE_MAX, limit_max) {}
 }
--- a/crates/membership/src/escrow/local.rs
+++ b/crates/membership/src/escrow/local.rs
@@ -1,4 +1,4 @@
-//! Tokens of this entry instance as the request path sees them.
+//! Permits that the request path takes from the slices of this entry instance.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Usable tokens and tokens in use of one team, changed together.
+/// Usable tokens and tokens in use of one team, packed into one word to be changed atomically.
 #[derive(Debug, Default)]
 struct Tokens(AtomicU64);
 
@@ -26,11 +26,11 @@
 
 impl Tokens {
     fn acquire(&self) -> bool {
-        let take = |packed| {
+        let try_increment = |packed| {
             let (usable, in_use) = unpack(packed);
             (in_use < usable).then(|| pack(usable, in_use + 1))
         };
-        self.0.fetch_update(Ordering::AcqRel, Ordering::Acquire, take).is_ok()
+        self.0.fetch_update(Ordering::AcqRel, Ordering::Acquire, try_increment).is_ok()
     }
 
     fn release(&self) {
@@ -49,33 +49,33 @@
     }
 }
 
-/// Bounds the time for which the slices may be used, on the monotonic clock.
+/// Period during which the slices may be used, on the monotonic clock.
 #[derive(Debug)]
-struct Gate {
+struct ValidityWindow {
     base: Instant,
     valid_until_ms: AtomicU64,
-    ticked_until_ms: AtomicU64,
-    /// End of the last pause of the process; guards changes of the two bounds.
-    resumed: Mutex<Instant>,
+    alive_until_ms: AtomicU64,
+    /// End of the last pause of the process; the lock guards changes of both bounds.
+    resumed_at: Mutex<Instant>,
 }
 
-impl Gate {
-    fn lock_resumed(&self) -> MutexGuard<'_, Instant> {
-        self.resumed.lock().unwrap_or_else(PoisonError::into_inner)
+impl ValidityWindow {
+    fn lock_resumed_at(&self) -> MutexGuard<'_, Instant> {
+        self.resumed_at.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn elapsed_ms(&self, at: Instant) -> u64 {
         at.saturating_duration_since(self.base).as_millis() as u64
     }
 
-    fn is_open(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let now_ms = self.elapsed_ms(Instant::now());
         now_ms < self.valid_until_ms.load(Ordering::Acquire)
-            && now_ms < self.ticked_until_ms.load(Ordering::Acquire)
+            && now_ms < self.alive_until_ms.load(Ordering::Acquire)
     }
 }
 
-/// Gives permits out of the slices that this entry instance holds. Cheap to clone.
+/// Issues permits from the slices that this entry instance holds. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Escrow {
     inner: Arc<Inner>,
@@ -84,11 +84,11 @@
 #[derive(Debug)]
 struct Inner {
     teams: ArcSwap<HashMap<TeamId, Arc<Tokens>>>,
-    gate: Gate,
+    window: ValidityWindow,
     changes: watch::Sender<u64>,
 }
 
-/// Permission to run one request of a team; returned when dropped.
+/// Permission to run one request of a team; its token is released when it is dropped.
 #[derive(Debug)]
 pub struct Permit {
     tokens: Arc<Tokens>,
@@ -96,10 +96,10 @@
 }
 
 impl Permit {
-    /// Whether the slice behind the permit may still be used to start work. To be asked again when
-    /// time may have passed between the permit and the first byte sent.
+    /// Returns whether the slice of the permit may still be used to start work. Check it again
+    /// right before the first byte is sent, as time may have passed since the permit was issued.
     pub fn is_valid(&self) -> bool {
-        self.inner.gate.is_open()
+        self.inner.window.is_valid()
     }
 }
 
@@ -112,48 +112,48 @@
 impl Default for Escrow {
     fn default() -> Self {
         let base = Instant::now();
-        let gate = Gate {
+        let window = ValidityWindow {
             base,
             valid_until_ms: AtomicU64::new(0),
-            ticked_until_ms: AtomicU64::new(0),
-            resumed: Mutex::new(base),
+            alive_until_ms: AtomicU64::new(0),
+            resumed_at: Mutex::new(base),
         };
         let changes = watch::Sender::new(0);
-        Self { inner: Arc::new(Inner { teams: ArcSwap::default(), gate, changes }) }
+        Self { inner: Arc::new(Inner { teams: ArcSwap::default(), window, changes }) }
     }
 }
 
 impl Escrow {
-    /// Takes a permit if the team may run one more request at this entry instance now.
+    /// Returns a permit if the team may run one more request at this entry instance now.
     pub fn try_acquire(&self, team: &TeamId) -> Option<Permit> {
-        if !self.inner.gate.is_open() {
+        if !self.inner.window.is_valid() {
             return None;
         }
         let tokens = self.inner.teams.load().get(team)?.clone();
         tokens.acquire().then(|| Permit { tokens, inner: self.inner.clone() })
     }
 
-    /// Receiver that is notified whenever usable tokens may have changed.
+    /// Returns a receiver that is notified whenever usable tokens may have changed.
     pub fn changed(&self) -> watch::Receiver<u64> {
         self.inner.changes.subscribe()
     }
 
-    /// Usable tokens of a team.
+    /// Returns the usable tokens of a team.
     pub fn usable(&self, team: &TeamId) -> u32 {
         self.inner.teams.load().get(team).map_or(0, |tokens| tokens.load().0)
     }
 
-    /// Tokens of a team that are in use.
+    /// Returns the tokens of a team that are in use.
     pub fn in_use(&self, team: &TeamId) -> u32 {
         self.inner.teams.load().get(team).map_or(0, |tokens| tokens.load().1)
     }
 
-    /// Whether slices may be used now.
-    pub fn is_open(&self) -> bool {
-        self.inner.gate.is_open()
+    /// Returns whether slices may be used now.
+    pub fn is_valid(&self) -> bool {
+        self.inner.window.is_valid()
     }
 
-    /// Sum of the tokens in use over all teams.
+    /// Returns the sum of the tokens in use over all teams.
     pub fn in_use_total(&self) -> u64 {
         self.inner.teams.load().values().map(|tokens| u64::from(tokens.load().1)).sum()
     }
@@ -173,44 +173,45 @@
         0
     }
 
-    /// Teams with tokens known here.
+    /// Returns the teams for which tokens were set.
     pub(super) fn teams(&self) -> Vec<TeamId> {
         self.inner.teams.load().keys().cloned().collect()
     }
 
-    /// Lets slices be used for `hold` after `sent`, when a write that confirmed them was sent. A
-    /// write sent before the process was last paused confirms nothing.
-    pub(super) fn extend(&self, sent: Instant, hold: Duration) {
-        let gate = &self.inner.gate;
-        let resumed = gate.lock_resumed();
-        if sent >= *resumed {
-            let until_ms = gate.elapsed_ms(sent + hold);
-            gate.valid_until_ms.fetch_max(until_ms, Ordering::AcqRel);
+    /// Extends the validity of the slices to `slice_validity` after `sent_at`, the time at which
+    /// the write that confirmed them was sent. A write sent before the last pause of the process
+    /// is ignored.
+    pub(super) fn extend(&self, sent_at: Instant, slice_validity: Duration) {
+        let window = &self.inner.window;
+        let resumed_at = window.lock_resumed_at();
+        if sent_at >= *resumed_at {
+            let until_ms = window.elapsed_ms(sent_at + slice_validity);
+            window.valid_until_ms.fetch_max(until_ms, Ordering::AcqRel);
         }
     }
 
-    /// Forbids the use of slices until the next [`Self::extend`].
-    pub(super) fn shut(&self) {
-        let _resumed = self.inner.gate.lock_resumed();
-        self.inner.gate.valid_until_ms.store(0, Ordering::Release);
+    /// Invalidates the slices until the next [`Self::extend`].
+    pub(super) fn invalidate_slices(&self) {
+        let _resumed_at = self.inner.window.lock_resumed_at();
+        self.inner.window.valid_until_ms.store(0, Ordering::Release);
     }
 
-    /// Notes that the process runs. After a pause longer than `gap_max` the slices may not be used
-    /// until a new write confirms them. Returns whether there was such a pause.
-    pub(super) fn tick(&self, gap_max: Duration) -> bool {
-        let gate = &self.inner.gate;
-        let mut resumed = gate.lock_resumed();
+    /// Records that the process is running. After a pause longer than `pause_max` the slices are
+    /// invalid until a new write confirms them. Returns whether there was such a pause.
+    pub(super) fn tick(&self, pause_max: Duration) -> bool {
+        let window = &self.inner.window;
+        let mut resumed_at = window.lock_resumed_at();
         let now = Instant::now();
-        let paused = gate.elapsed_ms(now) >= gate.ticked_until_ms.load(Ordering::Acquire);
+        let paused = window.elapsed_ms(now) >= window.alive_until_ms.load(Ordering::Acquire);
         if paused {
-            *resumed = now;
-            gate.valid_until_ms.store(0, Ordering::Release);
+            *resumed_at = now;
+            window.valid_until_ms.store(0, Ordering::Release);
         }
-        gate.ticked_until_ms.store(gate.elapsed_ms(now + gap_max), Ordering::Release);
+        window.alive_until_ms.store(window.elapsed_ms(now + pause_max), Ordering::Release);
         paused
     }
 
-    /// Wakes those that wait for [`Self::changed`].
+    /// Notifies the receivers of [`Self::changed`].
     pub(super) fn notify(&self) {
         self.inner.changes.send_modify(|count| *count += 1);
     }
--- a/crates/membership/src/escrow/plan.rs
+++ b/crates/membership/src/escrow/plan.rs
@@ -1,50 +1,52 @@
-//! What one holder changes in the ledger.
+//! Plans the changes that one holder makes to the ledger.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use cassiafold_config::{Config, TeamId};
 
-use super::fill::max_min;
 use super::ledger::{Ledger, Slice};
+use super::max_min::max_min;
 
-/// Share of a demand that a giver keeps on top of it, as a divisor.
+/// Headroom that a holder keeps above its demand when it transfers tokens, as a divisor of the
+/// demand.
 const HEADROOM_DIVISOR: u32 = 8;
-/// Change of a recorded want that is worth a write, as a divisor of the want.
+/// Smallest change of a recorded want that justifies a write, as a divisor of the want.
 const WANT_DIVISOR: u32 = 4;
 
-/// Team's work at this holder.
+/// Load of one team at this holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Use {
+pub struct TeamLoad {
     /// Tokens in use.
     pub in_use: u32,
-    /// Requests that would run if tokens were no bound, with the recent peak.
+    /// Requests that would run if tokens were unlimited, including the recent peak.
     pub demand: u32,
 }
 
-/// What the holder does with one team's slice.
+/// Change of one team's slice at the holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Decision {
-    /// Tokens that the holder may use from now on; below `in_use` work has to end first.
+    /// Tokens that the holder may use from now on. If below `in_use`, the slice shrinks only as
+    /// work ends.
     keep: u32,
-    /// Tokens to take from those that nobody holds.
+    /// Unassigned tokens to claim.
     claim: u32,
     /// Want to record.
     want: u32,
-    /// Whether the holder lowers its slice because the limit was lowered.
+    /// Whether the slice shrinks because the limit was lowered.
     lowered: bool,
 }
 
-/// The slices of one team as a holder sees them.
-struct TeamView<'a> {
+/// The slices of one team and its load at the planning holder.
+struct TeamState<'a> {
     slices: &'a [Slice],
     me: usize,
     limit: u32,
-    work: Use,
+    load: TeamLoad,
 }
 
-impl TeamView<'_> {
-    fn mine(&self) -> Slice {
+impl TeamState<'_> {
+    fn own_slice(&self) -> Slice {
         self.slices[self.me]
     }
 
@@ -52,50 +54,50 @@
         self.slices.iter().map(|slice| slice.tokens).sum()
     }
 
-    /// Even part of the limit.
-    fn even(&self) -> u32 {
+    /// Returns an equal share of the limit for each holder.
+    fn equal_share(&self) -> u32 {
         self.limit / self.slices.len() as u32
     }
 
-    /// Tokens that the holder needs for itself.
-    fn need(&self) -> u32 {
-        let demand = self.work.demand.max(self.work.in_use);
+    /// Returns the tokens that the holder needs itself, with headroom.
+    fn required(&self) -> u32 {
+        let demand = self.load.demand.max(self.load.in_use);
         demand.saturating_add(demand.div_ceil(HEADROOM_DIVISOR))
     }
 
     fn decide(&self, may_claim: bool) -> Decision {
-        let tokens = self.mine().tokens;
+        let tokens = self.own_slice().tokens;
         let total = self.total();
         if total > self.limit {
-            let over = u64::from(total - self.limit);
-            let cut = (over * u64::from(tokens)).div_ceil(u64::from(total)) as u32;
-            return Decision { keep: tokens - cut, claim: 0, want: 0, lowered: true };
+            let excess = u64::from(total - self.limit);
+            let reduction = (excess * u64::from(tokens)).div_ceil(u64::from(total)) as u32;
+            return Decision { keep: tokens - reduction, claim: 0, want: 0, lowered: true };
         }
-        let goal = self.work.demand.max(self.even()).min(self.limit);
+        let goal = self.load.demand.max(self.equal_share()).min(self.limit);
         let free = if may_claim { self.limit - total } else { 0 };
         let claim = free.min(goal.saturating_sub(tokens));
         let held = tokens + claim;
-        let demand = self.work.demand.min(self.limit);
+        let demand = self.load.demand.min(self.limit);
         let want = if demand > held { demand } else { 0 };
         let keep = if claim > 0 { tokens } else { tokens - self.surplus() };
-        Decision { keep, claim, want: self.steady_want(want), lowered: false }
+        Decision { keep, claim, want: self.stable_want(want), lowered: false }
     }
 
-    /// Keeps the recorded want unless the change is worth a write.
-    fn steady_want(&self, want: u32) -> u32 {
-        let recorded = self.mine().want;
+    /// Returns the recorded want unless the change justifies a write.
+    fn stable_want(&self, want: u32) -> u32 {
+        let recorded = self.own_slice().want;
         let small = want.abs_diff(recorded) <= recorded / WANT_DIVISOR;
         if want > 0 && recorded > 0 && small { recorded } else { want }
     }
 
-    /// Tokens that the holder should give to others.
+    /// Returns the tokens that the holder should transfer to others.
     fn surplus(&self) -> u32 {
-        let tokens = self.mine().tokens;
+        let tokens = self.own_slice().tokens;
         let unmet: u32 = self.others().map(|(_, slice)| slice.unmet()).sum();
         if unmet == 0 {
             return self.idle_surplus();
         }
-        let spare = tokens.saturating_sub(self.need());
+        let spare = tokens.saturating_sub(self.required());
         if spare > 0 {
             return spare.min(unmet);
         }
@@ -104,13 +106,14 @@
         if tokens > target + margin { (tokens - target).min(unmet) } else { 0 }
     }
 
-    /// Tokens above the even part that an idle holder gives to those far below it, so that each
-    /// has some when a partition begins.
+    /// Returns the tokens above the equal share that an idle holder transfers to holders far below
+    /// it, so that each holder has some tokens when a network partition begins.
     fn idle_surplus(&self) -> u32 {
-        let even = self.even();
-        let lacking: u32 = self.others().map(|(_, slice)| lack(slice, even)).sum();
-        let spare = self.mine().tokens.saturating_sub(even.max(self.need()));
-        spare.min(lacking)
+        let equal_share = self.equal_share();
+        let total_shortfall: u32 =
+            self.others().map(|(_, slice)| shortfall(slice, equal_share)).sum();
+        let spare = self.own_slice().tokens.saturating_sub(equal_share.max(self.required()));
+        spare.min(total_shortfall)
     }
 
     fn others(&self) -> impl Iterator<Item = (usize, Slice)> {
@@ -118,44 +121,44 @@
         self.slices.iter().copied().enumerate().filter(move |(index, _)| *index != me)
     }
 
-    /// Max-min division of the limit over what each holder asks for.
+    /// Divides the limit over the demands of all holders by max-min fairness.
     fn targets(&self) -> Vec<u32> {
         let demands: Vec<u32> = self
             .slices
             .iter()
             .enumerate()
             .map(|(index, slice)| match index == self.me {
-                true => self.work.demand,
+                true => self.load.demand,
                 false => slice.tokens.max(slice.want),
             })
             .collect();
         max_min(self.limit, &demands)
     }
 
-    /// What each holder gets out of `given` tokens.
-    fn gifts(&self, given: u32) -> Vec<u32> {
-        let even = self.even();
+    /// Divides `released` tokens among the holders that lack some.
+    fn transfers(&self, released: u32) -> Vec<u32> {
+        let equal_share = self.equal_share();
         let unmet: u32 = self.others().map(|(_, slice)| slice.unmet()).sum();
-        let asks: Vec<u32> = self
+        let requested: Vec<u32> = self
             .slices
             .iter()
             .enumerate()
             .map(|(index, slice)| match (index == self.me, unmet > 0) {
                 (true, _) => 0,
                 (false, true) => slice.unmet(),
-                (false, false) => lack(*slice, even),
+                (false, false) => shortfall(*slice, equal_share),
             })
             .collect();
-        max_min(given, &asks)
+        max_min(released, &requested)
     }
 }
 
-/// Tokens that a holder far below the even part lacks to reach it.
-fn lack(slice: Slice, even: u32) -> u32 {
-    if slice.tokens < even / 2 { even - slice.tokens } else { 0 }
+/// Returns the tokens that a holder with less than half of the equal share lacks to reach it.
+fn shortfall(slice: Slice, equal_share: u32) -> u32 {
+    if slice.tokens < equal_share / 2 { equal_share - slice.tokens } else { 0 }
 }
 
-/// Inputs of [`plan`] that do not change with the team.
+/// Inputs of [`plan`] that are the same for all teams.
 #[derive(Debug)]
 pub struct Context<'a> {
     /// Position of the planning holder.
@@ -164,29 +167,30 @@
     pub config: &'a Config,
     /// Longest deadline under which the holder may have started work.
     pub deadline_max: Duration,
-    /// Positions of holders that have been silent for long enough, in rising order.
-    pub lapsed: &'a [usize],
+    /// Positions of expired holders, in ascending order.
+    pub expired: &'a [usize],
 }
 
-/// Changes the ledger for one holder. Returns whether the result is worth a write.
+/// Changes the ledger for one holder. Returns whether the change justifies a write.
 ///
-/// `work` tells the team's work at the holder. `take` bounds the tokens that the holder uses from
-/// now on and returns the tokens in use at that moment; it is called before tokens are given away.
+/// `load` returns the team's load at the holder. `reduce_usable` limits the tokens that the holder
+/// uses from now on and returns the tokens in use at that moment; it is called before tokens are
+/// transferred to others.
 pub fn plan(
     ledger: &mut Ledger,
     context: &Context<'_>,
-    work: impl Fn(&TeamId) -> Use,
-    mut take: impl FnMut(&TeamId, u32) -> u32,
+    load: impl Fn(&TeamId) -> TeamLoad,
+    mut reduce_usable: impl FnMut(&TeamId, u32) -> u32,
 ) -> bool {
-    let mut changed = remove_lapsed(ledger, context.lapsed);
-    let me = context.me - context.lapsed.iter().filter(|index| **index < context.me).count();
+    let mut changed = remove_expired(ledger, context.expired);
+    let me = context.me - context.expired.iter().filter(|index| **index < context.me).count();
     let may_claim = context.config.version >= ledger.config_version;
     for (team, limit) in limits(ledger, context.config) {
         let holders = ledger.holders.len();
         let slices = ledger.teams.entry(team.clone()).or_insert(vec![Slice::default(); holders]);
-        let view = TeamView { slices, me, limit, work: work(&team) };
-        let decision = view.decide(may_claim);
-        let updated = apply(&view, decision, |keep| take(&team, keep));
+        let state = TeamState { slices, me, limit, load: load(&team) };
+        let decision = state.decide(may_claim);
+        let updated = apply(&state, decision, |keep| reduce_usable(&team, keep));
         changed |= updated != *slices;
         *slices = updated;
     }
@@ -202,48 +206,52 @@
     changed
 }
 
-fn remove_lapsed(ledger: &mut Ledger, lapsed: &[usize]) -> bool {
-    for index in lapsed.iter().rev() {
+fn remove_expired(ledger: &mut Ledger, expired: &[usize]) -> bool {
+    for index in expired.iter().rev() {
         ledger.remove(*index);
     }
-    !lapsed.is_empty()
+    !expired.is_empty()
 }
 
-/// Limit of each team; a team that is no longer configured has none left.
+/// Returns the limit of each team; that of a team that is no longer configured is zero.
 fn limits(ledger: &Ledger, config: &Config) -> BTreeMap<TeamId, u32> {
     let removed = ledger.teams.keys().map(|team| (team.clone(), 0));
     let known = config.teams.iter().map(|(team, known)| (team.clone(), known.upper_limit));
     removed.chain(known).collect()
 }
 
-fn apply(view: &TeamView<'_>, decision: Decision, mut take: impl FnMut(u32) -> u32) -> Vec<Slice> {
-    let mut updated = view.slices.to_vec();
-    let tokens = view.mine().tokens;
-    updated[view.me].want = decision.want;
-    updated[view.me].tokens = tokens + decision.claim;
+fn apply(
+    state: &TeamState<'_>,
+    decision: Decision,
+    mut reduce_usable: impl FnMut(u32) -> u32,
+) -> Vec<Slice> {
+    let mut updated = state.slices.to_vec();
+    let tokens = state.own_slice().tokens;
+    updated[state.me].want = decision.want;
+    updated[state.me].tokens = tokens + decision.claim;
     if decision.keep >= tokens {
         return updated;
     }
-    let in_use = take(decision.keep);
+    let in_use = reduce_usable(decision.keep);
     let kept = decision.keep.max(in_use).min(tokens);
-    updated[view.me].tokens = kept;
+    updated[state.me].tokens = kept;
     if !decision.lowered {
-        let gifts = view.gifts(tokens - kept);
-        let rest = tokens - kept - gifts.iter().sum::<u32>();
-        updated[view.me].tokens += rest;
-        for (slice, gift) in updated.iter_mut().zip(gifts) {
-            slice.tokens += gift;
+        let transfers = state.transfers(tokens - kept);
+        let rest = tokens - kept - transfers.iter().sum::<u32>();
+        updated[state.me].tokens += rest;
+        for (slice, transfer) in updated.iter_mut().zip(transfers) {
+            slice.tokens += transfer;
         }
     }
     updated
 }
 
-/// A holder's tokens of one team against the limit in force.
+/// A holder's tokens of one team together with the limit in force.
 #[derive(Debug, Clone, Copy)]
-pub struct Bound {
+pub struct TeamTokens {
     /// Tokens of the holder.
     pub tokens: u32,
-    /// Tokens of all holders that are known to have the limit in force.
+    /// Tokens of all holders that have confirmed the configuration with this limit.
     pub confirmed: u32,
     /// Tokens of all holders.
     pub total: u32,
@@ -251,13 +259,14 @@
     pub limit: u32,
 }
 
-/// Tokens that may be used when the limit is lower than it was when the slices were made. Holders
-/// that may not know the limit are taken to use all their tokens; the others shrink in proportion.
-pub fn usable(bound: Bound) -> u32 {
-    let unconfirmed = bound.total.saturating_sub(bound.confirmed);
-    let available = bound.limit.saturating_sub(unconfirmed);
-    if bound.confirmed <= available {
-        return bound.tokens;
+/// Returns the tokens that may be used when the limit is lower than at the time the slices were
+/// assigned. Holders that may not know the limit are assumed to use all their tokens; the slices of
+/// the others shrink in proportion.
+pub fn usable(team_tokens: TeamTokens) -> u32 {
+    let unconfirmed = team_tokens.total.saturating_sub(team_tokens.confirmed);
+    let available = team_tokens.limit.saturating_sub(unconfirmed);
+    if team_tokens.confirmed <= available {
+        return team_tokens.tokens;
     }
-    (u64::from(bound.tokens) * u64::from(available) / u64::from(bound.confirmed)) as u32
+    (u64::from(team_tokens.tokens) * u64::from(available) / u64::from(team_tokens.confirmed)) as u32
 }
--- a/crates/membership/src/exchange/tests.rs
+++ b/crates/membership/src/exchange/tests.rs
@@ -6,16 +6,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use super::{CHANGE_DIVISOR, Inbox, Outbox};
-use crate::roster::Heard;
+use super::{CHANGE_DIVISOR, ReportDecoder, ReportEncoder};
+use crate::roster::Heartbeat;
 use crate::usage::{QueueId, Symptom, TeamUsage, Usage};
 
-fn heard(entry: usize, incarnation: u64, heartbeat: u64, usage: Usage) -> Heard {
-    Heard {
+fn heartbeat(entry: usize, incarnation: u64, sequence: u64, usage: Usage) -> Heartbeat {
+    Heartbeat {
         id: format!("entry-{entry}").into(),
         zone: "a".into(),
         incarnation,
-        heartbeat,
+        sequence,
         config_version: 1,
         ready: true,
         usage: Arc::new(usage),
@@ -52,10 +52,10 @@
     values.into_iter().map(|(id, value)| (format!("i{id}").into(), value)).collect()
 }
 
-/// The receiver may differ from the truth by what is not worth telling, and by saturation.
-fn close(truth: u32, seen: u32) -> bool {
-    let truth = truth.min(u32::from(u16::MAX));
-    (truth == 0) == (seen == 0) && truth.abs_diff(seen) <= seen / CHANGE_DIVISOR + 1
+/// Returns whether the received count is within the change that is not sent, after saturation.
+fn is_close(expected: u32, actual: u32) -> bool {
+    let expected = expected.min(u32::from(u16::MAX));
+    (expected == 0) == (actual == 0) && expected.abs_diff(actual) <= actual / CHANGE_DIVISOR + 1
 }
 
 proptest! {
@@ -67,45 +67,48 @@
     })]
 
     #[test]
-    fn the_receiver_sees_what_the_sender_has(
+    fn receiver_state_follows_sender_state(
         rounds in prop::collection::vec((0usize..3, 1u64..3, usage()), 1..20),
     ) {
-        let (mut outbox, mut inbox) = (Outbox::default(), Inbox::default());
+        let (mut encoder, mut decoder) = (ReportEncoder::default(), ReportDecoder::default());
         for (number, (entry, incarnation, usage)) in rounds.into_iter().enumerate() {
-            let sent = heard(entry, incarnation, number as u64, usage);
-            let report = outbox.report(std::slice::from_ref(&sent), true, 0).unwrap();
-            let received = inbox.receive(report).unwrap();
+            let sent = heartbeat(entry, incarnation, number as u64, usage);
+            let report = encoder.encode(std::slice::from_ref(&sent), true, 0).unwrap();
+            let received = decoder.decode(report).unwrap();
             prop_assert_eq!(received.len(), 1);
-            let (truth, seen) = (&sent.usage, &received[0].usage);
+            let (expected, actual) = (&sent.usage, &received[0].usage);
             prop_assert_eq!(&received[0].id, &sent.id);
-            prop_assert_eq!(&truth.instances, &seen.instances);
-            prop_assert_eq!(truth.fleet_number, seen.fleet_number);
-            prop_assert_eq!(truth.store_reachable, seen.store_reachable);
-            prop_assert_eq!(&truth.draining, &seen.draining);
-            prop_assert_eq!(&truth.symptoms, &seen.symptoms);
-            prop_assert!(truth.queues.keys().eq(seen.queues.keys()));
-            for (queue, truth) in &truth.queues {
-                let seen = seen.queues[queue];
-                prop_assert!(close(truth.running, seen.running) && close(truth.waiting, seen.waiting));
+            prop_assert_eq!(&expected.instances, &actual.instances);
+            prop_assert_eq!(expected.fleet_number, actual.fleet_number);
+            prop_assert_eq!(expected.store_reachable, actual.store_reachable);
+            prop_assert_eq!(&expected.draining, &actual.draining);
+            prop_assert_eq!(&expected.symptoms, &actual.symptoms);
+            prop_assert!(expected.queues.keys().eq(actual.queues.keys()));
+            for (queue, expected) in &expected.queues {
+                let actual = actual.queues[queue];
+                prop_assert!(
+                    is_close(expected.running, actual.running)
+                        && is_close(expected.waiting, actual.waiting)
+                );
             }
         }
     }
 }
 
 #[test]
-fn unchanged_usage_is_not_told_again() {
+fn unchanged_usage_is_not_sent_again() {
     let queue = QueueId { service: "portal".into(), team: "parishes".into() };
     let mut usage = Usage::default();
     usage.queues.insert(queue, TeamUsage { running: 3, waiting: 4 });
-    let mut outbox = Outbox::default();
-    let first = outbox.report(&[heard(0, 1, 1, usage.clone())], true, 0).unwrap();
+    let mut encoder = ReportEncoder::default();
+    let first = encoder.encode(&[heartbeat(0, 1, 1, usage.clone())], true, 0).unwrap();
     assert_eq!((first.names.len(), first.entries[0].queues.len()), (4, 1));
-    let second = outbox.report(&[heard(0, 1, 2, usage)], true, 0).unwrap();
+    let second = encoder.encode(&[heartbeat(0, 1, 2, usage)], true, 0).unwrap();
     assert!(second.names.is_empty() && second.entries[0].queues.is_empty());
 }
 
 #[test]
-fn a_position_outside_the_table_is_refused() {
+fn position_outside_the_table_is_rejected() {
     let queue = QueueUsage { service: 9, team: 0, running: 1, waiting: 0 };
     let entry = EntryReport {
         entry: 0,
@@ -122,5 +125,5 @@
         store_reachable: false,
     };
     let report = Report { names: vec!["a".into()], ledger_revision: 0, entries: vec![entry] };
-    assert!(Inbox::default().receive(report).is_err());
+    assert!(ReportDecoder::default().decode(report).is_err());
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! One entry instance as a member of the fleet: the tasks of this package and how they are joined.
+//! Membership of one entry instance in the fleet: starts and stops the tasks of this crate.
 
 use std::io;
 use std::sync::Arc;
@@ -12,6 +12,7 @@
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use tokio_util::sync::CancellationToken;
 
+use crate::config_sync::{self, ConfigSync, ConfigSyncCounts};
 use crate::contact::StoreContact;
 use crate::control::ControlLease;
 use crate::directory;
@@ -20,12 +21,11 @@
 use crate::peers::{Peers, PeersSettings, Traffic};
 use crate::roster::{Confirmations, LiveEntry, Roster};
 use crate::shares::Shares;
-use crate::spread::{self, Spread, SpreadCounts};
 use crate::usage::UsageSource;
 
 /// Time between two heartbeats.
-const BEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for one task at the end.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest wait for one task on close.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Settings of the membership of one entry instance.
@@ -35,9 +35,9 @@
     pub identity: Identity,
     /// Time to live of leases in the key-value service.
     pub lease_ttl: Duration,
-    /// Times of the escrow.
+    /// Durations of the escrow.
     pub escrow: EscrowSettings,
-    /// Connections with the others.
+    /// Connections to other entry instances.
     pub peers: PeersSettings,
 }
 
@@ -51,48 +51,50 @@
             incarnation: incarnation(SystemTime::now()),
         };
         let lease_ttl = settings.lease_ttl;
-        let escrow = EscrowSettings { hold: settings.limits_hold, ..EscrowSettings::default() };
+        let escrow =
+            EscrowSettings { slice_validity: settings.limits_hold, ..EscrowSettings::default() };
         let seeds = settings.seed_addresses.clone();
         let peers = PeersSettings { seeds, ..PeersSettings::default() };
         Self { identity, lease_ttl, escrow, peers }
     }
 }
 
-/// Numbers a run by its start, in microseconds since the Unix epoch.
+/// Returns the incarnation number of a run: its start in microseconds since the Unix epoch.
 pub fn incarnation(started: SystemTime) -> Incarnation {
     started.duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// Whether an entry instance takes new requests, as the others are told.
+/// Switch that sets whether this entry instance reports that it accepts new requests.
 #[derive(Debug, Clone)]
 pub struct Readiness(Arc<AtomicBool>);
 
 impl Readiness {
-    /// Changes what the others are told.
+    /// Sets whether this entry instance reports that it accepts new requests.
     pub fn set(&self, ready: bool) {
         self.0.store(ready, Ordering::Relaxed);
     }
 }
 
-/// One entry instance as a member of the fleet.
+/// Membership of one entry instance in the fleet.
 #[derive(Debug)]
 pub struct Membership {
     escrow: Escrow,
     roster: Roster,
     shares: Shares,
     control: ControlLease,
-    spread: Spread,
+    config_sync: ConfigSync,
     contact: StoreContact,
     ready: Arc<AtomicBool>,
     peers: Peers,
     stop: CancellationToken,
-    leaving: Vec<JoinHandle<()>>,
-    following: Vec<JoinHandle<()>>,
+    closing: Vec<JoinHandle<()>>,
+    background: Vec<JoinHandle<()>>,
 }
 
 impl Membership {
-    /// Joins the fleet. `listener` takes the calls of the other entry instances at the address in
-    /// `settings`; `config` gets the configurations; `usage` tells the requests of this instance.
+    /// Joins the fleet. `listener` accepts connections of other entry instances at the address in
+    /// `settings`; received configurations are put in force in `config`; `usage` provides the
+    /// usage of this entry instance.
     pub fn start<S: Store, U: UsageSource>(
         settings: MembershipSettings,
         listener: TcpListener,
@@ -102,7 +104,7 @@
     ) -> io::Result<Self> {
         let (me, ttl) = (settings.identity, settings.lease_ttl);
         let (escrow, roster) = (Escrow::default(), Roster::new(me.clone()));
-        let (spread, contact) = (Spread::new(config.clone()), StoreContact::default());
+        let (config_sync, contact) = (ConfigSync::new(config.clone()), StoreContact::default());
         let (stop, control) = (CancellationToken::new(), ControlLease::default());
         let ready = Arc::new(AtomicBool::new(false));
         let keeper = Keeper::new(
@@ -113,9 +115,15 @@
             usage.clone(),
             escrow.clone(),
         );
-        let hint = keeper.hint();
-        let peers = Peers::start(listener, settings.peers, roster.clone(), spread.clone(), hint)?;
-        let leaving = vec![
+        let revision_hint = keeper.revision_hint();
+        let peers = Peers::start(
+            listener,
+            settings.peers,
+            roster.clone(),
+            config_sync.clone(),
+            revision_hint,
+        )?;
+        let closing = vec![
             tokio::spawn(keeper.run(stop.clone().cancelled_owned())),
             tokio::spawn(directory::register(
                 store.clone(),
@@ -126,10 +134,15 @@
             )),
             tokio::spawn(control.clone().run(store.clone(), me, ttl, stop.clone())),
         ];
-        let following = vec![
+        let background = vec![
             tokio::spawn(directory::follow(store.clone(), roster.clone(), contact.clone())),
-            tokio::spawn(spread::follow(store, spread.clone(), roster.clone(), contact.clone())),
-            tokio::spawn(beat(roster.clone(), config.clone(), usage, ready.clone())),
+            tokio::spawn(config_sync::follow(
+                store,
+                config_sync.clone(),
+                roster.clone(),
+                contact.clone(),
+            )),
+            tokio::spawn(run_heartbeat(roster.clone(), config.clone(), usage, ready.clone())),
         ];
         let shares = Shares::new(roster.clone(), config);
         Ok(Self {
@@ -137,92 +150,92 @@
             roster,
             shares,
             control,
-            spread,
+            config_sync,
             contact,
             ready,
             peers,
             stop,
-            leaving,
-            following,
+            closing,
+            background,
         })
     }
 
-    /// Permits within the upper limits of teams.
+    /// Returns the source of permits within the upper limits of teams.
     pub fn escrow(&self) -> Escrow {
         self.escrow.clone()
     }
 
-    /// Shares of teams over all entry instances.
+    /// Returns the shares of teams over all entry instances.
     pub fn shares(&self) -> Shares {
         self.shares.clone()
     }
 
-    /// The control role.
+    /// Returns the state of the control role.
     pub fn control(&self) -> ControlLease {
         self.control.clone()
     }
 
-    /// The table of all entry instances.
+    /// Returns the table of all entry instances.
     pub fn roster(&self) -> Roster {
         self.roster.clone()
     }
 
-    /// Which configuration version each entry instance has in force.
+    /// Returns the configuration version that each entry instance has in force.
     pub fn confirmations(&self) -> Confirmations {
         self.roster.confirmations()
     }
 
-    /// Live entry instances of a zone, or of all.
+    /// Returns the live entry instances of a zone, or of all zones.
     pub fn live(&self, zone: Option<&ZoneId>) -> Vec<LiveEntry> {
         self.roster.live(zone)
     }
 
-    /// Counts of offered configurations.
-    pub fn spread_counts(&self) -> SpreadCounts {
-        self.spread.counts()
+    /// Returns the counts of offered configurations.
+    pub fn config_sync_counts(&self) -> ConfigSyncCounts {
+        self.config_sync.counts()
     }
 
-    /// When the key-value service last answered.
+    /// Returns the record of when the key-value service last responded.
     pub fn store_contact(&self) -> StoreContact {
         self.contact.clone()
     }
 
-    /// Bytes and calls between this entry instance and the others.
+    /// Returns the counters of bytes and calls between this entry instance and others.
     pub fn traffic(&self) -> Traffic {
         self.peers.traffic()
     }
 
-    /// Switch that tells the others whether this entry instance takes new requests.
+    /// Returns the switch for whether this entry instance reports that it accepts new requests.
     pub fn ready(&self) -> Readiness {
         Readiness(self.ready.clone())
     }
 
-    /// Tells the others whether this entry instance takes new requests.
+    /// Sets whether this entry instance reports that it accepts new requests.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    /// Leaves the fleet: gives back slices, registration and control role, and tells the peers.
-    /// Call it when no request runs any more; slices of requests that run return later.
+    /// Leaves the fleet: releases slices, registration and control role, and notifies the peers.
+    /// Call it when no requests are running; tokens of running requests become free only later.
     pub async fn close(self) {
-        for task in &self.following {
+        for task in &self.background {
             task.abort();
         }
         self.stop.cancel();
         let peers = self.peers.close();
-        let tasks = self.leaving.into_iter().map(|task| timeout(CLOSE_TIMEOUT, task));
+        let tasks = self.closing.into_iter().map(|task| timeout(CLOSE_TIMEOUT, task));
         tokio::join!(peers, futures_util::future::join_all(tasks));
     }
 }
 
-/// Raises the heartbeat at an interval and when a configuration comes in force.
-async fn beat<U: UsageSource>(
+/// Advances the heartbeat at an interval and whenever a configuration is put in force.
+async fn run_heartbeat<U: UsageSource>(
     roster: Roster,
     config: ActiveConfig,
     usage: U,
     ready: Arc<AtomicBool>,
 ) {
-    let mut ticks = interval(BEAT_INTERVAL);
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut adopted = config.subscribe();
     loop {
@@ -231,6 +244,6 @@
             _ = adopted.changed() => {}
         }
         let now = Arc::new(usage.usage());
-        roster.beat(now, config.version(), ready.load(Ordering::Relaxed));
+        roster.advance_heartbeat(now, config.version(), ready.load(Ordering::Relaxed));
     }
 }
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -1,5 +1,5 @@
-//! Connections with other entry instances, on a thread of their own: Cap'n Proto objects stay on
-//! the thread that made them.
+//! Connections to other entry instances. They run on a thread of their own, as Cap'n Proto objects
+//! cannot leave the thread that created them.
 
 mod client;
 mod connection;
@@ -22,24 +22,24 @@
 use tokio_util::sync::CancellationToken;
 
 pub use self::traffic::Traffic;
+use crate::config_sync::ConfigSync;
 use crate::identity::Identity;
 use crate::relay::Target;
 use crate::roster::Roster;
-use crate::spread::Spread;
 
-/// How often the targets are chosen anew.
+/// Interval at which the targets are updated.
 const TARGETS_INTERVAL: Duration = Duration::from_millis(500);
-/// Wait for the tasks of peers to say that this entry instance leaves.
+/// Longest wait on close until all peers are notified that this entry instance leaves.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Times and first addresses of the connections.
+/// Settings of the connections.
 #[derive(Debug, Clone)]
 pub struct PeersSettings {
     /// Longest time between two reports to a peer.
     pub report_interval: Duration,
     /// Timeout of a call.
     pub call_timeout: Duration,
-    /// Addresses of entry instances to ask when no other is known.
+    /// Addresses of entry instances to contact while no other is known.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -53,18 +53,18 @@
     }
 }
 
-/// What the tasks of all connections share.
+/// State that the tasks of all connections share.
 #[derive(Debug, Clone)]
 struct Context {
     roster: Roster,
-    spread: Spread,
-    ledger_hint: Arc<AtomicU64>,
+    config_sync: ConfigSync,
+    ledger_revision_hint: Arc<AtomicU64>,
     settings: PeersSettings,
     traffic: Traffic,
     stop: CancellationToken,
 }
 
-/// The thread with the connections to other entry instances.
+/// Handle of the thread that runs the connections to other entry instances.
 #[derive(Debug)]
 pub struct Peers {
     thread: JoinHandle<()>,
@@ -73,21 +73,21 @@
 }
 
 impl Peers {
-    /// Takes calls on `listener` and reports to the targets that `roster` chooses.
+    /// Accepts connections on `listener` and reports to the targets that `roster` chooses.
     pub fn start(
         listener: TcpListener,
         settings: PeersSettings,
         roster: Roster,
-        spread: Spread,
-        ledger_hint: Arc<AtomicU64>,
+        config_sync: ConfigSync,
+        ledger_revision_hint: Arc<AtomicU64>,
     ) -> io::Result<Self> {
         let listener = listener.into_std()?;
         let traffic = Traffic::default();
         let stop = CancellationToken::new();
         let context = Context {
             roster,
-            spread,
-            ledger_hint,
+            config_sync,
+            ledger_revision_hint,
             settings,
             traffic: traffic.clone(),
             stop: stop.clone(),
@@ -96,19 +96,19 @@
         let run = move || {
             let connections = run(listener, context);
             if let Err(error) = runtime.block_on(LocalSet::new().run_until(connections)) {
-                log::error!("connections between entry instances ended: {error}");
+                log::error!("connections to other entry instances stopped: {error}");
             }
         };
         let thread = std::thread::Builder::new().name("peers".into()).spawn(run)?;
         Ok(Self { thread, traffic, stop })
     }
 
-    /// Counts of bytes and calls.
+    /// Returns the counters of bytes and calls.
     pub fn traffic(&self) -> Traffic {
         self.traffic.clone()
     }
 
-    /// Tells the peers that this entry instance leaves, and ends the connections.
+    /// Notifies the peers that this entry instance leaves, and closes the connections.
     pub async fn close(self) {
         self.stop.cancel();
         let _ = tokio::task::spawn_blocking(move || self.thread.join()).await;
@@ -119,7 +119,7 @@
     let listener = TcpListener::from_std(listener)?;
     spawn_local(server::serve(listener, context.clone()));
     let seeds = context.settings.seeds.clone();
-    spawn_local(client::find_others(seeds, context.clone()));
+    spawn_local(client::discover_entries(seeds, context.clone()));
     let mut tasks: BTreeMap<Target, tokio::task::JoinHandle<()>> = BTreeMap::new();
     while !context.stop.is_cancelled() {
         follow_targets(&mut tasks, &context);
@@ -128,12 +128,12 @@
             () = context.stop.cancelled() => {}
         }
     }
-    let leaves = futures_util::future::join_all(tasks.into_values());
-    let _ = tokio::time::timeout(CLOSE_TIMEOUT, leaves).await;
+    let sessions = futures_util::future::join_all(tasks.into_values());
+    let _ = tokio::time::timeout(CLOSE_TIMEOUT, sessions).await;
     Ok(())
 }
 
-/// Starts a task for each new target and ends those of former ones.
+/// Starts a task for each new target and aborts those of removed ones.
 fn follow_targets(tasks: &mut BTreeMap<Target, tokio::task::JoinHandle<()>>, context: &Context) {
     let targets = context.roster.targets();
     tasks.retain(|target, task| {
