--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -12,8 +12,8 @@
 pub mod lease;
 pub mod metrics;
 pub mod redfish;
-pub mod settle;
 pub mod store;
+pub mod update;
 
 pub use backoff::Backoff;
 pub use clock::{Moment, since_boot};
@@ -26,9 +26,9 @@
 pub use lease::{LeaseKeeper, LeaseValidity, Stamp};
 pub use metrics::{CallOutcome, StoreCall, StoreMetrics};
 pub use redfish::HttpInstanceControl;
-pub use settle::{NotApplied, UpdateOutcome, update};
 pub use store::{
     Change, Compare, Effect, Expectation, LeaseId, Operation, Record, Revision, Snapshot, Store,
     StoreError, Transaction, TransactionOutcome, TransactionalStore, VALUE_BYTES_MAX, Watch, Write,
     WriteOutcome,
 };
+pub use update::{NotApplied, UpdateOutcome, update};
--- a/crates/tasks/benches/decisions.rs
+++ b/crates/tasks/benches/decisions.rs
@@ -5,7 +5,7 @@
 
 use cassiafold_tasks::Resources;
 use cassiafold_tasks::placement::{Request, Worker, place};
-use cassiafold_tasks::preempt::{Running, make_room};
+use cassiafold_tasks::preempt::{RunningTask, plan_preemption};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
 const SIZES: [usize; 4] = [50, 100, 400, 870];
@@ -32,8 +32,8 @@
     }
 }
 
-fn running(workers: usize) -> Vec<Running> {
-    let task = |index: usize| Running {
+fn running(workers: usize) -> Vec<RunningTask> {
+    let task = |index: usize| RunningTask {
         task: format!("task-{index}").into(),
         worker: index % workers,
         resources: resources(6),
@@ -60,7 +60,7 @@
         let running = running(size);
         let needed = resources(16);
         group.bench_with_input(BenchmarkId::from_parameter(size), &workers, |bench, workers| {
-            bench.iter(|| black_box(make_room(&needed, workers, &running, START_LIMIT)));
+            bench.iter(|| black_box(plan_preemption(&needed, workers, &running, START_LIMIT)));
         });
     }
     group.finish();
--- a/crates/tasks/examples/rate.rs
+++ b/crates/tasks/examples/rate.rs
@@ -6,12 +6,12 @@
 
 use cassiafold_platform::Store;
 use cassiafold_standin::MemoryStore;
-use cassiafold_tasks::book::{Book, Clock, SHARDS};
+use cassiafold_tasks::task_store::{Clock, SHARD_COUNT, TaskStore};
 use cassiafold_tasks::{Claim, Outcome, Resources, Task, TaskKey, TaskState, Transition};
 use serde_json::json;
 
 const RATES_PER_S: [u32; 6] = [1, 10, 50, 100, 200, 400];
-const TIME: Duration = Duration::from_secs(10);
+const DURATION: Duration = Duration::from_secs(10);
 const STORE_DELAY: Duration = Duration::from_millis(3);
 const TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -41,7 +41,7 @@
     }
 }
 
-async fn run_task(book: Book<MemoryStore>, index: u32) {
+async fn run_task(task_store: TaskStore<MemoryStore>, index: u32) {
     let task = task(index);
     let key: TaskKey = (task.team.clone(), task.id.clone());
     let claim = Claim {
@@ -49,23 +49,23 @@
         worker: "worker-001".into(),
         start_before: FixedClock.now() + Duration::from_secs(10),
     };
-    let outcome = Outcome::Succeeded { answer: "ok".into() };
+    let outcome = Outcome::Succeeded { output: "ok".into() };
     let finish = Transition::Finish { claim: claim.id.clone(), outcome };
     for transition in [Transition::Submit(task), Transition::Claim(claim), finish] {
-        book.apply(key.clone(), transition).await.expect("the store answers");
+        task_store.apply(key.clone(), transition).await.expect("the store answers");
     }
 }
 
 async fn measure(rate_per_s: u32) {
     let store = MemoryStore::default();
     store.faults().set_delay(STORE_DELAY);
-    let book = Book::start(store.clone(), FixedClock, TIMEOUT);
+    let task_store = TaskStore::start(store.clone(), FixedClock, TIMEOUT);
     let mut arrivals = tokio::time::interval(Duration::from_secs(1) / rate_per_s);
-    let tasks = rate_per_s * TIME.as_secs() as u32;
+    let tasks = rate_per_s * DURATION.as_secs() as u32;
     let mut running = Vec::new();
     for index in 0..tasks {
         arrivals.tick().await;
-        running.push(tokio::spawn(run_task(book.clone(), index)));
+        running.push(tokio::spawn(run_task(task_store.clone(), index)));
     }
     for run in running {
         run.await.expect("the task ends");
@@ -76,10 +76,10 @@
     let line = json!({
         "measure": "tasks_store_load",
         "tasks_per_s": rate_per_s,
-        "store_calls_per_s": calls as f64 / TIME.as_secs_f64(),
+        "store_calls_per_s": calls as f64 / DURATION.as_secs_f64(),
         "store_calls_per_task": calls as f64 / f64::from(tasks),
         "stored_bytes_per_task": bytes as f64 / f64::from(tasks),
-        "shards": SHARDS,
+        "shards": SHARD_COUNT,
     });
     println!("{line}");
 }
--- a/crates/tasks/src/estimate.rs
+++ b/crates/tasks/src/estimate.rs
@@ -52,16 +52,16 @@
 #[derive(Debug, Default)]
 pub struct Estimator {
     kinds: HashMap<KindKey, History>,
-    reports_seen: u64,
+    report_count: u64,
 }
 
 impl Estimator {
     /// Adds the usage that a finished task reported.
-    pub fn note(&mut self, team: &TeamId, kind: &KindId, usage: Usage) {
-        self.reports_seen += 1;
-        self.make_room(team, kind);
+    pub fn record(&mut self, team: &TeamId, kind: &KindId, usage: Usage) {
+        self.report_count += 1;
+        self.evict_oldest(team, kind);
         let history = self.kinds.entry((team.clone(), kind.clone())).or_default();
-        history.last_used = self.reports_seen;
+        history.last_used = self.report_count;
         if history.reports.len() == REPORTS_KEPT {
             history.reports.pop_front();
         }
@@ -91,7 +91,7 @@
         self.kinds.len()
     }
 
-    fn make_room(&mut self, team: &TeamId, kind: &KindId) {
+    fn evict_oldest(&mut self, team: &TeamId, kind: &KindId) {
         let key = (team.clone(), kind.clone());
         if self.kinds.len() < KINDS_MAX || self.kinds.contains_key(&key) {
             return;
--- a/crates/tasks/src/estimate/tests.rs
+++ b/crates/tasks/src/estimate/tests.rs
@@ -20,7 +20,7 @@
     let mut estimator = Estimator::default();
     let (team, kind) = ("muscat".into(), "sweep".into());
     for _ in 1..REPORTS_MIN {
-        estimator.note(&team, &kind, usage());
+        estimator.record(&team, &kind, usage());
     }
     assert_eq!(estimator.estimate(&team, &kind, declared()), declared());
 }
@@ -30,7 +30,7 @@
     let mut estimator = Estimator::default();
     let (team, kind) = ("muscat".into(), "sweep".into());
     for _ in 0..REPORTS_MIN {
-        estimator.note(&team, &kind, usage());
+        estimator.record(&team, &kind, usage());
     }
     let estimate = estimator.estimate(&team, &kind, declared());
     assert_eq!(estimate.resources, usage().peak);
@@ -52,7 +52,7 @@
 fn the_number_of_kinds_is_bounded() {
     let mut estimator = Estimator::default();
     for kind in 0..KINDS_MAX + 10 {
-        estimator.note(&"muscat".into(), &format!("kind-{kind}").into(), usage());
+        estimator.record(&"muscat".into(), &format!("kind-{kind}").into(), usage());
     }
     assert_eq!(estimator.kinds(), KINDS_MAX);
 }
--- a/crates/tasks/src/blame.rs
+++ b/crates/tasks/src/outlier.rs
@@ -13,13 +13,13 @@
 /// Runs kept for each worker.
 const RUNS_KEPT: usize = 16;
 /// Distinct kinds that must fail on a worker before it is suspected.
-const KINDS_MIN: usize = 3;
+const FAILED_KINDS_MIN: usize = 3;
 /// Runs that must be known of a worker before it is suspected.
 const RUNS_MIN: usize = 5;
 /// Share of failures at a worker from which it is suspected.
-const FAILURE_SHARE: f64 = 0.8;
+const FAILURE_SHARE_MIN: f64 = 0.8;
 /// How many times worse than its peers a suspected worker has to be.
-const PEER_FACTOR: f64 = 4.0;
+const PEER_FACTOR_MIN: f64 = 4.0;
 
 /// One finished run as the comparison sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,13 +34,13 @@
 
 /// The last runs of each worker.
 #[derive(Debug, Default)]
-pub struct Blame {
+pub struct OutlierDetector {
     workers: HashMap<WorkerId, VecDeque<Run>>,
 }
 
-impl Blame {
+impl OutlierDetector {
     /// Adds a finished run.
-    pub fn note(&mut self, worker: &WorkerId, run: Run) {
+    pub fn record(&mut self, worker: &WorkerId, run: Run) {
         let runs = self.workers.entry(worker.clone()).or_default();
         if runs.len() == RUNS_KEPT {
             runs.pop_front();
@@ -54,14 +54,14 @@
     }
 
     /// Whether a worker fails what its peers run well.
-    pub fn suspects(&self, worker: &WorkerId) -> bool {
+    pub fn is_outlier(&self, worker: &WorkerId) -> bool {
         let Some(runs) = self.workers.get(worker) else { return false };
-        if runs.len() < RUNS_MIN || failed_kinds(runs) < KINDS_MIN {
+        if runs.len() < RUNS_MIN || failed_kinds(runs) < FAILED_KINDS_MIN {
             return false;
         }
         let own = failure_share(runs.iter());
         let peers = self.peer_failure_share(worker, runs);
-        own >= FAILURE_SHARE && peers.is_some_and(|peers| own >= PEER_FACTOR * peers)
+        own >= FAILURE_SHARE_MIN && peers.is_some_and(|peers| own >= PEER_FACTOR_MIN * peers)
     }
 
     /// Failure share of the same kinds at all other workers; `None` without such runs.
--- a/crates/tasks/src/placement.rs
+++ b/crates/tasks/src/placement.rs
@@ -49,7 +49,7 @@
     /// No worker has room now.
     Wait,
     /// No worker that could be had is large enough.
-    Hopeless,
+    Unschedulable,
 }
 
 /// Chooses the worker on which the task leaves least room.
@@ -61,7 +61,7 @@
     zone_open: impl Fn(&ZoneId) -> bool,
 ) -> Placement {
     if !workers.iter().any(|worker| request.resources.fits(&worker.capacity)) {
-        return Placement::Hopeless;
+        return Placement::Unschedulable;
     }
     let failed_racks = racks_of(request.failed_on, workers);
     let candidates = workers.iter().enumerate().filter(|(_, worker)| {
@@ -73,7 +73,7 @@
     let best = candidates.min_by_key(|(index, worker)| {
         let rack_failed = failed_racks.contains_key(&(&worker.zone, &worker.rack));
         let left = worker.free().minus(&request.resources);
-        (rack_failed, left.accelerators, slack(&left, &worker.capacity), *index)
+        (rack_failed, left.accelerators, free_per_mille(&left, &worker.capacity), *index)
     });
     best.map_or(Placement::Wait, |(index, _)| Placement::On(index))
 }
@@ -86,7 +86,7 @@
 }
 
 /// Parts per thousand of a worker left free, processors and memory added.
-fn slack(left: &Resources, capacity: &Resources) -> u64 {
+fn free_per_mille(left: &Resources, capacity: &Resources) -> u64 {
     let processors =
         u64::from(left.processors_milli) * 1_000 / u64::from(capacity.processors_milli.max(1));
     let memory = left.memory_bytes.saturating_mul(1_000) / capacity.memory_bytes.max(1);
--- a/crates/tasks/src/placement/tests.rs
+++ b/crates/tasks/src/placement/tests.rs
@@ -64,7 +64,7 @@
         match place(&request, &workers, |zone| &**zone == "a") {
             Placement::On(index) => prop_assert!(choices.contains(&index)),
             Placement::Wait => prop_assert!(choices.is_empty() && possible),
-            Placement::Hopeless => prop_assert!(!possible),
+            Placement::Unschedulable => prop_assert!(!possible),
         }
     }
 }
--- a/crates/tasks/src/preempt.rs
+++ b/crates/tasks/src/preempt.rs
@@ -7,7 +7,7 @@
 
 /// A running task that could make room.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Running {
+pub struct RunningTask {
     /// Identifier of the task.
     pub task: TaskId,
     /// Index of its worker.
@@ -24,7 +24,7 @@
 
 /// Tasks to checkpoint on one worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
+pub struct PreemptionPlan {
     /// Index of the worker.
     pub worker: usize,
     /// Indexes of the running tasks to checkpoint.
@@ -37,12 +37,12 @@
 ///
 /// Cost is the number of checkpoints, then the wait. Only tasks that are not urgent and can be
 /// checkpointed are taken. Returns `None` when no worker can make room in time.
-pub fn make_room(
+pub fn plan_preemption(
     needed: &Resources,
     workers: &[Worker],
-    running: &[Running],
+    running: &[RunningTask],
     limit: Duration,
-) -> Option<Plan> {
+) -> Option<PreemptionPlan> {
     let mut by_worker = vec![Vec::new(); workers.len()];
     for (index, task) in running.iter().enumerate() {
         let usable = task.checkpointable && !task.urgent && task.checkpoint_time <= limit;
@@ -61,36 +61,36 @@
     worker: usize,
     state: &Worker,
     candidates: &[usize],
-    running: &[Running],
-) -> Option<Plan> {
+    running: &[RunningTask],
+) -> Option<PreemptionPlan> {
     if !needed.fits(&state.capacity) {
         return None;
     }
     let mut free = state.free();
     let mut checkpoints = Vec::new();
     let mut wait = Duration::ZERO;
-    let mut rest = candidates.to_vec();
+    let mut remaining = candidates.to_vec();
     while !needed.fits(&free) {
         let missing = needed.minus(&free);
-        let best = rest.iter().enumerate().max_by_key(|(_, index)| {
+        let best = remaining.iter().enumerate().max_by_key(|(_, index)| {
             let task = &running[**index];
-            (covered(&task.resources, &missing), std::cmp::Reverse(task.checkpoint_time))
+            (coverage_per_mille(&task.resources, &missing), std::cmp::Reverse(task.checkpoint_time))
         });
         let (position, index) = best.map(|(position, index)| (position, *index))?;
         let task = &running[index];
-        if covered(&task.resources, &missing) == 0 {
+        if coverage_per_mille(&task.resources, &missing) == 0 {
             return None;
         }
         free = free.plus(&task.resources);
         wait = wait.max(task.checkpoint_time);
         checkpoints.push(index);
-        rest.swap_remove(position);
+        remaining.swap_remove(position);
     }
-    Some(Plan { worker, checkpoints, wait })
+    Some(PreemptionPlan { worker, checkpoints, wait })
 }
 
 /// How much of `missing` an amount covers, in parts per thousand of each kind, added.
-fn covered(amount: &Resources, missing: &Resources) -> u64 {
+fn coverage_per_mille(amount: &Resources, missing: &Resources) -> u64 {
     let part = |amount: u64, missing: u64| {
         amount.min(missing).saturating_mul(1_000).checked_div(missing).unwrap_or(0)
     };
--- a/crates/tasks/src/preempt/tests.rs
+++ b/crates/tasks/src/preempt/tests.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-use super::{Running, make_room};
+use super::{RunningTask, plan_preemption};
 use crate::placement::Worker;
 use crate::record::Resources;
 
@@ -18,7 +18,7 @@
     Resources { processors_milli: size * 1_000, memory_bytes, accelerators: 0 }
 }
 
-fn worker(index: usize, running: &[Running]) -> Worker {
+fn worker(index: usize, running: &[RunningTask]) -> Worker {
     let used = running
         .iter()
         .filter(|task| task.worker == index)
@@ -34,8 +34,8 @@
     }
 }
 
-fn task(index: usize, worker: usize, size: u32, checkpointable: bool, urgent: bool) -> Running {
-    Running {
+fn task(index: usize, worker: usize, size: u32, checkpointable: bool, urgent: bool) -> RunningTask {
+    RunningTask {
         task: format!("t{index}").into(),
         worker,
         resources: resources(size),
@@ -46,10 +46,10 @@
 }
 
 /// Fewest checkpoints on one worker that make room, by trying every subset.
-fn naive_fewest(needed: &Resources, workers: &[Worker], running: &[Running]) -> Option<usize> {
+fn naive_fewest(needed: &Resources, workers: &[Worker], running: &[RunningTask]) -> Option<usize> {
     let mut fewest = None;
     for (index, worker) in workers.iter().enumerate() {
-        let usable: Vec<&Running> = running
+        let usable: Vec<&RunningTask> = running
             .iter()
             .filter(|task| task.worker == index && task.checkpointable && !task.urgent)
             .filter(|task| task.checkpoint_time <= LIMIT)
@@ -74,14 +74,14 @@
         tasks in prop::collection::vec((0_usize..3, 1_u32..5, any::<bool>(), any::<bool>()), 0..12),
         need in 1_u32..18,
     ) {
-        let running: Vec<Running> = tasks
+        let running: Vec<RunningTask> = tasks
             .iter()
             .enumerate()
             .map(|(index, size)| task(index, size.0, size.1, size.2, size.3))
             .collect();
         let workers: Vec<Worker> = (0..3).map(|index| worker(index, &running)).collect();
         let needed = resources(need);
-        let plan = make_room(&needed, &workers, &running, LIMIT);
+        let plan = plan_preemption(&needed, &workers, &running, LIMIT);
         let count = plan.as_ref().map(|plan| plan.checkpoints.len());
         prop_assert_eq!(count, naive_fewest(&needed, &workers, &running));
         for index in plan.iter().flat_map(|plan| &plan.checkpoints) {
@@ -95,5 +95,5 @@
     let mut running = vec![task(0, 0, 16, true, false)];
     running[0].checkpoint_time = LIMIT + Duration::from_millis(1);
     let workers = [worker(0, &running)];
-    assert_eq!(make_room(&resources(4), &workers, &running, LIMIT), None);
+    assert_eq!(plan_preemption(&resources(4), &workers, &running, LIMIT), None);
 }
--- a/crates/tasks/src/record.rs
+++ b/crates/tasks/src/record.rs
@@ -119,7 +119,7 @@
     /// The task ran and gave this answer.
     Succeeded {
         /// Answer of the task.
-        answer: Arc<str>,
+        output: Arc<str>,
     },
     /// The task ran and failed.
     Failed {
@@ -131,5 +131,5 @@
     /// The caller cancelled the task.
     Cancelled,
     /// No worker that could be had fits the task.
-    Hopeless,
+    Unschedulable,
 }
--- a/crates/tasks/src/runner.rs
+++ b/crates/tasks/src/scheduler.rs
@@ -12,18 +12,18 @@
 use rand::RngExt;
 use tokio::time::Instant;
 
-use crate::book::{Book, BookError, Clock};
 use crate::estimate::{Estimate, Estimator};
 use crate::placement::{Placement, Request, Worker, place};
 use crate::record::{Claim, ClaimId, Outcome, Task, TaskState, WorkerId};
 use crate::shard::{Loss, TaskKey};
+use crate::task_store::{Clock, TaskStore, TaskStoreError};
 use crate::transition::Transition;
-use crate::worker::{RunState, Start, WorkerError, WorkerReport, Workers};
+use crate::worker::{RunState, StartRequest, WorkerClient, WorkerError, WorkerReport};
 
 /// How long a claim may wait for its start.
-const START_WITHIN: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest difference between the clocks of a runner and a worker.
-const CLOCK_MARGIN: Duration = Duration::from_secs(2);
+const CLOCK_SKEW_MAX: Duration = Duration::from_secs(2);
 
 /// Permission to start tasks, by team and by availability zone.
 pub trait Admission: Send + Sync {
@@ -38,138 +38,145 @@
 }
 
 /// Starts and follows tasks.
-pub struct Runner<S, W, C> {
-    book: Book<S>,
+pub struct Scheduler<S, W, C> {
+    task_store: TaskStore<S>,
     workers: W,
     clock: C,
     estimator: Estimator,
     /// Since when the worker of a claim has been out of reach.
-    unreachable: HashMap<ClaimId, Instant>,
+    unreachable_since: HashMap<ClaimId, Instant>,
     /// Starts that the reports of their workers do not contain yet.
     reserved: HashMap<ClaimId, (WorkerId, Estimate)>,
 }
 
-impl<S: Store, W: Workers, C: Clock> Runner<S, W, C> {
+impl<S: Store, W: WorkerClient, C: Clock> Scheduler<S, W, C> {
     /// A runner without any history.
-    pub fn new(book: Book<S>, workers: W, clock: C) -> Self {
-        let (unreachable, reserved) = Default::default();
-        Self { book, workers, clock, estimator: Estimator::default(), unreachable, reserved }
+    pub fn new(task_store: TaskStore<S>, workers: W, clock: C) -> Self {
+        let (unreachable_since, reserved) = Default::default();
+        Self {
+            task_store,
+            workers,
+            clock,
+            estimator: Estimator::default(),
+            unreachable_since,
+            reserved,
+        }
     }
 
     /// Runs one round over the given shards.
-    pub async fn round(
+    pub async fn run_round(
         &mut self,
         shards: impl Iterator<Item = usize>,
         admission: &impl Admission,
-    ) -> Result<(), BookError> {
+    ) -> Result<(), TaskStoreError> {
         let mut waiting = Vec::new();
         let mut running: HashMap<TeamId, usize> = HashMap::new();
         for shard in shards {
-            for task in self.book.list(shard).await? {
+            for task in self.task_store.list(shard).await? {
                 match &task.state {
                     TaskState::Waiting { not_before } if *not_before <= self.clock.now() => {
                         waiting.push(task);
                     }
                     TaskState::Claimed(claim) => {
                         *running.entry(task.team.clone()).or_default() += 1;
-                        self.follow(&task, claim).await;
+                        self.check_claim(&task, claim).await;
                     }
                     TaskState::Waiting { .. } | TaskState::Finished { .. } => {}
                 }
             }
         }
-        self.place_all(waiting, running, admission).await;
+        self.place_waiting(waiting, running, admission).await;
         Ok(())
     }
 
     /// Settles what a claim has become.
-    async fn follow(&mut self, task: &Task, claim: &Claim) {
+    async fn check_claim(&mut self, task: &Task, claim: &Claim) {
         let state = self.workers.state(&claim.worker, &claim.id).await;
         if state.is_ok() {
-            self.unreachable.remove(&claim.id);
+            self.unreachable_since.remove(&claim.id);
         }
         match state {
             Ok(RunState::Running) if task.cancel_requested => {
                 let _ = self.workers.stop(&claim.worker, &claim.id).await;
             }
             Ok(RunState::Running) => {}
-            Ok(RunState::Succeeded { answer, usage }) => {
-                self.estimator.note(&task.team, &task.kind, usage);
-                self.finish(task, claim, Outcome::Succeeded { answer }).await;
+            Ok(RunState::Succeeded { output, usage }) => {
+                self.estimator.record(&task.team, &task.kind, usage);
+                self.finish(task, claim, Outcome::Succeeded { output }).await;
             }
-            Ok(RunState::Failed { reason }) => self.fail(task, claim, reason).await,
-            Ok(RunState::Unseen) => self.follow_unseen(task, claim).await,
-            Err(_) => self.follow_unreachable(task, claim).await,
+            Ok(RunState::Failed { reason }) => self.handle_failure(task, claim, reason).await,
+            Ok(RunState::NotStarted) => self.handle_not_started(task, claim).await,
+            Err(_) => self.handle_unreachable(task, claim).await,
         }
     }
 
-    async fn fail(&mut self, task: &Task, claim: &Claim, reason: std::sync::Arc<str>) {
+    async fn handle_failure(&mut self, task: &Task, claim: &Claim, reason: std::sync::Arc<str>) {
         if task.cancel_requested {
             self.finish(task, claim, Outcome::Cancelled).await;
         } else if task.idempotent {
-            self.lose(task, claim, Loss::MayHaveRun).await;
+            self.mark_lost(task, claim, Loss::MayHaveRun).await;
         } else {
             self.finish(task, claim, Outcome::Failed { reason }).await;
         }
     }
 
     /// A claim that its worker never started is started, or given up once it can no longer start.
-    async fn follow_unseen(&mut self, task: &Task, claim: &Claim) {
+    async fn handle_not_started(&mut self, task: &Task, claim: &Claim) {
         let now = self.clock.now();
-        if now >= claim.start_before + CLOCK_MARGIN {
-            self.lose(task, claim, Loss::NeverStarted).await;
+        if now >= claim.start_before + CLOCK_SKEW_MAX {
+            self.mark_lost(task, claim, Loss::NeverStarted).await;
         } else if now < claim.start_before && !task.cancel_requested {
             let _ = self.start(task, claim).await;
         }
     }
 
     /// A claim counts as lost once its worker has stopped its tasks by itself.
-    async fn follow_unreachable(&mut self, task: &Task, claim: &Claim) {
+    async fn handle_unreachable(&mut self, task: &Task, claim: &Claim) {
         let now = Instant::now();
-        let since = *self.unreachable.entry(claim.id.clone()).or_insert(now);
-        let startable = self.clock.now() < claim.start_before + CLOCK_MARGIN;
-        if !startable && now >= since + self.workers.lease() + CLOCK_MARGIN {
-            self.lose(task, claim, Loss::MayHaveRun).await;
+        let since = *self.unreachable_since.entry(claim.id.clone()).or_insert(now);
+        let startable = self.clock.now() < claim.start_before + CLOCK_SKEW_MAX;
+        if !startable && now >= since + self.workers.lease_duration() + CLOCK_SKEW_MAX {
+            self.mark_lost(task, claim, Loss::MayHaveRun).await;
         }
     }
 
     async fn finish(&mut self, task: &Task, claim: &Claim, outcome: Outcome) {
         let transition = Transition::Finish { claim: claim.id.clone(), outcome };
-        self.end(task, claim, transition).await;
+        self.apply_end(task, claim, transition).await;
     }
 
-    async fn lose(&mut self, task: &Task, claim: &Claim, loss: Loss) {
-        let transition = Transition::Lose { claim: claim.id.clone(), loss };
-        self.end(task, claim, transition).await;
+    async fn mark_lost(&mut self, task: &Task, claim: &Claim, loss: Loss) {
+        let transition = Transition::MarkLost { claim: claim.id.clone(), loss };
+        self.apply_end(task, claim, transition).await;
     }
 
-    async fn end(&mut self, task: &Task, claim: &Claim, transition: Transition) {
-        if self.book.apply(key(task), transition).await.is_ok() {
-            self.unreachable.remove(&claim.id);
+    async fn apply_end(&mut self, task: &Task, claim: &Claim, transition: Transition) {
+        if self.task_store.apply(key(task), transition).await.is_ok() {
+            self.unreachable_since.remove(&claim.id);
             self.reserved.remove(&claim.id);
         }
     }
 
     /// Places waiting tasks, urgent ones first, then by running tasks per share of the team.
-    async fn place_all(
+    async fn place_waiting(
         &mut self,
         mut waiting: Vec<Task>,
         mut running: HashMap<TeamId, usize>,
         admission: &impl Admission,
     ) {
         let Ok(reports) = self.workers.list().await else { return };
-        self.drop_counted(&reports);
+        self.drop_counted_reservations(&reports);
         let mut workers: Vec<Worker> =
             reports.into_iter().map(|report| self.worker(report)).collect();
         while let Some(index) = next_task(&waiting, &running, admission) {
             let task = waiting.swap_remove(index);
-            if self.place_one(&task, &mut workers, admission).await {
+            if self.place_task(&task, &mut workers, admission).await {
                 *running.entry(task.team.clone()).or_default() += 1;
             }
         }
     }
 
-    async fn place_one(
+    async fn place_task(
         &mut self,
         task: &Task,
         workers: &mut [Worker],
@@ -184,8 +191,8 @@
                 worker.reserved = worker.reserved.plus(&estimate.resources);
                 self.claim_and_start(task, worker.id.clone(), estimate).await
             }
-            Placement::Hopeless => {
-                let _ = self.book.apply(key(task), Transition::EndHopeless).await;
+            Placement::Unschedulable => {
+                let _ = self.task_store.apply(key(task), Transition::EndUnschedulable).await;
                 false
             }
             Placement::Wait => false,
@@ -194,8 +201,8 @@
 
     async fn claim_and_start(&mut self, task: &Task, worker: WorkerId, estimate: Estimate) -> bool {
         let id = format!("{:016x}", rand::rng().random::<u64>()).into();
-        let claim = Claim { id, worker, start_before: self.clock.now() + START_WITHIN };
-        if self.book.apply(key(task), Transition::Claim(claim.clone())).await.is_err() {
+        let claim = Claim { id, worker, start_before: self.clock.now() + START_TIMEOUT };
+        if self.task_store.apply(key(task), Transition::Claim(claim.clone())).await.is_err() {
             return false;
         }
         self.reserved.insert(claim.id.clone(), (claim.worker.clone(), estimate));
@@ -206,7 +213,7 @@
 
     async fn start(&self, task: &Task, claim: &Claim) -> Result<(), WorkerError> {
         let reserved = self.reserved.get(&claim.id);
-        let start = Start {
+        let start = StartRequest {
             worker: claim.worker.clone(),
             claim: claim.id.clone(),
             task: task.id.clone(),
@@ -217,8 +224,8 @@
     }
 
     /// Drops reservations that the reports contain.
-    fn drop_counted(&mut self, reports: &[WorkerReport]) {
-        for claim in reports.iter().flat_map(|report| &report.counted) {
+    fn drop_counted_reservations(&mut self, reports: &[WorkerReport]) {
+        for claim in reports.iter().flat_map(|report| &report.counted_claims) {
             self.reserved.remove(claim);
         }
     }
--- a/crates/tasks/src/runner/tests.rs
+++ b/crates/tasks/src/scheduler/tests.rs
@@ -6,12 +6,12 @@
 use cassiafold_standin::MemoryStore;
 use tokio::time::Instant;
 
-use super::{Admission, Runner};
-use crate::book::{Book, Clock, shard_index};
+use super::{Admission, Scheduler};
 use crate::estimate::Usage;
 use crate::record::{ClaimId, Outcome, Resources, Task, TaskState, WorkerId};
 use crate::shard::TaskKey;
-use crate::worker::{RunState, Start, WorkerError, WorkerReport, Workers};
+use crate::task_store::{Clock, TaskStore, shard_index};
+use crate::worker::{RunState, StartRequest, WorkerClient, WorkerError, WorkerReport};
 
 const LEASE: Duration = Duration::from_secs(20);
 const RUN_TIME: Duration = Duration::from_secs(3);
@@ -55,7 +55,7 @@
 
 #[derive(Default)]
 struct Fleet {
-    started: BTreeMap<ClaimId, (Start, Instant)>,
+    started: BTreeMap<ClaimId, (StartRequest, Instant)>,
     runs: BTreeMap<String, u32>,
     silent: bool,
     run_time: Duration,
@@ -114,7 +114,7 @@
     }
 }
 
-impl Workers for TestWorkers {
+impl WorkerClient for TestWorkers {
     async fn list(&self) -> Result<Vec<WorkerReport>, WorkerError> {
         let capacity =
             Resources { processors_milli: 8_000, memory_bytes: 8 << 30, accelerators: 0 };
@@ -124,13 +124,13 @@
             rack: "r".into(),
             capacity,
             used: Resources::default(),
-            counted: Vec::new(),
+            counted_claims: Vec::new(),
             accepts: true,
         };
         self.call(|_| Ok((0..4).map(report).collect())).await
     }
 
-    async fn start(&self, start: Start) -> Result<(), WorkerError> {
+    async fn start(&self, start: StartRequest) -> Result<(), WorkerError> {
         self.call(|fleet| {
             if self.clock.now() >= start.start_before {
                 return Err(WorkerError::Refused);
@@ -146,12 +146,14 @@
 
     async fn state(&self, _worker: &WorkerId, claim: &ClaimId) -> Result<RunState, WorkerError> {
         self.call(|fleet| {
-            let Some((start, at)) = fleet.started.get(claim) else { return Ok(RunState::Unseen) };
+            let Some((start, at)) = fleet.started.get(claim) else {
+                return Ok(RunState::NotStarted);
+            };
             if at.elapsed() < fleet.run_time {
                 return Ok(RunState::Running);
             }
             let usage = Usage { peak: start.resources, run_time: fleet.run_time };
-            Ok(RunState::Succeeded { answer: "ok".into(), usage })
+            Ok(RunState::Succeeded { output: "ok".into(), usage })
         })
         .await
     }
@@ -164,7 +166,7 @@
         self.call(|_| Ok(())).await
     }
 
-    fn lease(&self) -> Duration {
+    fn lease_duration(&self) -> Duration {
         LEASE
     }
 }
@@ -190,29 +192,29 @@
     ("muscat".into(), id.into())
 }
 
-struct Bench {
+struct Fixture {
     store: MemoryStore,
     workers: TestWorkers,
     clock: TestClock,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         let clock = TestClock(Instant::now());
         Self { store: MemoryStore::default(), workers: TestWorkers::new(clock), clock }
     }
 
-    fn book(&self) -> Book<MemoryStore> {
-        Book::start(self.store.clone(), self.clock, Duration::from_secs(2))
+    fn task_store(&self) -> TaskStore<MemoryStore> {
+        TaskStore::start(self.store.clone(), self.clock, Duration::from_secs(2))
     }
 
     async fn run(&self, id: &str, crash: Crash, time: Duration) {
         let workers = self.workers.crashing(crash);
-        let mut runner = Runner::new(self.book(), workers, self.clock);
+        let mut scheduler = Scheduler::new(self.task_store(), workers, self.clock);
         let shard = shard_index(&key(id));
         let rounds = async {
             loop {
-                let _ = runner.round(std::iter::once(shard), &Open).await;
+                let _ = scheduler.run_round(std::iter::once(shard), &Open).await;
                 tokio::time::sleep(Duration::from_secs(1)).await;
             }
         };
@@ -220,7 +222,7 @@
     }
 
     async fn state(&self, id: &str) -> TaskState {
-        self.book().get(&key(id)).await.unwrap().unwrap().state
+        self.task_store().get(&key(id)).await.unwrap().unwrap().state
     }
 }
 
@@ -236,13 +238,13 @@
     for idempotent in [false, true] {
         for number in 1..=CALLS {
             for crash in [Crash::BeforeCall(number), Crash::AfterCall(number)] {
-                let bench = Bench::new();
-                bench.book().submit(task("t", idempotent)).await.unwrap();
-                bench.run("t", crash, Duration::from_secs(5)).await;
-                bench.run("t", Crash::Never, Duration::from_secs(60)).await;
-                let state = bench.state("t").await;
+                let fixture = Fixture::new();
+                fixture.task_store().submit(task("t", idempotent)).await.unwrap();
+                fixture.run("t", crash, Duration::from_secs(5)).await;
+                fixture.run("t", Crash::Never, Duration::from_secs(60)).await;
+                let state = fixture.state("t").await;
                 assert!(succeeded(&state), "{crash:?}: {state:?}");
-                assert_eq!(bench.workers.runs("t"), 1, "{crash:?}");
+                assert_eq!(fixture.workers.runs("t"), 1, "{crash:?}");
             }
         }
     }
@@ -250,81 +252,81 @@
 
 #[tokio::test(start_paused = true)]
 async fn two_runners_at_once_run_each_task_once() {
-    let bench = Bench::new();
-    bench.store.faults().set_delay(Duration::from_millis(7));
-    bench.book().submit(task("t", false)).await.unwrap();
+    let fixture = Fixture::new();
+    fixture.store.faults().set_delay(Duration::from_millis(7));
+    fixture.task_store().submit(task("t", false)).await.unwrap();
     let time = Duration::from_secs(20);
-    tokio::join!(bench.run("t", Crash::Never, time), bench.run("t", Crash::Never, time));
-    assert!(succeeded(&bench.state("t").await));
-    assert_eq!(bench.workers.runs("t"), 1);
+    tokio::join!(fixture.run("t", Crash::Never, time), fixture.run("t", Crash::Never, time));
+    assert!(succeeded(&fixture.state("t").await));
+    assert_eq!(fixture.workers.runs("t"), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_runner_paused_at_any_call_does_not_double_a_task() {
-    let short = super::START_WITHIN - Duration::from_secs(2);
-    let long = super::START_WITHIN + super::CLOCK_MARGIN + Duration::from_secs(1);
+    let short = super::START_TIMEOUT - Duration::from_secs(2);
+    let long = super::START_TIMEOUT + super::CLOCK_SKEW_MAX + Duration::from_secs(1);
     for (number, pause) in (1..=CALLS).flat_map(|number| [(number, short), (number, long)]) {
         for run_time in [RUN_TIME, RUN_TIME_LONG] {
             let crash = Crash::PauseBeforeCall(number, pause);
-            let bench = Bench::new();
-            bench.workers.fleet.lock().unwrap().run_time = run_time;
-            bench.book().submit(task("t", false)).await.unwrap();
+            let fixture = Fixture::new();
+            fixture.workers.fleet.lock().unwrap().run_time = run_time;
+            fixture.task_store().submit(task("t", false)).await.unwrap();
             let time = Duration::from_secs(90);
-            let paused = bench.run("t", crash, time);
+            let paused = fixture.run("t", crash, time);
             let other = async {
                 tokio::time::sleep(Duration::from_millis(500)).await;
-                bench.run("t", Crash::Never, time).await;
+                fixture.run("t", Crash::Never, time).await;
             };
             tokio::join!(paused, other);
-            assert!(succeeded(&bench.state("t").await), "{crash:?}");
-            assert_eq!(bench.workers.runs("t"), 1, "{crash:?}");
+            assert!(succeeded(&fixture.state("t").await), "{crash:?}");
+            assert_eq!(fixture.workers.runs("t"), 1, "{crash:?}");
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_claim_left_by_a_crash_is_started_before_it_expires() {
-    let bench = Bench::new();
-    bench.book().submit(task("t", false)).await.unwrap();
-    bench.run("t", Crash::BeforeCall(2), Duration::from_secs(1)).await;
-    assert!(matches!(bench.state("t").await, TaskState::Claimed(_)));
-    bench.run("t", Crash::Never, super::START_WITHIN).await;
-    assert!(succeeded(&bench.state("t").await));
+    let fixture = Fixture::new();
+    fixture.task_store().submit(task("t", false)).await.unwrap();
+    fixture.run("t", Crash::BeforeCall(2), Duration::from_secs(1)).await;
+    assert!(matches!(fixture.state("t").await, TaskState::Claimed(_)));
+    fixture.run("t", Crash::Never, super::START_TIMEOUT).await;
+    assert!(succeeded(&fixture.state("t").await));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_task_that_is_not_idempotent_ends_unknown_when_its_worker_stays_silent() {
-    let bench = Bench::new();
-    bench.book().submit(task("t", false)).await.unwrap();
-    bench.run("t", Crash::Never, Duration::from_secs(1)).await;
-    bench.workers.fleet.lock().unwrap().silent = true;
-    bench.run("t", Crash::Never, LEASE).await;
-    assert!(matches!(bench.state("t").await, TaskState::Claimed(_)));
-    bench.run("t", Crash::Never, 3 * LEASE).await;
-    let state = bench.state("t").await;
+    let fixture = Fixture::new();
+    fixture.task_store().submit(task("t", false)).await.unwrap();
+    fixture.run("t", Crash::Never, Duration::from_secs(1)).await;
+    fixture.workers.fleet.lock().unwrap().silent = true;
+    fixture.run("t", Crash::Never, LEASE).await;
+    assert!(matches!(fixture.state("t").await, TaskState::Claimed(_)));
+    fixture.run("t", Crash::Never, 3 * LEASE).await;
+    let state = fixture.state("t").await;
     assert!(matches!(state, TaskState::Finished { outcome: Outcome::Unknown, .. }), "{state:?}");
-    bench.workers.fleet.lock().unwrap().silent = false;
-    bench.run("t", Crash::Never, 3 * LEASE).await;
-    assert_eq!(bench.workers.runs("t"), 1);
+    fixture.workers.fleet.lock().unwrap().silent = false;
+    fixture.run("t", Crash::Never, 3 * LEASE).await;
+    assert_eq!(fixture.workers.runs("t"), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn no_task_starts_in_a_zone_taken_out() {
-    let mut bench = Bench::new();
-    bench.workers.zone = "out".into();
-    bench.book().submit(task("t", true)).await.unwrap();
-    bench.run("t", Crash::Never, Duration::from_secs(20)).await;
-    assert!(matches!(bench.state("t").await, TaskState::Waiting { .. }));
-    assert_eq!(bench.workers.runs("t"), 0);
+    let mut fixture = Fixture::new();
+    fixture.workers.zone = "out".into();
+    fixture.task_store().submit(task("t", true)).await.unwrap();
+    fixture.run("t", Crash::Never, Duration::from_secs(20)).await;
+    assert!(matches!(fixture.state("t").await, TaskState::Waiting { .. }));
+    assert_eq!(fixture.workers.runs("t"), 0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_task_that_fits_no_worker_ends_as_hopeless() {
-    let bench = Bench::new();
+    let fixture = Fixture::new();
     let mut large = task("t", true);
     large.declared.accelerators = 1;
-    bench.book().submit(large).await.unwrap();
-    bench.run("t", Crash::Never, Duration::from_secs(5)).await;
-    let state = bench.state("t").await;
-    assert!(matches!(state, TaskState::Finished { outcome: Outcome::Hopeless, .. }));
+    fixture.task_store().submit(large).await.unwrap();
+    fixture.run("t", Crash::Never, Duration::from_secs(5)).await;
+    let state = fixture.state("t").await;
+    assert!(matches!(state, TaskState::Finished { outcome: Outcome::Unschedulable, .. }));
 }
--- a/crates/tasks/src/shard.rs
+++ b/crates/tasks/src/shard.rs
@@ -17,7 +17,7 @@
 /// Number of distinct workers on which a task may fail before it is stopped.
 pub const FAILED_WORKERS_MAX: usize = 3;
 /// How long finished tasks are kept.
-pub const FINISHED_KEPT: Duration = Duration::from_secs(24 * 3600);
+pub const FINISHED_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// Key of a task within its shard.
 pub type TaskKey = (TeamId, TaskId);
@@ -31,11 +31,11 @@
 
 /// Answer to a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Submitted {
+pub enum SubmitResponse {
     /// The task is new and was accepted.
     Created,
     /// A task of the same team and id was accepted before.
-    Found,
+    AlreadyExists,
 }
 
 /// Why a transition was refused.
@@ -43,7 +43,7 @@
 pub enum TransitionError {
     /// The task does not exist.
     #[error("no such task")]
-    NoTask,
+    TaskNotFound,
     /// The task is not waiting, or not yet due.
     #[error("task cannot be claimed now")]
     NotClaimable,
@@ -63,13 +63,13 @@
 
 impl Shard {
     /// Accepts a task unless its team already has one of the same id.
-    pub fn submit(&mut self, task: Task) -> Submitted {
+    pub fn submit(&mut self, task: Task) -> SubmitResponse {
         let key = (task.team.clone(), task.id.clone());
         if self.tasks.contains_key(&key) {
-            return Submitted::Found;
+            return SubmitResponse::AlreadyExists;
         }
         self.tasks.insert(key, task);
-        Submitted::Created
+        SubmitResponse::Created
     }
 
     /// Claims a waiting task for a worker.
@@ -108,7 +108,7 @@
     ///
     /// A task that never started waits again. An idempotent task is tried again after a growing
     /// delay, on few distinct workers. Any other task ends with an unknown outcome.
-    pub fn lose(
+    pub fn mark_lost(
         &mut self,
         key: &TaskKey,
         claim: &ClaimId,
@@ -135,31 +135,35 @@
     }
 
     /// Ends a waiting task that no worker could ever run.
-    pub fn end_hopeless(&mut self, key: &TaskKey, now: SystemTime) -> Result<(), TransitionError> {
+    pub fn end_unschedulable(
+        &mut self,
+        key: &TaskKey,
+        now: SystemTime,
+    ) -> Result<(), TransitionError> {
         let task = self.task_mut(key)?;
         if !matches!(task.state, TaskState::Waiting { .. }) {
             return Err(TransitionError::NotClaimable);
         }
-        task.state = TaskState::Finished { outcome: Outcome::Hopeless, at: now };
+        task.state = TaskState::Finished { outcome: Outcome::Unschedulable, at: now };
         Ok(())
     }
 
-    /// Removes tasks that ended longer ago than [`FINISHED_KEPT`].
-    pub fn expire(&mut self, now: SystemTime) {
+    /// Removes tasks that ended longer ago than [`FINISHED_RETENTION`].
+    pub fn remove_expired(&mut self, now: SystemTime) {
         self.tasks.retain(|_, task| match &task.state {
-            TaskState::Finished { at, .. } => *at + FINISHED_KEPT > now,
+            TaskState::Finished { at, .. } => *at + FINISHED_RETENTION > now,
             TaskState::Waiting { .. } | TaskState::Claimed(_) => true,
         });
     }
 
     /// Number of claimed tasks of a team, which count against its upper limit.
-    pub fn running(&self, team: &TeamId) -> usize {
+    pub fn running_count(&self, team: &TeamId) -> usize {
         let of_team = self.tasks.values().filter(|task| task.team == *team);
         of_team.filter(|task| matches!(task.state, TaskState::Claimed(_))).count()
     }
 
     fn task_mut(&mut self, key: &TaskKey) -> Result<&mut Task, TransitionError> {
-        self.tasks.get_mut(key).ok_or(TransitionError::NoTask)
+        self.tasks.get_mut(key).ok_or(TransitionError::TaskNotFound)
     }
 
     fn claimed_mut(
@@ -183,7 +187,7 @@
         return TaskState::Finished { outcome: Outcome::Unknown, at: now };
     }
     if let TaskState::Claimed(claim) = &task.state {
-        note_failed_worker(&mut task.failed_on, claim.worker.clone());
+        add_failed_worker(&mut task.failed_on, claim.worker.clone());
     }
     if task.failed_on.len() >= FAILED_WORKERS_MAX {
         let reason = "failed on several distinct workers".into();
@@ -192,7 +196,7 @@
     waiting_or_cancelled(task, now + retry_delay(task.failed_on.len()), now)
 }
 
-fn note_failed_worker(failed_on: &mut Vec<WorkerId>, worker: WorkerId) {
+fn add_failed_worker(failed_on: &mut Vec<WorkerId>, worker: WorkerId) {
     if !failed_on.contains(&worker) {
         failed_on.push(worker);
     }
--- a/crates/tasks/src/shard/tests.rs
+++ b/crates/tasks/src/shard/tests.rs
@@ -1,6 +1,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use super::{FAILED_WORKERS_MAX, FINISHED_KEPT, Loss, Shard, Submitted, TaskKey, TransitionError};
+use super::{
+    FAILED_WORKERS_MAX, FINISHED_RETENTION, Loss, Shard, SubmitResponse, TaskKey, TransitionError,
+};
 use crate::record::{Claim, Outcome, Resources, Task, TaskState};
 
 fn at(seconds: u64) -> SystemTime {
@@ -50,9 +52,9 @@
 #[test]
 fn a_repeated_submission_finds_the_first() {
     let mut shard = Shard::default();
-    assert_eq!(shard.submit(task(false)), Submitted::Created);
+    assert_eq!(shard.submit(task(false)), SubmitResponse::Created);
     shard.claim(&key(), claim("c1", "w1"), at(0)).unwrap();
-    assert_eq!(shard.submit(task(false)), Submitted::Found);
+    assert_eq!(shard.submit(task(false)), SubmitResponse::AlreadyExists);
     assert!(matches!(state(&shard), TaskState::Claimed(_)));
 }
 
@@ -66,7 +68,7 @@
 #[test]
 fn a_task_is_not_claimed_before_it_is_due() {
     let mut shard = claimed(true);
-    shard.lose(&key(), &"c1".into(), Loss::MayHaveRun, at(1)).unwrap();
+    shard.mark_lost(&key(), &"c1".into(), Loss::MayHaveRun, at(1)).unwrap();
     let early = shard.claim(&key(), claim("c2", "w2"), at(1));
     assert_eq!(early, Err(TransitionError::NotClaimable));
     assert_eq!(shard.claim(&key(), claim("c2", "w2"), at(2)), Ok(()));
@@ -77,7 +79,7 @@
         #[test]
         fn $name() {
             let mut shard = claimed($idempotent);
-            shard.lose(&key(), &"c1".into(), $loss, at(1)).unwrap();
+            shard.mark_lost(&key(), &"c1".into(), $loss, at(1)).unwrap();
             assert_eq!(state(&shard), $state);
         }
     )+};
@@ -95,9 +97,9 @@
 #[test]
 fn a_report_under_a_replaced_claim_is_refused() {
     let mut shard = claimed(true);
-    shard.lose(&key(), &"c1".into(), Loss::MayHaveRun, at(1)).unwrap();
+    shard.mark_lost(&key(), &"c1".into(), Loss::MayHaveRun, at(1)).unwrap();
     shard.claim(&key(), claim("c2", "w2"), at(5)).unwrap();
-    let outcome = Outcome::Succeeded { answer: "late".into() };
+    let outcome = Outcome::Succeeded { output: "late".into() };
     let late = shard.finish(&key(), &"c1".into(), outcome, at(6));
     assert_eq!(late, Err(TransitionError::StaleClaim));
     assert!(matches!(state(&shard), TaskState::Claimed(claim) if &*claim.id == "c2"));
@@ -112,7 +114,7 @@
         now += 600;
         let id = format!("c{worker}");
         shard.claim(&key(), claim(&id, &format!("w{worker}")), at(now)).unwrap();
-        shard.lose(&key(), &id.as_str().into(), Loss::MayHaveRun, at(now)).unwrap();
+        shard.mark_lost(&key(), &id.as_str().into(), Loss::MayHaveRun, at(now)).unwrap();
     }
     let state = state(&shard);
     assert!(matches!(state, TaskState::Finished { outcome: Outcome::Failed { .. }, .. }));
@@ -126,7 +128,7 @@
         let id = format!("c{round}");
         let now = at(600 * (round + 1));
         shard.claim(&key(), claim(&id, "w1"), now).unwrap();
-        shard.lose(&key(), &id.as_str().into(), Loss::MayHaveRun, now).unwrap();
+        shard.mark_lost(&key(), &id.as_str().into(), Loss::MayHaveRun, now).unwrap();
     }
     assert!(matches!(state(&shard), TaskState::Waiting { .. }));
 }
@@ -136,7 +138,7 @@
     let mut shard = claimed(true);
     shard.cancel(&key(), at(0)).unwrap();
     assert!(matches!(state(&shard), TaskState::Claimed(_)));
-    shard.lose(&key(), &"c1".into(), Loss::MayHaveRun, at(1)).unwrap();
+    shard.mark_lost(&key(), &"c1".into(), Loss::MayHaveRun, at(1)).unwrap();
     assert_eq!(state(&shard), finished(Outcome::Cancelled));
 }
 
@@ -144,8 +146,8 @@
 fn a_finished_task_expires() {
     let mut shard = claimed(false);
     shard.finish(&key(), &"c1".into(), Outcome::Unknown, at(1)).unwrap();
-    shard.expire(at(1) + FINISHED_KEPT - Duration::from_secs(1));
+    shard.remove_expired(at(1) + FINISHED_RETENTION - Duration::from_secs(1));
     assert_eq!(shard.tasks.len(), 1);
-    shard.expire(at(1) + FINISHED_KEPT);
+    shard.remove_expired(at(1) + FINISHED_RETENTION);
     assert!(shard.tasks.is_empty());
 }
--- a/crates/tasks/src/book.rs
+++ b/crates/tasks/src/task_store.rs
@@ -16,7 +16,7 @@
 use crate::wire::{WireError, WireShard};
 
 /// Number of shards.
-pub const SHARDS: usize = 32;
+pub const SHARD_COUNT: usize = 32;
 /// How long a shard collects transitions before it writes them.
 const BATCH_WINDOW: Duration = Duration::from_millis(100);
 /// Transitions that may wait for one shard.
@@ -24,7 +24,7 @@
 /// Wait between two tries of a write.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest stored shard; the key-value service holds values up to 1 MB.
-const SHARD_MAX_BYTES: usize = 1_000_000;
+const SHARD_BYTES_MAX: usize = 1_000_000;
 
 /// Clock that stamps transitions.
 pub trait Clock: Clone + Send + Sync + 'static {
@@ -44,7 +44,7 @@
 
 /// Why a transition failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum BookError {
+pub enum TaskStoreError {
     /// The transition did not take effect, as the store could not be reached.
     #[error("key-value store unavailable; nothing was changed")]
     Unavailable,
@@ -62,96 +62,100 @@
     Malformed(#[from] WireError),
 }
 
-struct Pending {
+struct PendingTransition {
     key: TaskKey,
     transition: Transition,
-    reply: oneshot::Sender<Result<Applied, BookError>>,
+    reply: oneshot::Sender<Result<Applied, TaskStoreError>>,
 }
 
 /// The stored tasks. Clones share the batches.
 #[derive(Clone)]
-pub struct Book<S> {
+pub struct TaskStore<S> {
     store: S,
-    shards: Arc<[mpsc::Sender<Pending>]>,
+    shards: Arc<[mpsc::Sender<PendingTransition>]>,
 }
 
-impl<S: Store> Book<S> {
+impl<S: Store> TaskStore<S> {
     /// Starts the task of each shard. A transition is given up after `timeout`.
     pub fn start<C: Clock>(store: S, clock: C, timeout: Duration) -> Self {
         let start = |index| {
             let (sender, receiver) = mpsc::channel(QUEUE_LENGTH);
             let (store, clock) = (store.clone(), clock.clone());
-            let writer = Writer { store, clock, key: shard_key(index), timeout, copy: None };
+            let writer = ShardWriter { store, clock, key: shard_key(index), timeout, cached: None };
             tokio::spawn(writer.run(receiver));
             sender
         };
-        Self { shards: (0..SHARDS).map(start).collect(), store }
+        Self { shards: (0..SHARD_COUNT).map(start).collect(), store }
     }
 
-    /// Accepts a task. [`Applied::Found`] says that its id was accepted before.
-    pub async fn submit(&self, task: Task) -> Result<Applied, BookError> {
+    /// Accepts a task. [`Applied::AlreadyExists`] says that its id was accepted before.
+    pub async fn submit(&self, task: Task) -> Result<Applied, TaskStoreError> {
         let key = (task.team.clone(), task.id.clone());
         self.apply(key, Transition::Submit(task)).await
     }
 
     /// Applies a transition and waits until it is stored.
-    pub async fn apply(&self, key: TaskKey, transition: Transition) -> Result<Applied, BookError> {
-        let (reply, answer) = oneshot::channel();
+    pub async fn apply(
+        &self,
+        key: TaskKey,
+        transition: Transition,
+    ) -> Result<Applied, TaskStoreError> {
+        let (reply, result) = oneshot::channel();
         let shard = &self.shards[shard_index(&key)];
-        let pending = Pending { key, transition, reply };
-        shard.try_send(pending).map_err(|_| BookError::Unavailable)?;
-        answer.await.unwrap_or(Err(BookError::OutcomeUnknown))
+        let pending = PendingTransition { key, transition, reply };
+        shard.try_send(pending).map_err(|_| TaskStoreError::Unavailable)?;
+        result.await.unwrap_or(Err(TaskStoreError::OutcomeUnknown))
     }
 
     /// Reads every task of a shard.
-    pub async fn list(&self, shard: usize) -> Result<Vec<Task>, BookError> {
+    pub async fn list(&self, shard: usize) -> Result<Vec<Task>, TaskStoreError> {
         let (shard, _) = read(&self.store, &shard_key(shard)).await?;
         Ok(shard.tasks.into_values().collect())
     }
 
     /// Reads one task.
-    pub async fn get(&self, key: &TaskKey) -> Result<Option<Task>, BookError> {
+    pub async fn get(&self, key: &TaskKey) -> Result<Option<Task>, TaskStoreError> {
         let (shard, _) = read(&self.store, &shard_key(shard_index(key))).await?;
         Ok(shard.tasks.get(key).cloned())
     }
 }
 
-struct Writer<S, C> {
+struct ShardWriter<S, C> {
     store: S,
     clock: C,
     key: Arc<str>,
     timeout: Duration,
     /// The shard as last written or read; dropped when another writer was first.
-    copy: Option<(Shard, Compare)>,
+    cached: Option<(Shard, Compare)>,
 }
 
-type Answers = Vec<Result<Applied, BookError>>;
+type ApplyResults = Vec<Result<Applied, TaskStoreError>>;
 
-impl<S: Store, C: Clock> Writer<S, C> {
-    async fn run(mut self, mut receiver: mpsc::Receiver<Pending>) {
+impl<S: Store, C: Clock> ShardWriter<S, C> {
+    async fn run(mut self, mut receiver: mpsc::Receiver<PendingTransition>) {
         while let Some(first) = receiver.recv().await {
             tokio::time::sleep(BATCH_WINDOW).await;
             let mut batch = vec![first];
             while let Ok(next) = receiver.try_recv() {
                 batch.push(next);
             }
-            let answers = self.write(&batch).await;
-            for (pending, answer) in batch.into_iter().zip(answers) {
-                let _ = pending.reply.send(answer);
+            let results = self.write(&batch).await;
+            for (pending, result) in batch.into_iter().zip(results) {
+                let _ = pending.reply.send(result);
             }
         }
     }
 
     /// Writes a batch; gives one answer for each transition.
-    async fn write(&mut self, batch: &[Pending]) -> Answers {
+    async fn write(&mut self, batch: &[PendingTransition]) -> ApplyResults {
         let deadline = Instant::now() + self.timeout;
-        let mut failure = BookError::Unavailable;
+        let mut failure = TaskStoreError::Unavailable;
         loop {
             match self.try_write(batch).await {
-                Ok(Some(answers)) => return answers,
+                Ok(Some(results)) => return results,
                 Ok(None) => continue,
-                Err(BookError::OutcomeUnknown) => failure = BookError::OutcomeUnknown,
-                Err(BookError::Unavailable) => {}
+                Err(TaskStoreError::OutcomeUnknown) => failure = TaskStoreError::OutcomeUnknown,
+                Err(TaskStoreError::Unavailable) => {}
                 Err(error) => return vec![Err(error); batch.len()],
             }
             if Instant::now() + RETRY_INTERVAL >= deadline {
@@ -165,30 +169,33 @@
     ///
     /// An answer that needs no write, or a refusal, is given from the stored shard only, never
     /// from a copy that may be out of date.
-    async fn try_write(&mut self, batch: &[Pending]) -> Result<Option<Answers>, BookError> {
-        let copied = self.copy.is_some();
-        let (mut shard, compare) = match self.copy.take() {
-            Some(copy) => copy,
+    async fn try_write(
+        &mut self,
+        batch: &[PendingTransition],
+    ) -> Result<Option<ApplyResults>, TaskStoreError> {
+        let from_cache = self.cached.is_some();
+        let (mut shard, compare) = match self.cached.take() {
+            Some(cached) => cached,
             None => read(&self.store, &self.key).await?,
         };
         let before = shard.clone();
         let now = self.clock.now();
-        shard.expire(now);
-        let answers = apply_all(&mut shard, batch, now);
-        if shard == before || (copied && answers.iter().any(Result::is_err)) {
-            let confirmed = !copied;
-            self.copy = confirmed.then_some((before, compare));
-            return Ok(confirmed.then_some(answers));
+        shard.remove_expired(now);
+        let results = apply_all(&mut shard, batch, now);
+        if shard == before || (from_cache && results.iter().any(Result::is_err)) {
+            let confirmed = !from_cache;
+            self.cached = confirmed.then_some((before, compare));
+            return Ok(confirmed.then_some(results));
         }
         let value = serde_json::to_vec(&WireShard::from(&shard))
             .map_err(|error| WireError::Malformed(error.to_string()))?;
-        if value.len() > SHARD_MAX_BYTES {
-            return Err(BookError::Full);
+        if value.len() > SHARD_BYTES_MAX {
+            return Err(TaskStoreError::Full);
         }
         match self.store.write(Write::put(self.key.clone(), compare, value)).await {
             Ok(WriteOutcome::Written(revision)) => {
-                self.copy = Some((shard, Compare::Revision(revision)));
-                Ok(Some(answers))
+                self.cached = Some((shard, Compare::Revision(revision)));
+                Ok(Some(results))
             }
             Ok(WriteOutcome::Conflict) => Ok(None),
             Err(error) => Err(failure(&error)),
@@ -196,24 +203,24 @@
     }
 }
 
-fn apply_all(shard: &mut Shard, batch: &[Pending], now: SystemTime) -> Answers {
-    let apply = |pending: &Pending| {
-        pending.transition.apply(shard, &pending.key, now).map_err(BookError::Refused)
+fn apply_all(shard: &mut Shard, batch: &[PendingTransition], now: SystemTime) -> ApplyResults {
+    let apply = |pending: &PendingTransition| {
+        pending.transition.apply(shard, &pending.key, now).map_err(TaskStoreError::Refused)
     };
     batch.iter().map(apply).collect()
 }
 
-async fn read<S: Store>(store: &S, key: &str) -> Result<(Shard, Compare), BookError> {
-    let record = store.get(key).await.map_err(|_| BookError::Unavailable)?;
+async fn read<S: Store>(store: &S, key: &str) -> Result<(Shard, Compare), TaskStoreError> {
+    let record = store.get(key).await.map_err(|_| TaskStoreError::Unavailable)?;
     let Some(record) = record else { return Ok((Shard::default(), Compare::Absent)) };
     let shard = Shard::try_from(WireShard::parse(&record.value)?)?;
     Ok((shard, Compare::Revision(record.revision)))
 }
 
-fn failure(error: &StoreError) -> BookError {
+fn failure(error: &StoreError) -> TaskStoreError {
     match error {
-        StoreError::Unavailable(_) => BookError::Unavailable,
-        _ => BookError::OutcomeUnknown,
+        StoreError::Unavailable(_) => TaskStoreError::Unavailable,
+        _ => TaskStoreError::OutcomeUnknown,
     }
 }
 
@@ -223,7 +230,7 @@
     hasher.update(key.0.as_bytes());
     hasher.update(&[0]);
     hasher.update(key.1.as_bytes());
-    usize::from(hasher.finalize().as_bytes()[0]) % SHARDS
+    usize::from(hasher.finalize().as_bytes()[0]) % SHARD_COUNT
 }
 
 fn shard_key(index: usize) -> Arc<str> {
--- a/crates/tasks/src/book/tests.rs
+++ b/crates/tasks/src/task_store/tests.rs
@@ -3,7 +3,7 @@
 use cassiafold_standin::MemoryStore;
 use cassiafold_standin::faults::WriteFault;
 
-use super::{BATCH_WINDOW, Book, BookError, Clock, SHARDS, shard_index};
+use super::{BATCH_WINDOW, Clock, SHARD_COUNT, TaskStore, TaskStoreError, shard_index};
 use crate::record::{Claim, Outcome, Resources, Task, TaskState};
 use crate::shard::{Loss, TaskKey, TransitionError};
 use crate::transition::{Applied, Transition};
@@ -19,8 +19,8 @@
     }
 }
 
-fn book(store: &MemoryStore) -> Book<MemoryStore> {
-    Book::start(store.clone(), FixedClock, TIMEOUT)
+fn task_store(store: &MemoryStore) -> TaskStore<MemoryStore> {
+    TaskStore::start(store.clone(), FixedClock, TIMEOUT)
 }
 
 fn task(id: &str, submission: &str) -> Task {
@@ -54,7 +54,7 @@
 
 /// The transitions of one run, in order.
 fn run() -> [Transition; 3] {
-    let outcome = Outcome::Succeeded { answer: "ok".into() };
+    let outcome = Outcome::Succeeded { output: "ok".into() };
     let finish = Transition::Finish { claim: "c1".into(), outcome };
     [Transition::Submit(task("sweep-1", "s1")), claim("c1"), finish]
 }
@@ -64,15 +64,15 @@
         #[tokio::test(start_paused = true)]
         async fn $name() {
             let store = MemoryStore::default();
-            let book = book(&store);
+            let task_store = task_store(&store);
             for (index, transition) in run().into_iter().enumerate() {
                 if index == $position {
                     store.faults().fail_writes(1, $fault);
                 }
-                assert_eq!(book.apply(key(), transition).await, Ok(Applied::Done));
+                assert_eq!(task_store.apply(key(), transition).await, Ok(Applied::Done));
             }
-            let stored = book.get(&key()).await.unwrap().unwrap();
-            let outcome = Outcome::Succeeded { answer: "ok".into() };
+            let stored = task_store.get(&key()).await.unwrap().unwrap();
+            let outcome = Outcome::Succeeded { output: "ok".into() };
             assert_eq!(stored.state, TaskState::Finished { outcome, at: FixedClock.now() });
         }
     )+};
@@ -89,31 +89,31 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_repeat_of_an_id_finds_the_first() {
-    let book = book(&MemoryStore::default());
-    assert_eq!(book.submit(task("sweep-1", "s1")).await, Ok(Applied::Done));
-    assert_eq!(book.submit(task("sweep-1", "s2")).await, Ok(Applied::Found));
-    assert_eq!(&*book.get(&key()).await.unwrap().unwrap().submission, "s1");
+    let task_store = task_store(&MemoryStore::default());
+    assert_eq!(task_store.submit(task("sweep-1", "s1")).await, Ok(Applied::Done));
+    assert_eq!(task_store.submit(task("sweep-1", "s2")).await, Ok(Applied::AlreadyExists));
+    assert_eq!(&*task_store.get(&key()).await.unwrap().unwrap().submission, "s1");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_submission_during_an_outage_is_refused_as_not_stored() {
     let store = MemoryStore::default();
-    let book = book(&store);
+    let task_store = task_store(&store);
     store.faults().set_outage(true);
-    assert_eq!(book.submit(task("sweep-1", "s1")).await, Err(BookError::Unavailable));
+    assert_eq!(task_store.submit(task("sweep-1", "s1")).await, Err(TaskStoreError::Unavailable));
     store.faults().set_outage(false);
-    assert_eq!(book.get(&key()).await, Ok(None));
+    assert_eq!(task_store.get(&key()).await, Ok(None));
 }
 
 #[tokio::test(start_paused = true)]
 async fn of_two_entry_instances_only_one_claims_a_task() {
     let store = MemoryStore::default();
-    let (first, second) = (book(&store), book(&store));
+    let (first, second) = (task_store(&store), task_store(&store));
     store.faults().set_delay(Duration::from_millis(10));
     first.submit(task("sweep-1", "s1")).await.unwrap();
     let (one, other) =
         tokio::join!(first.apply(key(), claim("c1")), second.apply(key(), claim("c2")));
-    let refused = Err(BookError::Refused(TransitionError::NotClaimable));
+    let refused = Err(TaskStoreError::Refused(TransitionError::NotClaimable));
     assert!(
         (one == Ok(Applied::Done) && other == refused)
             || (other == Ok(Applied::Done) && one == refused)
@@ -123,14 +123,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_repeated_loss_does_not_end_the_next_claim() {
     let store = MemoryStore::default();
-    let book = book(&store);
-    book.submit(task("sweep-1", "s1")).await.unwrap();
-    book.apply(key(), claim("c1")).await.unwrap();
-    let lose = Transition::Lose { claim: "c1".into(), loss: Loss::NeverStarted };
-    book.apply(key(), lose.clone()).await.unwrap();
-    book.apply(key(), claim("c2")).await.unwrap();
-    assert_eq!(book.apply(key(), lose).await, Ok(Applied::Done));
-    let state = book.get(&key()).await.unwrap().unwrap().state;
+    let task_store = task_store(&store);
+    task_store.submit(task("sweep-1", "s1")).await.unwrap();
+    task_store.apply(key(), claim("c1")).await.unwrap();
+    let mark_lost = Transition::MarkLost { claim: "c1".into(), loss: Loss::NeverStarted };
+    task_store.apply(key(), mark_lost.clone()).await.unwrap();
+    task_store.apply(key(), claim("c2")).await.unwrap();
+    assert_eq!(task_store.apply(key(), mark_lost).await, Ok(Applied::Done));
+    let state = task_store.get(&key()).await.unwrap().unwrap().state;
     assert!(matches!(state, TaskState::Claimed(claim) if &*claim.id == "c2"));
 }
 
@@ -138,26 +138,26 @@
 async fn a_wave_of_cancellations_costs_at_most_one_write_for_each_shard() {
     const TASKS: usize = 2_000;
     let store = MemoryStore::default();
-    let book = book(&store);
+    let task_store = task_store(&store);
     let submit_all = (0..TASKS).map(|index| {
-        let (book, id) = (book.clone(), format!("t{index}"));
-        tokio::spawn(async move { book.submit(task(&id, &id)).await })
+        let (task_store, id) = (task_store.clone(), format!("t{index}"));
+        tokio::spawn(async move { task_store.submit(task(&id, &id)).await })
     });
     for submitted in submit_all.collect::<Vec<_>>() {
         assert_eq!(submitted.await.unwrap(), Ok(Applied::Done));
     }
     let before = store.faults().total_counts().total();
     let cancel_all = (0..TASKS).map(|index| {
-        let (book, id) = (book.clone(), format!("t{index}"));
+        let (task_store, id) = (task_store.clone(), format!("t{index}"));
         tokio::spawn(async move {
-            book.apply(("muscat".into(), id.as_str().into()), Transition::Cancel).await
+            task_store.apply(("muscat".into(), id.as_str().into()), Transition::Cancel).await
         })
     });
     for cancelled in cancel_all.collect::<Vec<_>>() {
         assert_eq!(cancelled.await.unwrap(), Ok(Applied::Done));
     }
     let calls = store.faults().total_counts().total() - before;
-    assert!(calls <= 2 * SHARDS as u64, "{calls} calls");
+    assert!(calls <= 2 * SHARD_COUNT as u64, "{calls} calls");
 }
 
 #[tokio::test(start_paused = true)]
@@ -165,13 +165,13 @@
     const ARRIVAL: Duration = Duration::from_millis(1);
     const TASKS: usize = 200;
     let store = MemoryStore::default();
-    let book = book(&store);
+    let task_store = task_store(&store);
     let ids = (0..).map(|index| format!("t{index}"));
     let same_shard = ids.filter(|id| shard_index(&("muscat".into(), id.as_str().into())) == 0);
     let mut submissions = Vec::new();
     for id in same_shard.take(TASKS) {
-        let book = book.clone();
-        submissions.push(tokio::spawn(async move { book.submit(task(&id, &id)).await }));
+        let task_store = task_store.clone();
+        submissions.push(tokio::spawn(async move { task_store.submit(task(&id, &id)).await }));
         tokio::time::sleep(ARRIVAL).await;
     }
     for submitted in submissions {
--- a/crates/tasks/src/transition.rs
+++ b/crates/tasks/src/transition.rs
@@ -6,7 +6,7 @@
 use std::time::SystemTime;
 
 use crate::record::{Claim, ClaimId, Outcome, Task, TaskState};
-use crate::shard::{Loss, Shard, Submitted, TaskKey, TransitionError};
+use crate::shard::{Loss, Shard, SubmitResponse, TaskKey, TransitionError};
 
 /// A change of one task.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,7 +23,7 @@
         outcome: Outcome,
     },
     /// Records that the worker of a claim was lost.
-    Lose {
+    MarkLost {
         /// Claim of the lost worker.
         claim: ClaimId,
         /// What is known of the claim.
@@ -32,7 +32,7 @@
     /// Cancels the task.
     Cancel,
     /// Ends a task that fits no worker.
-    EndHopeless,
+    EndUnschedulable,
 }
 
 /// Effect of a transition.
@@ -41,7 +41,7 @@
     /// The transition took effect, now or before.
     Done,
     /// A task of the same team and id was accepted before.
-    Found,
+    AlreadyExists,
 }
 
 impl Transition {
@@ -57,14 +57,14 @@
         }
         match self {
             Self::Submit(task) => match shard.submit(task.clone()) {
-                Submitted::Created => return Ok(Applied::Done),
-                Submitted::Found => return Ok(Applied::Found),
+                SubmitResponse::Created => return Ok(Applied::Done),
+                SubmitResponse::AlreadyExists => return Ok(Applied::AlreadyExists),
             },
             Self::Claim(claim) => shard.claim(key, claim.clone(), now),
             Self::Finish { claim, outcome } => shard.finish(key, claim, outcome.clone(), now),
-            Self::Lose { claim, loss } => shard.lose(key, claim, *loss, now),
+            Self::MarkLost { claim, loss } => shard.mark_lost(key, claim, *loss, now),
             Self::Cancel => shard.cancel(key, now),
-            Self::EndHopeless => shard.end_hopeless(key, now),
+            Self::EndUnschedulable => shard.end_unschedulable(key, now),
         }?;
         Ok(Applied::Done)
     }
@@ -76,12 +76,12 @@
             Self::Claim(claim) => {
                 matches!(&task.state, TaskState::Claimed(current) if current.id == claim.id)
             }
-            Self::Finish { claim, .. } | Self::Lose { claim, .. } => {
+            Self::Finish { claim, .. } | Self::MarkLost { claim, .. } => {
                 task.last_ended_claim.as_ref() == Some(claim)
             }
             Self::Cancel => false,
-            Self::EndHopeless => {
-                matches!(&task.state, TaskState::Finished { outcome: Outcome::Hopeless, .. })
+            Self::EndUnschedulable => {
+                matches!(&task.state, TaskState::Finished { outcome: Outcome::Unschedulable, .. })
             }
         }
     }
--- a/crates/tasks/src/wire.rs
+++ b/crates/tasks/src/wire.rs
@@ -58,11 +58,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 enum WireOutcome {
-    Succeeded { answer: Arc<str> },
-    Failed { reason: Arc<str> },
+    Succeeded {
+        #[serde(rename = "answer")]
+        output: Arc<str>,
+    },
+    Failed {
+        reason: Arc<str>,
+    },
     Unknown,
     Cancelled,
-    Hopeless,
+    #[serde(rename = "hopeless")]
+    Unschedulable,
 }
 
 /// Why a stored shard was refused.
@@ -73,7 +79,7 @@
     UnknownFormat(u32),
     /// Two tasks have the same team and id.
     #[error("task {id} of team {team} stands twice")]
-    Repeated {
+    DuplicateTask {
         /// Team of the task.
         team: Arc<str>,
         /// Identifier of the task.
@@ -112,7 +118,7 @@
             let task = Task::try_from(task)?;
             let key = (task.team.clone(), task.id.clone());
             if let Some(task) = shard.tasks.insert(key, task) {
-                return Err(WireError::Repeated { team: task.team, id: task.id });
+                return Err(WireError::DuplicateTask { team: task.team, id: task.id });
             }
         }
         Ok(shard)
@@ -206,11 +212,11 @@
 impl From<&Outcome> for WireOutcome {
     fn from(outcome: &Outcome) -> Self {
         match outcome {
-            Outcome::Succeeded { answer } => Self::Succeeded { answer: answer.clone() },
+            Outcome::Succeeded { output } => Self::Succeeded { output: output.clone() },
             Outcome::Failed { reason } => Self::Failed { reason: reason.clone() },
             Outcome::Unknown => Self::Unknown,
             Outcome::Cancelled => Self::Cancelled,
-            Outcome::Hopeless => Self::Hopeless,
+            Outcome::Unschedulable => Self::Unschedulable,
         }
     }
 }
@@ -218,11 +224,11 @@
 impl From<WireOutcome> for Outcome {
     fn from(wire: WireOutcome) -> Self {
         match wire {
-            WireOutcome::Succeeded { answer } => Self::Succeeded { answer },
+            WireOutcome::Succeeded { output } => Self::Succeeded { output },
             WireOutcome::Failed { reason } => Self::Failed { reason },
             WireOutcome::Unknown => Self::Unknown,
             WireOutcome::Cancelled => Self::Cancelled,
-            WireOutcome::Hopeless => Self::Hopeless,
+            WireOutcome::Unschedulable => Self::Unschedulable,
         }
     }
 }
--- a/crates/tasks/src/wire/tests.rs
+++ b/crates/tasks/src/wire/tests.rs
@@ -14,11 +14,11 @@
 fn state() -> impl Strategy<Value = TaskState> {
     let time = (0_u64..4_000_000_000_000).prop_map(|ms| UNIX_EPOCH + Duration::from_millis(ms));
     let outcome = prop_oneof![
-        "[a-z]{0,9}".prop_map(|answer| Outcome::Succeeded { answer: answer.into() }),
+        "[a-z]{0,9}".prop_map(|output| Outcome::Succeeded { output: output.into() }),
         "[a-z]{0,9}".prop_map(|reason| Outcome::Failed { reason: reason.into() }),
         Just(Outcome::Unknown),
         Just(Outcome::Cancelled),
-        Just(Outcome::Hopeless),
+        Just(Outcome::Unschedulable),
     ];
     prop_oneof![
         time.clone().prop_map(|not_before| TaskState::Waiting { not_before }),
--- a/crates/tasks/src/worker.rs
+++ b/crates/tasks/src/worker.rs
@@ -23,14 +23,14 @@
     /// Resources in use.
     pub used: Resources,
     /// Claims whose usage is part of `used`.
-    pub counted: Vec<ClaimId>,
+    pub counted_claims: Vec<ClaimId>,
     /// Whether the worker takes new tasks.
     pub accepts: bool,
 }
 
 /// Request to run a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Start {
+pub struct StartRequest {
     /// Worker that shall run the task.
     pub worker: WorkerId,
     /// Claim under which the task runs; a worker starts each claim at most once.
@@ -47,13 +47,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunState {
     /// The worker has never started the claim.
-    Unseen,
+    NotStarted,
     /// The task runs.
     Running,
     /// The task succeeded.
     Succeeded {
         /// Answer of the task.
-        answer: Arc<str>,
+        output: Arc<str>,
         /// What the task used.
         usage: Usage,
     },
@@ -76,12 +76,12 @@
 }
 
 /// Client of the workers. Every call has a deadline.
-pub trait Workers: Clone + Send + Sync + 'static {
+pub trait WorkerClient: Clone + Send + Sync + 'static {
     /// Reads the last report of each worker.
     fn list(&self) -> impl Future<Output = Result<Vec<WorkerReport>, WorkerError>> + Send;
 
     /// Starts a claim. A repeat of a claim that was started has no effect.
-    fn start(&self, start: Start) -> impl Future<Output = Result<(), WorkerError>> + Send;
+    fn start(&self, start: StartRequest) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
     /// Asks for the state of a claim.
     fn state(
@@ -105,5 +105,5 @@
     ) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
     /// Time after which a worker without contact to the platform has stopped its tasks.
-    fn lease(&self) -> Duration;
+    fn lease_duration(&self) -> Duration;
 }
