--- a/crates/tasks/benches/decisions.rs
+++ b/crates/tasks/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of placing one task, and of making room for an urgent one, by number of workers.
+//! Time to place one task, and to plan a preemption for an urgent one, by number of workers.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use cassiafold_tasks::preempt::{RunningTask, plan_preemption};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
-const SIZES: [usize; 4] = [50, 100, 400, 870];
+const WORKER_COUNTS: [usize; 4] = [50, 100, 400, 870];
 const TASKS_PER_WORKER: usize = 4;
 const START_LIMIT: Duration = Duration::from_millis(4_900);
 
@@ -46,7 +46,7 @@
 
 fn decisions(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("place");
-    for size in SIZES {
+    for size in WORKER_COUNTS {
         let workers: Vec<Worker> = (0..size).map(worker).collect();
         let request = Request { resources: resources(4), failed_on: &[] };
         group.bench_with_input(BenchmarkId::from_parameter(size), &workers, |bench, workers| {
@@ -55,7 +55,7 @@
     }
     group.finish();
     let mut group = criterion.benchmark_group("make_room");
-    for size in SIZES {
+    for size in WORKER_COUNTS {
         let workers: Vec<Worker> = (0..size).map(worker).collect();
         let running = running(size);
         let needed = resources(16);
--- a/crates/tasks/examples/rate.rs
+++ b/crates/tasks/examples/rate.rs
@@ -1,6 +1,7 @@
-//! Prints what stored tasks cost the key-value service, one JSON object a line.
+//! Measures the load that stored tasks put on the key-value service, by rate of tasks.
 //!
-//! Each task is submitted, claimed and finished. Time is simulated; calls and bytes are counted.
+//! Each task is submitted, claimed and finished. Time is simulated. Prints one JSON object per rate
+//! with the number of calls and of stored bytes.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/crates/tasks/src/estimate.rs
+++ b/crates/tasks/src/estimate.rs
@@ -1,7 +1,8 @@
-//! Sizes and run times of tasks, learned per team and kind from usage reports.
+//! Resource and run time estimates of tasks, per team and kind, from usage reports.
 //!
-//! Declared values are far off. The estimate of a kind is a quantile of the usage that its last
-//! tasks reported, with a floor. Until enough reports are known it is the declaration.
+//! Values declared by callers are inaccurate. The estimate of a kind is a quantile of the usage
+//! that its last tasks reported, with a lower bound. The declared values are used until enough reports
+//! have arrived.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -10,15 +11,15 @@
 
 use crate::record::{KindId, Resources};
 
-/// Reports kept for each kind.
+/// Number of last reports kept for each kind.
 const REPORTS_KEPT: usize = 64;
-/// Reports needed before the declaration is set aside.
+/// Minimum number of reports that replace the declared values.
 const REPORTS_MIN: usize = 4;
-/// Share of past tasks whose usage an estimate covers.
+/// Share of reports whose usage does not exceed the estimate.
 const QUANTILE: f64 = 0.95;
-/// Kinds kept; the one used longest ago is dropped first.
+/// Maximum number of kinds kept; the least recently reported one is evicted first.
 const KINDS_MAX: usize = 4_096;
-/// Smallest estimate.
+/// Lower bound of estimated resources.
 const FLOOR: Resources =
     Resources { processors_milli: 100, memory_bytes: 64 << 20, accelerators: 0 };
 
@@ -31,7 +32,7 @@
     pub run_time: Duration,
 }
 
-/// What a task is expected to use.
+/// Expected usage of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Estimate {
     /// Resources to reserve.
@@ -56,7 +57,7 @@
 }
 
 impl Estimator {
-    /// Adds the usage that a finished task reported.
+    /// Records the usage that a finished task reported.
     pub fn record(&mut self, team: &TeamId, kind: &KindId, usage: Usage) {
         self.report_count += 1;
         self.evict_oldest(team, kind);
@@ -68,9 +69,9 @@
         history.reports.push_back(usage);
     }
 
-    /// Estimates a task of a kind whose caller declared `declared`.
+    /// Estimates the usage of a task whose caller declared `declared`.
     ///
-    /// Accelerators are always taken from the declaration, as a task cannot use more of them.
+    /// The number of accelerators is always the declared one, since a task cannot use more.
     pub fn estimate(&self, team: &TeamId, kind: &KindId, declared: Estimate) -> Estimate {
         let history = self.kinds.get(&(team.clone(), kind.clone()));
         let Some(history) = history.filter(|history| history.reports.len() >= REPORTS_MIN) else {
@@ -86,7 +87,7 @@
         Estimate { resources: at_least_floor(resources), run_time }
     }
 
-    /// Number of kinds with reports.
+    /// Returns the number of kinds with reports.
     pub fn kinds(&self) -> usize {
         self.kinds.len()
     }
@@ -103,6 +104,7 @@
     }
 }
 
+/// Returns the [`QUANTILE`] of one field of the reports.
 fn quantile<T: Ord + Copy + Default>(reports: &VecDeque<Usage>, field: impl Fn(&Usage) -> T) -> T {
     let mut values: Vec<T> = reports.iter().map(field).collect();
     values.sort_unstable();
--- a/crates/tasks/src/estimate/tests.rs
+++ b/crates/tasks/src/estimate/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_new_kind_uses_the_declaration() {
+fn a_kind_with_too_few_reports_uses_the_declared_values() {
     let mut estimator = Estimator::default();
     let (team, kind) = ("muscat".into(), "sweep".into());
     for _ in 1..REPORTS_MIN {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_known_kind_uses_its_reports() {
+fn a_kind_with_enough_reports_uses_them() {
     let mut estimator = Estimator::default();
     let (team, kind) = ("muscat".into(), "sweep".into());
     for _ in 0..REPORTS_MIN {
--- a/crates/tasks/src/lib.rs
+++ b/crates/tasks/src/lib.rs
@@ -1,16 +1,16 @@
 //! Durable tasks placed on workers.
 //!
 //! - [`record`]: a task and its states.
-//! - [`shard`]: the transitions of a task, applied to one document of tasks.
-//! - [`transition`]: the same transitions as messages that may be applied again.
+//! - [`shard`]: state transitions of tasks within one stored document.
+//! - [`transition`]: the same transitions as idempotent messages.
 //! - [`task_store`]: the stored tasks, changed in batches by compare-and-swap.
-//! - [`worker`]: control of workers.
-//! - [`scheduler`]: starts waiting tasks at workers and follows the running ones.
+//! - [`worker`]: client interface of the workers.
+//! - [`scheduler`]: starts waiting tasks on workers and tracks the running ones.
 //! - [`wire`]: JSON form of a shard as stored.
-//! - [`estimate`]: sizes and run times learned from reports.
+//! - [`estimate`]: resource and run time estimates from usage reports.
 //! - [`placement`]: choice of a worker for a task.
-//! - [`preempt`]: choice of running tasks to checkpoint for urgent work.
-//! - [`outlier`]: separation of bad tasks from bad workers.
+//! - [`preempt`]: choice of running tasks to checkpoint for an urgent task.
+//! - [`outlier`]: detection of workers that fail more runs than their peers.
 
 pub mod estimate;
 pub mod outlier;
--- a/crates/tasks/src/outlier.rs
+++ b/crates/tasks/src/outlier.rs
@@ -1,8 +1,8 @@
-//! Separation of bad tasks from bad workers.
+//! Detection of workers that fail more runs than their peers.
 //!
-//! A failure is evidence against both the task and the worker. A worker is suspected when tasks
-//! that fail there succeed elsewhere more often than chance allows; a task is suspected when it
-//! fails on workers that run other tasks well.
+//! A failed run can be the fault of the task or of the worker. A worker is an outlier if most of
+//! its last runs failed, with tasks of several kinds, while tasks of the same kinds succeed far
+//! more often on other workers. A task that fails on every worker makes no worker an outlier.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,18 +10,18 @@
 
 use crate::record::{KindId, WorkerId};
 
-/// Runs kept for each worker.
+/// Number of last runs kept for each worker.
 const RUNS_KEPT: usize = 16;
-/// Distinct kinds that must fail on a worker before it is suspected.
+/// Minimum number of distinct kinds with failures on an outlier.
 const FAILED_KINDS_MIN: usize = 3;
-/// Runs that must be known of a worker before it is suspected.
+/// Minimum number of known runs of an outlier.
 const RUNS_MIN: usize = 5;
-/// Share of failures at a worker from which it is suspected.
+/// Minimum share of failed runs of an outlier.
 const FAILURE_SHARE_MIN: f64 = 0.8;
-/// How many times worse than its peers a suspected worker has to be.
+/// Minimum ratio of the failure share of an outlier to that of its peers.
 const PEER_FACTOR_MIN: f64 = 4.0;
 
-/// One finished run as the comparison sees it.
+/// One finished run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
     /// Team of the task.
@@ -32,14 +32,14 @@
     pub succeeded: bool,
 }
 
-/// The last runs of each worker.
+/// Detects outliers from the last runs of each worker.
 #[derive(Debug, Default)]
 pub struct OutlierDetector {
     workers: HashMap<WorkerId, VecDeque<Run>>,
 }
 
 impl OutlierDetector {
-    /// Adds a finished run.
+    /// Records a finished run.
     pub fn record(&mut self, worker: &WorkerId, run: Run) {
         let runs = self.workers.entry(worker.clone()).or_default();
         if runs.len() == RUNS_KEPT {
@@ -48,23 +48,25 @@
         runs.push_back(run);
     }
 
-    /// Forgets a worker that was repaired or replaced.
+    /// Discards the runs of a worker that was repaired or replaced.
     pub fn forget(&mut self, worker: &WorkerId) {
         self.workers.remove(worker);
     }
 
-    /// Whether a worker fails what its peers run well.
+    /// Returns whether a worker fails runs of kinds that succeed on its peers.
     pub fn is_outlier(&self, worker: &WorkerId) -> bool {
         let Some(runs) = self.workers.get(worker) else { return false };
         if runs.len() < RUNS_MIN || failed_kinds(runs) < FAILED_KINDS_MIN {
             return false;
         }
-        let own = failure_share(runs.iter());
-        let peers = self.peer_failure_share(worker, runs);
-        own >= FAILURE_SHARE_MIN && peers.is_some_and(|peers| own >= PEER_FACTOR_MIN * peers)
+        let own_share = failure_share(runs.iter());
+        let peer_share = self.peer_failure_share(worker, runs);
+        own_share >= FAILURE_SHARE_MIN
+            && peer_share.is_some_and(|peers| own_share >= PEER_FACTOR_MIN * peers)
     }
 
-    /// Failure share of the same kinds at all other workers; `None` without such runs.
+    /// Returns the failure share of the same kinds on all other workers, or `None` without such
+    /// runs.
     fn peer_failure_share(&self, worker: &WorkerId, runs: &VecDeque<Run>) -> Option<f64> {
         let same_kind =
             |run: &&Run| runs.iter().any(|own| own.team == run.team && own.kind == run.kind);
--- a/crates/tasks/src/outlier/tests.rs
+++ b/crates/tasks/src/outlier/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_worker_that_fails_what_its_peers_run_well_is_suspected() {
+fn a_worker_that_fails_kinds_that_succeed_on_its_peers_is_an_outlier() {
     let mut detector = OutlierDetector::default();
     for round in 0..8 {
         detector.record(&"bad".into(), run(round % 4, false));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_task_that_fails_everywhere_does_not_blame_workers() {
+fn a_task_that_fails_everywhere_makes_no_worker_an_outlier() {
     let mut detector = OutlierDetector::default();
     for round in 0..8 {
         for worker in ["w1", "w2", "w3"] {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn one_bad_kind_does_not_blame_the_worker_that_ran_it_most() {
+fn one_failing_kind_does_not_make_its_worker_an_outlier() {
     let mut detector = OutlierDetector::default();
     for _ in 0..8 {
         detector.record(&"w1".into(), run(0, false));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_repaired_worker_starts_anew() {
+fn a_repaired_worker_has_no_history() {
     let mut detector = OutlierDetector::default();
     for round in 0..8 {
         detector.record(&"bad".into(), run(round % 4, false));
--- a/crates/tasks/src/placement.rs
+++ b/crates/tasks/src/placement.rs
@@ -6,7 +6,7 @@
 
 use crate::record::{Resources, WorkerId};
 
-/// A worker as the placement sees it.
+/// Resources and state of a worker, as used for placement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Worker {
     /// Identifier of the worker.
@@ -15,24 +15,24 @@
     pub zone: ZoneId,
     /// Declared rack of the worker.
     pub rack: RackId,
-    /// All resources of the worker.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Resources in use by its last report.
+    /// Resources in use according to its last report.
     pub reported: Resources,
-    /// Estimates of tasks placed since its last report.
+    /// Estimated resources of tasks that its last report does not include yet.
     pub reserved: Resources,
-    /// Whether the worker takes new tasks.
+    /// Whether the worker accepts new tasks.
     pub accepts: bool,
 }
 
 impl Worker {
-    /// Resources that are neither in use nor reserved.
+    /// Returns the resources that are neither in use nor reserved.
     pub fn free(&self) -> Resources {
         self.capacity.minus(&self.reported).minus(&self.reserved)
     }
 }
 
-/// What a placement has to respect.
+/// Requirements of a placement.
 #[derive(Debug, Clone)]
 pub struct Request<'a> {
     /// Resources to reserve.
@@ -41,20 +41,22 @@
     pub failed_on: &'a [WorkerId],
 }
 
-/// Answer to a placement.
+/// Result of a placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
     /// Place the task on the worker at this index.
     On(usize),
-    /// No worker has room now.
+    /// No worker has enough free resources now.
     Wait,
-    /// No worker that could be had is large enough.
+    /// The task exceeds the total resources of every worker.
     Unschedulable,
 }
 
-/// Chooses the worker on which the task leaves least room.
+/// Chooses the worker that has the least free resources left after the placement (best fit).
 ///
-/// Workers in racks where the task failed are taken only when no other one has room.
+/// Workers in racks where the task has failed are chosen only if no other worker has enough free
+/// resources. Workers on which it has failed, and zones for which `zone_open` returns false, are
+/// excluded.
 pub fn place(
     request: &Request<'_>,
     workers: &[Worker],
@@ -72,8 +74,8 @@
     });
     let best = candidates.min_by_key(|(index, worker)| {
         let rack_failed = failed_racks.contains_key(&(&worker.zone, &worker.rack));
-        let left = worker.free().minus(&request.resources);
-        (rack_failed, left.accelerators, free_per_mille(&left, &worker.capacity), *index)
+        let remaining = worker.free().minus(&request.resources);
+        (rack_failed, remaining.accelerators, free_per_mille(&remaining, &worker.capacity), *index)
     });
     best.map_or(Placement::Wait, |(index, _)| Placement::On(index))
 }
@@ -85,11 +87,12 @@
     failed.map(|worker| ((&worker.zone, &worker.rack), ())).collect()
 }
 
-/// Parts per thousand of a worker left free, processors and memory added.
-fn free_per_mille(left: &Resources, capacity: &Resources) -> u64 {
+/// Returns the free processors and the free memory, each in parts per thousand of the capacity,
+/// added up.
+fn free_per_mille(free: &Resources, capacity: &Resources) -> u64 {
     let processors =
-        u64::from(left.processors_milli) * 1_000 / u64::from(capacity.processors_milli.max(1));
-    let memory = left.memory_bytes.saturating_mul(1_000) / capacity.memory_bytes.max(1);
+        u64::from(free.processors_milli) * 1_000 / u64::from(capacity.processors_milli.max(1));
+    let memory = free.memory_bytes.saturating_mul(1_000) / capacity.memory_bytes.max(1);
     processors + memory
 }
 
--- a/crates/tasks/src/placement/tests.rs
+++ b/crates/tasks/src/placement/tests.rs
@@ -28,14 +28,14 @@
     }
 }
 
-/// Every worker that may take the task, tried one by one.
-fn naive_choices(request: &Request<'_>, workers: &[Worker]) -> Vec<usize> {
+/// Returns every worker that may run the task, by checking each.
+fn choices_by_brute_force(request: &Request<'_>, workers: &[Worker]) -> Vec<usize> {
     let mut choices = Vec::new();
     for (index, worker) in workers.iter().enumerate() {
         let open = &*worker.zone == "a";
         let free = worker.capacity.minus(&worker.reported).minus(&worker.reserved);
-        let tried = request.failed_on.contains(&worker.id);
-        if worker.accepts && open && !tried && request.resources.fits(&free) {
+        let failed_here = request.failed_on.contains(&worker.id);
+        if worker.accepts && open && !failed_here && request.resources.fits(&free) {
             choices.push(index);
         }
     }
@@ -59,7 +59,7 @@
         let failed_on: Vec<WorkerId> =
             failed.iter().map(|index| format!("w{index}").into()).collect();
         let request = Request { resources: resources(need), failed_on: &failed_on };
-        let choices = naive_choices(&request, &workers);
+        let choices = choices_by_brute_force(&request, &workers);
         let possible = workers.iter().any(|worker| request.resources.fits(&worker.capacity));
         match place(&request, &workers, |zone| &**zone == "a") {
             Placement::On(index) => prop_assert!(choices.contains(&index)),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_fullest_worker_with_room_is_chosen() {
+fn the_fullest_worker_with_enough_free_resources_is_chosen() {
     let workers =
         [worker(0, 0, 16, 0, true), worker(1, 0, 16, 10, true), worker(2, 0, 16, 14, true)];
     let request = Request { resources: resources(3), failed_on: &[] };
--- a/crates/tasks/src/preempt.rs
+++ b/crates/tasks/src/preempt.rs
@@ -1,24 +1,24 @@
-//! Choice of running tasks to checkpoint, so that an urgent task can start.
+//! Preemption: choice of running tasks to checkpoint so that an urgent task can start.
 
 use std::time::Duration;
 
 use crate::placement::Worker;
 use crate::record::{Resources, TaskId};
 
-/// A running task that could make room.
+/// A running task that may be preempted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningTask {
     /// Identifier of the task.
     pub task: TaskId,
     /// Index of its worker.
     pub worker: usize,
-    /// Resources that it would free.
+    /// Resources that its checkpoint releases.
     pub resources: Resources,
-    /// Whether the worker can checkpoint the task, so that no work is lost.
+    /// Whether the worker can checkpoint the task, which preserves its progress.
     pub checkpointable: bool,
     /// Whether the task is itself urgent.
     pub urgent: bool,
-    /// Time that a checkpoint takes.
+    /// Duration of a checkpoint.
     pub checkpoint_time: Duration,
 }
 
@@ -29,14 +29,15 @@
     pub worker: usize,
     /// Indexes of the running tasks to checkpoint.
     pub checkpoints: Vec<usize>,
-    /// Time until the room is free, as the checkpoints run side by side.
+    /// Time until the resources are free; the checkpoints run in parallel.
     pub wait: Duration,
 }
 
-/// Chooses the worker with the cheapest set of checkpoints that makes room within `limit`.
+/// Chooses the worker and the set of checkpoints that release `needed` within `limit` at the lowest
+/// cost.
 ///
-/// Cost is the number of checkpoints, then the wait. Only tasks that are not urgent and can be
-/// checkpointed are taken. Returns `None` when no worker can make room in time.
+/// The cost is the number of checkpoints, then the wait. Only tasks that are not urgent and can be
+/// checkpointed are preempted. Returns `None` if no worker can release enough resources in time.
 pub fn plan_preemption(
     needed: &Resources,
     workers: &[Worker],
@@ -89,14 +90,15 @@
     Some(PreemptionPlan { worker, checkpoints, wait })
 }
 
-/// How much of `missing` an amount covers, in parts per thousand of each kind, added.
+/// Returns how much of `missing` an amount covers, in parts per thousand of each resource, added
+/// up.
 fn coverage_per_mille(amount: &Resources, missing: &Resources) -> u64 {
-    let part = |amount: u64, missing: u64| {
+    let per_mille = |amount: u64, missing: u64| {
         amount.min(missing).saturating_mul(1_000).checked_div(missing).unwrap_or(0)
     };
-    part(amount.processors_milli.into(), missing.processors_milli.into())
-        + part(amount.memory_bytes, missing.memory_bytes)
-        + part(amount.accelerators.into(), missing.accelerators.into())
+    per_mille(amount.processors_milli.into(), missing.processors_milli.into())
+        + per_mille(amount.memory_bytes, missing.memory_bytes)
+        + per_mille(amount.accelerators.into(), missing.accelerators.into())
 }
 
 #[cfg(test)]
--- a/crates/tasks/src/preempt/tests.rs
+++ b/crates/tasks/src/preempt/tests.rs
@@ -45,8 +45,13 @@
     }
 }
 
-/// Fewest checkpoints on one worker that make room, by trying every subset.
-fn naive_fewest(needed: &Resources, workers: &[Worker], running: &[RunningTask]) -> Option<usize> {
+/// Returns the smallest number of checkpoints on one worker that release `needed`, by trying every
+/// subset.
+fn fewest_by_brute_force(
+    needed: &Resources,
+    workers: &[Worker],
+    running: &[RunningTask],
+) -> Option<usize> {
     let mut fewest = None;
     for (index, worker) in workers.iter().enumerate() {
         let usable: Vec<&RunningTask> = running
@@ -70,7 +75,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn room_is_made_with_as_few_checkpoints_as_trying_every_subset(
+    fn a_plan_needs_as_few_checkpoints_as_the_best_subset(
         tasks in prop::collection::vec((0_usize..3, 1_u32..5, any::<bool>(), any::<bool>()), 0..12),
         need in 1_u32..18,
     ) {
@@ -83,7 +88,7 @@
         let needed = resources(need);
         let plan = plan_preemption(&needed, &workers, &running, LIMIT);
         let count = plan.as_ref().map(|plan| plan.checkpoints.len());
-        prop_assert_eq!(count, naive_fewest(&needed, &workers, &running));
+        prop_assert_eq!(count, fewest_by_brute_force(&needed, &workers, &running));
         for index in plan.iter().flat_map(|plan| &plan.checkpoints) {
             prop_assert!(running[*index].checkpointable && !running[*index].urgent);
         }
--- a/crates/tasks/src/record.rs
+++ b/crates/tasks/src/record.rs
@@ -5,21 +5,21 @@
 
 use cassiafold_config::TeamId;
 
-/// Identifies a task; chosen by the caller, unique within its team.
+/// Identifier of a task; chosen by the caller, unique within its team.
 pub type TaskId = Arc<str>;
-/// Identifies a kind of task; tasks of one kind need similar resources.
+/// Identifier of a kind of task; tasks of one kind need similar resources.
 pub type KindId = Arc<str>;
-/// Identifies one claim of a task.
+/// Identifier of one claim of a task.
 pub type ClaimId = Arc<str>;
-/// Identifies one submission by a caller.
+/// Identifier of one submission by a caller.
 pub type SubmissionId = Arc<str>;
-/// Identifies a worker.
+/// Identifier of a worker.
 pub type WorkerId = Arc<str>;
 
 /// An amount of a worker's resources.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Resources {
-    /// Processor time in thousandths of a core.
+    /// Processor share in thousandths of a core.
     pub processors_milli: u32,
     /// Memory in bytes.
     pub memory_bytes: u64,
@@ -28,14 +28,14 @@
 }
 
 impl Resources {
-    /// Whether `self` fits into `free`.
+    /// Returns whether `self` fits into `free`.
     pub fn fits(&self, free: &Self) -> bool {
         self.processors_milli <= free.processors_milli
             && self.memory_bytes <= free.memory_bytes
             && self.accelerators <= free.accelerators
     }
 
-    /// Sum of two amounts.
+    /// Returns the sum of two amounts, saturating at the numeric bounds.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             processors_milli: self.processors_milli.saturating_add(other.processors_milli),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Difference of two amounts, not below zero.
+    /// Returns the difference of two amounts, saturating at zero.
     pub fn minus(&self, other: &Self) -> Self {
         Self {
             processors_milli: self.processors_milli.saturating_sub(other.processors_milli),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A task as accepted from a caller.
+/// A task accepted from a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Task {
     /// Identifier chosen by the caller.
@@ -63,9 +63,9 @@
     pub team: TeamId,
     /// Kind of the task.
     pub kind: KindId,
-    /// Whether the task may be run more than once.
+    /// Whether the task may run more than once.
     pub idempotent: bool,
-    /// Whether the task has to start at once.
+    /// Whether the task must start immediately.
     pub urgent: bool,
     /// Resources declared by the caller.
     pub declared: Resources,
@@ -73,11 +73,11 @@
     pub declared_run_time: Duration,
     /// Whether the caller has asked to cancel the task while it runs.
     pub cancel_requested: bool,
-    /// Identifies the submission that was accepted, so that a lost answer can be settled.
+    /// Submission that created the task; a retry after a lost response is recognized by it.
     pub submission: SubmissionId,
-    /// The last claim that ended, so that a repeated report can be recognized.
+    /// The last claim that ended; a repeated report is recognized by it.
     pub last_ended_claim: Option<ClaimId>,
-    /// Workers on which the task failed or was lost, without repeats.
+    /// Distinct workers on which the task failed or was lost.
     pub failed_on: Vec<WorkerId>,
     /// State of the task.
     pub state: TaskState,
@@ -86,14 +86,14 @@
 /// State of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TaskState {
-    /// Waits for a worker.
+    /// The task waits for a worker.
     Waiting {
         /// Earliest time of the next claim.
         not_before: SystemTime,
     },
-    /// Claimed for a worker, which may run it.
+    /// The task is claimed for a worker, which may run it.
     Claimed(Claim),
-    /// Ended.
+    /// The task has ended.
     Finished {
         /// How the task ended.
         outcome: Outcome,
@@ -102,34 +102,34 @@
     },
 }
 
-/// The right of one worker to run a task.
+/// Exclusive right of one worker to run a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
     /// Identifier of the claim; a worker starts each claim at most once.
     pub id: ClaimId,
     /// Worker that may run the task.
     pub worker: WorkerId,
-    /// Time after which the worker refuses to start the claim.
+    /// Start deadline, after which the worker refuses to start the claim.
     pub start_before: SystemTime,
 }
 
 /// How a task ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// The task ran and gave this answer.
+    /// The task succeeded.
     Succeeded {
-        /// Answer of the task.
+        /// Output of the task.
         output: Arc<str>,
     },
-    /// The task ran and failed.
+    /// The task failed.
     Failed {
         /// Why the task failed.
         reason: Arc<str>,
     },
-    /// The task may have run; it is never run again.
+    /// The task may have run and is not run again.
     Unknown,
     /// The caller cancelled the task.
     Cancelled,
-    /// No worker that could be had fits the task.
+    /// The task is too large for every worker.
     Unschedulable,
 }
--- a/crates/tasks/src/scheduler.rs
+++ b/crates/tasks/src/scheduler.rs
@@ -1,8 +1,8 @@
-//! Starts waiting tasks at workers and follows the running ones.
+//! Starts waiting tasks on workers and tracks the running ones.
 //!
-//! A round reads the stored tasks, settles what each claim has become, and places what waits.
-//! Every start is preceded by a stored claim, and a worker starts a claim at most once, so two
-//! runners may work on one shard at the same time without running a task twice.
+//! A round reads the stored tasks, updates the claimed ones from the state of their runs, and
+//! places the waiting ones. Every start is preceded by a stored claim, and a worker starts a claim at most
+//! once, so two schedulers can process one shard at the same time without running a task twice.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -20,37 +20,37 @@
 use crate::transition::Transition;
 use crate::worker::{RunState, StartRequest, WorkerClient, WorkerError, WorkerReport};
 
-/// How long a claim may wait for its start.
+/// Time from the creation of a claim to its start deadline.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest difference between the clocks of a runner and a worker.
+/// Maximum difference between the clocks of a scheduler and a worker.
 const CLOCK_SKEW_MAX: Duration = Duration::from_secs(2);
 
-/// Permission to start tasks, by team and by availability zone.
+/// Admission control of task starts, by team and by availability zone.
 pub trait Admission: Send + Sync {
-    /// Whether one more task of the team may start.
+    /// Returns whether one more task of the team may start while `running` are running.
     fn team_may_start(&self, team: &TeamId, running: usize) -> bool;
 
-    /// Whether tasks may start in the zone.
+    /// Returns whether tasks may start in the zone.
     fn zone_open(&self, zone: &ZoneId) -> bool;
 
-    /// Weight of the team.
+    /// Returns the fair-share weight of the team.
     fn share(&self, team: &TeamId) -> u32;
 }
 
-/// Starts and follows tasks.
+/// Starts and tracks tasks.
 pub struct Scheduler<S, W, C> {
     task_store: TaskStore<S>,
     workers: W,
     clock: C,
     estimator: Estimator,
-    /// Since when the worker of a claim has been out of reach.
+    /// Time since which the worker of a claim has been unreachable.
     unreachable_since: HashMap<ClaimId, Instant>,
-    /// Starts that the reports of their workers do not contain yet.
+    /// Reservations for claims that the reports of their workers do not include yet.
     reserved: HashMap<ClaimId, (WorkerId, Estimate)>,
 }
 
 impl<S: Store, W: WorkerClient, C: Clock> Scheduler<S, W, C> {
-    /// A runner without any history.
+    /// Creates a scheduler without usage history.
     pub fn new(task_store: TaskStore<S>, workers: W, clock: C) -> Self {
         let (unreachable_since, reserved) = Default::default();
         Self {
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    /// Settles what a claim has become.
+    /// Queries the run of a claim and updates the task accordingly.
     async fn check_claim(&mut self, task: &Task, claim: &Claim) {
         let state = self.workers.state(&claim.worker, &claim.id).await;
         if state.is_ok() {
@@ -110,6 +110,7 @@
         }
     }
 
+    /// Retries a failed idempotent task, and ends any other one.
     async fn handle_failure(&mut self, task: &Task, claim: &Claim, reason: std::sync::Arc<str>) {
         if task.cancel_requested {
             self.finish(task, claim, Outcome::Cancelled).await;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A claim that its worker never started is started, or given up once it can no longer start.
+    /// Starts a claim that its worker has not started, or marks it lost after its start deadline.
     async fn handle_not_started(&mut self, task: &Task, claim: &Claim) {
         let now = self.clock.now();
         if now >= claim.start_before + CLOCK_SKEW_MAX {
@@ -130,7 +131,8 @@
         }
     }
 
-    /// A claim counts as lost once its worker has stopped its tasks by itself.
+    /// Marks a claim lost once it can no longer start and its worker, out of contact for longer
+    /// than its lease, has stopped all its tasks.
     async fn handle_unreachable(&mut self, task: &Task, claim: &Claim) {
         let now = Instant::now();
         let since = *self.unreachable_since.entry(claim.id.clone()).or_insert(now);
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Places waiting tasks, urgent ones first, then by running tasks per share of the team.
+    /// Places waiting tasks, urgent ones first, then by the number of running tasks of the team
+    /// relative to its share.
     async fn place_waiting(
         &mut self,
         mut waiting: Vec<Task>,
@@ -167,7 +170,7 @@
         let Ok(reports) = self.workers.list().await else { return };
         self.drop_counted_reservations(&reports);
         let mut workers: Vec<Worker> =
-            reports.into_iter().map(|report| self.worker(report)).collect();
+            reports.into_iter().map(|report| self.placement_worker(report)).collect();
         while let Some(index) = next_task(&waiting, &running, admission) {
             let task = waiting.swap_remove(index);
             if self.place_task(&task, &mut workers, admission).await {
@@ -206,7 +209,8 @@
             return false;
         }
         self.reserved.insert(claim.id.clone(), (claim.worker.clone(), estimate));
-        // A refusal may follow a start by another runner, so the next round settles the claim.
+        // Another scheduler may have started the claim, so a refusal is no failure; the next round
+        // reads the state of the claim.
         let _ = self.start(task, &claim).await;
         true
     }
@@ -223,14 +227,14 @@
         self.workers.start(start).await
     }
 
-    /// Drops reservations that the reports contain.
+    /// Releases reservations of claims that the reports include.
     fn drop_counted_reservations(&mut self, reports: &[WorkerReport]) {
         for claim in reports.iter().flat_map(|report| &report.counted_claims) {
             self.reserved.remove(claim);
         }
     }
 
-    fn worker(&self, report: WorkerReport) -> Worker {
+    fn placement_worker(&self, report: WorkerReport) -> Worker {
         let reserved = self.reserved.values().filter(|(worker, _)| *worker == report.id);
         Worker {
             reserved: reserved
@@ -249,7 +253,8 @@
     (task.team.clone(), task.id.clone())
 }
 
-/// Index of the next task to place: urgent first, then the team that runs least per share.
+/// Returns the index of the next task to place: urgent tasks first, then the team with the fewest
+/// running tasks relative to its share.
 fn next_task(
     waiting: &[Task],
     running: &HashMap<TeamId, usize>,
--- a/crates/tasks/src/scheduler/tests.rs
+++ b/crates/tasks/src/scheduler/tests.rs
@@ -17,7 +17,7 @@
 const RUN_TIME: Duration = Duration::from_secs(3);
 const RUN_TIME_LONG: Duration = Duration::from_secs(40);
 
-/// A clock that follows tokio's paused time.
+/// Clock driven by the paused time of tokio.
 #[derive(Clone, Copy)]
 struct TestClock(Instant);
 
@@ -27,9 +27,9 @@
     }
 }
 
-struct Open;
+struct TestAdmission;
 
-impl Admission for Open {
+impl Admission for TestAdmission {
     fn team_may_start(&self, _team: &TeamId, running: usize) -> bool {
         running < 4
     }
@@ -43,13 +43,13 @@
     }
 }
 
-/// Point at which the process that calls the workers is lost.
+/// Point at which the process that calls the workers crashes or is paused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Crash {
     Never,
     BeforeCall(usize),
     AfterCall(usize),
-    /// The process is paused for a time before the call.
+    /// The process is paused before the call for the given time.
     PauseBeforeCall(usize, Duration),
 }
 
@@ -57,11 +57,11 @@
 struct Fleet {
     started: BTreeMap<ClaimId, (StartRequest, Instant)>,
     runs: BTreeMap<String, u32>,
-    silent: bool,
+    unreachable: bool,
     run_time: Duration,
 }
 
-/// Stand-in workers that count runs. Each clone may crash at a call of its own.
+/// Fake workers that count the runs of each task. Each clone can crash at a different call.
 #[derive(Clone)]
 struct TestWorkers {
     fleet: Arc<Mutex<Fleet>>,
@@ -101,7 +101,7 @@
         }
         let result = {
             let mut fleet = self.fleet.lock().unwrap();
-            if fleet.silent { Err(WorkerError::Unreachable) } else { effect(&mut fleet) }
+            if fleet.unreachable { Err(WorkerError::Unreachable) } else { effect(&mut fleet) }
         };
         if self.crash == Crash::AfterCall(number) {
             std::future::pending::<()>().await;
@@ -214,7 +214,7 @@
         let shard = shard_index(&key(id));
         let rounds = async {
             loop {
-                let _ = scheduler.run_round(std::iter::once(shard), &Open).await;
+                let _ = scheduler.run_round(std::iter::once(shard), &TestAdmission).await;
                 tokio::time::sleep(Duration::from_secs(1)).await;
             }
         };
@@ -230,11 +230,11 @@
     matches!(state, TaskState::Finished { outcome: Outcome::Succeeded { .. }, .. })
 }
 
-/// Calls to workers that one task needs from its placement to its end, and some more.
+/// Upper bound of the calls to workers for one task, from its placement to its end.
 const CALLS: usize = 8;
 
 #[tokio::test(start_paused = true)]
-async fn a_crash_at_any_call_to_a_worker_neither_loses_nor_doubles_a_task() {
+async fn a_crash_at_any_call_to_a_worker_leaves_exactly_one_run() {
     for idempotent in [false, true] {
         for number in 1..=CALLS {
             for crash in [Crash::BeforeCall(number), Crash::AfterCall(number)] {
@@ -251,7 +251,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_runners_at_once_run_each_task_once() {
+async fn two_concurrent_schedulers_run_each_task_once() {
     let fixture = Fixture::new();
     fixture.store.faults().set_delay(Duration::from_millis(7));
     fixture.task_store().submit(task("t", false)).await.unwrap();
@@ -262,7 +262,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_runner_paused_at_any_call_does_not_double_a_task() {
+async fn a_scheduler_paused_at_any_call_does_not_run_a_task_twice() {
     let short = super::START_TIMEOUT - Duration::from_secs(2);
     let long = super::START_TIMEOUT + super::CLOCK_SKEW_MAX + Duration::from_secs(1);
     for (number, pause) in (1..=CALLS).flat_map(|number| [(number, short), (number, long)]) {
@@ -295,23 +295,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_task_that_is_not_idempotent_ends_unknown_when_its_worker_stays_silent() {
+async fn a_task_that_is_not_idempotent_ends_unknown_when_its_worker_stays_unreachable() {
     let fixture = Fixture::new();
     fixture.task_store().submit(task("t", false)).await.unwrap();
     fixture.run("t", Crash::Never, Duration::from_secs(1)).await;
-    fixture.workers.fleet.lock().unwrap().silent = true;
+    fixture.workers.fleet.lock().unwrap().unreachable = true;
     fixture.run("t", Crash::Never, LEASE).await;
     assert!(matches!(fixture.state("t").await, TaskState::Claimed(_)));
     fixture.run("t", Crash::Never, 3 * LEASE).await;
     let state = fixture.state("t").await;
     assert!(matches!(state, TaskState::Finished { outcome: Outcome::Unknown, .. }), "{state:?}");
-    fixture.workers.fleet.lock().unwrap().silent = false;
+    fixture.workers.fleet.lock().unwrap().unreachable = false;
     fixture.run("t", Crash::Never, 3 * LEASE).await;
     assert_eq!(fixture.workers.runs("t"), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_task_starts_in_a_zone_taken_out() {
+async fn no_task_starts_in_a_closed_zone() {
     let mut fixture = Fixture::new();
     fixture.workers.zone = "out".into();
     fixture.task_store().submit(task("t", true)).await.unwrap();
@@ -321,7 +321,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_task_that_fits_no_worker_ends_as_hopeless() {
+async fn a_task_that_exceeds_every_worker_ends_as_unschedulable() {
     let fixture = Fixture::new();
     let mut large = task("t", true);
     large.declared.accelerators = 1;
--- a/crates/tasks/src/shard.rs
+++ b/crates/tasks/src/shard.rs
@@ -1,7 +1,8 @@
-//! Transitions of tasks within one shard.
+//! State transitions of tasks within one shard.
 //!
-//! A shard is one document in the key-value service. Each transition is a plain function on it;
-//! callers read the document, apply one or many transitions, and write it by compare-and-swap.
+//! A shard is one document in the key-value service. Transitions are functions on it without side
+//! effects; callers read the document, apply one or more transitions, and write it by
+//! compare-and-swap.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -10,41 +11,42 @@
 
 use crate::record::{Claim, ClaimId, Outcome, Task, TaskId, TaskState, WorkerId};
 
-/// Delay before the second try of an idempotent task; it doubles with each further try.
+/// Delay before the first retry of an idempotent task; it doubles with each further worker on which
+/// the task failed.
 pub const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Longest delay between tries.
+/// Maximum delay between retries.
 pub const RETRY_DELAY_MAX: Duration = Duration::from_secs(300);
-/// Number of distinct workers on which a task may fail before it is stopped.
+/// Number of distinct workers on which a task fails before it ends as failed.
 pub const FAILED_WORKERS_MAX: usize = 3;
-/// How long finished tasks are kept.
+/// Time for which finished tasks are kept.
 pub const FINISHED_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// Key of a task within its shard.
 pub type TaskKey = (TeamId, TaskId);
 
-/// One document of tasks.
+/// A document of tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Shard {
     /// Tasks by team and id.
     pub tasks: BTreeMap<TaskKey, Task>,
 }
 
-/// Answer to a submission.
+/// Result of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitResponse {
-    /// The task is new and was accepted.
+    /// The task was added.
     Created,
     /// A task of the same team and id was accepted before.
     AlreadyExists,
 }
 
-/// Why a transition was refused.
+/// Reason why a transition was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
     /// The task does not exist.
     #[error("no such task")]
     TaskNotFound,
-    /// The task is not waiting, or not yet due.
+    /// The task is not waiting, or its retry delay has not passed yet.
     #[error("task cannot be claimed now")]
     NotClaimable,
     /// The task is not claimed under this claim.
@@ -52,7 +54,7 @@
     StaleClaim,
 }
 
-/// What is known of a claim whose worker stopped reporting.
+/// Whether a lost claim may have started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
     /// The worker states that it never started the claim and can no longer start it.
@@ -62,7 +64,7 @@
 }
 
 impl Shard {
-    /// Accepts a task unless its team already has one of the same id.
+    /// Adds a task unless its team already has one with the same id.
     pub fn submit(&mut self, task: Task) -> SubmitResponse {
         let key = (task.team.clone(), task.id.clone());
         if self.tasks.contains_key(&key) {
@@ -104,10 +106,11 @@
         Ok(())
     }
 
-    /// Records that the worker of a claim was lost or that the run broke down.
+    /// Records that the worker of a claim was lost, or that the run of an idempotent task failed.
     ///
-    /// A task that never started waits again. An idempotent task is tried again after a growing
-    /// delay, on few distinct workers. Any other task ends with an unknown outcome.
+    /// A task that never started returns to the waiting state. An idempotent task is retried after
+    /// an exponential delay, until it has failed on [`FAILED_WORKERS_MAX`] distinct workers. Any
+    /// other task ends with an unknown outcome.
     pub fn mark_lost(
         &mut self,
         key: &TaskKey,
@@ -121,7 +124,7 @@
         Ok(())
     }
 
-    /// Cancels a waiting task at once, and asks for the cancellation of a running one.
+    /// Cancels a waiting task, or requests the cancellation of a claimed one.
     pub fn cancel(&mut self, key: &TaskKey, now: SystemTime) -> Result<(), TransitionError> {
         let task = self.task_mut(key)?;
         match task.state {
@@ -134,7 +137,7 @@
         Ok(())
     }
 
-    /// Ends a waiting task that no worker could ever run.
+    /// Ends a waiting task that is too large for every worker.
     pub fn end_unschedulable(
         &mut self,
         key: &TaskKey,
@@ -148,7 +151,7 @@
         Ok(())
     }
 
-    /// Removes tasks that ended longer ago than [`FINISHED_RETENTION`].
+    /// Removes tasks that ended at least [`FINISHED_RETENTION`] ago.
     pub fn remove_expired(&mut self, now: SystemTime) {
         self.tasks.retain(|_, task| match &task.state {
             TaskState::Finished { at, .. } => *at + FINISHED_RETENTION > now,
@@ -156,7 +159,7 @@
         });
     }
 
-    /// Number of claimed tasks of a team, which count against its upper limit.
+    /// Returns the number of claimed tasks of a team, which count towards its quota.
     pub fn running_count(&self, team: &TeamId) -> usize {
         let of_team = self.tasks.values().filter(|task| task.team == *team);
         of_team.filter(|task| matches!(task.state, TaskState::Claimed(_))).count()
--- a/crates/tasks/src/shard/tests.rs
+++ b/crates/tasks/src/shard/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_repeated_submission_finds_the_first() {
+fn a_repeated_submission_leaves_the_first_unchanged() {
     let mut shard = Shard::default();
     assert_eq!(shard.submit(task(false)), SubmitResponse::Created);
     shard.claim(&key(), claim("c1", "w1"), at(0)).unwrap();
@@ -86,7 +86,7 @@
 }
 
 loss_cases! {
-    a_lost_idempotent_task_waits_for_another_try:
+    a_lost_idempotent_task_waits_for_a_retry:
         true, Loss::MayHaveRun => TaskState::Waiting { not_before: at(2) };
     a_lost_task_that_is_not_idempotent_ends_unknown:
         false, Loss::MayHaveRun => finished(Outcome::Unknown);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_task_stops_after_failing_on_several_distinct_workers() {
+fn a_task_ends_after_failing_on_several_distinct_workers() {
     let mut shard = Shard::default();
     shard.submit(task(true));
     let mut now = 0;
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn failures_on_one_worker_alone_do_not_stop_a_task() {
+fn failures_on_a_single_worker_do_not_end_a_task() {
     let mut shard = Shard::default();
     shard.submit(task(true));
     for round in 0..10 {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_cancelled_running_task_is_not_tried_again() {
+fn a_cancelled_running_task_is_not_retried() {
     let mut shard = claimed(true);
     shard.cancel(&key(), at(0)).unwrap();
     assert!(matches!(state(&shard), TaskState::Claimed(_)));
--- a/crates/tasks/src/task_store.rs
+++ b/crates/tasks/src/task_store.rs
@@ -1,7 +1,7 @@
 //! The stored tasks, changed in batches by compare-and-swap.
 //!
-//! Tasks are spread over shards by the hash of team and id. Transitions of one shard that arrive
-//! within a short window share one write, so that many tasks cost few writes.
+//! Tasks are distributed over shards by a hash of team and id. Transitions of one shard that arrive
+//! within [`BATCH_WINDOW`] share one write, which limits the load on the key-value service.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -17,22 +17,22 @@
 
 /// Number of shards.
 pub const SHARD_COUNT: usize = 32;
-/// How long a shard collects transitions before it writes them.
+/// Time for which a shard collects transitions before it writes them.
 const BATCH_WINDOW: Duration = Duration::from_millis(100);
-/// Transitions that may wait for one shard.
-const QUEUE_LENGTH: usize = 4_096;
-/// Wait between two tries of a write.
+/// Maximum number of transitions queued for one shard.
+const QUEUE_LENGTH_MAX: usize = 4_096;
+/// Delay between two attempts of a write.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest stored shard; the key-value service holds values up to 1 MB.
+/// Size limit of a stored shard; the key-value service accepts values of up to 1 MB.
 const SHARD_BYTES_MAX: usize = 1_000_000;
 
-/// Clock that stamps transitions.
+/// Source of the timestamps of transitions.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// The time of day.
+    /// Returns the current wall-clock time.
     fn now(&self) -> SystemTime;
 }
 
-/// The system's clock.
+/// The wall clock of the system.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SystemClock;
 
@@ -45,30 +45,31 @@
 /// Why a transition failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TaskStoreError {
-    /// The transition did not take effect, as the store could not be reached.
+    /// The store could not be reached and the transition had no effect.
     #[error("key-value store unavailable; nothing was changed")]
     Unavailable,
-    /// The transition may have taken effect; applying it again is safe.
+    /// The transition may have taken effect; it can safely be applied again.
     #[error("outcome of the write is unknown")]
     OutcomeUnknown,
-    /// The transition does not suit the state of the task.
+    /// The state of the task does not allow the transition.
     #[error(transparent)]
     Refused(#[from] TransitionError),
-    /// The shard is full.
-    #[error("too many tasks are kept; nothing was changed")]
+    /// The shard has reached [`SHARD_BYTES_MAX`].
+    #[error("too many tasks are stored; nothing was changed")]
     Full,
-    /// The stored shard cannot be read.
+    /// The stored shard cannot be decoded.
     #[error(transparent)]
     Malformed(#[from] WireError),
 }
 
+/// A queued transition whose result goes to `reply`.
 struct PendingTransition {
     key: TaskKey,
     transition: Transition,
     reply: oneshot::Sender<Result<Applied, TaskStoreError>>,
 }
 
-/// The stored tasks. Clones share the batches.
+/// Client of the stored tasks. Clones share the write queues of the shards.
 #[derive(Clone)]
 pub struct TaskStore<S> {
     store: S,
@@ -76,10 +77,10 @@
 }
 
 impl<S: Store> TaskStore<S> {
-    /// Starts the task of each shard. A transition is given up after `timeout`.
+    /// Spawns one writer for each shard. A transition fails if it is not written within `timeout`.
     pub fn start<C: Clock>(store: S, clock: C, timeout: Duration) -> Self {
         let start = |index| {
-            let (sender, receiver) = mpsc::channel(QUEUE_LENGTH);
+            let (sender, receiver) = mpsc::channel(QUEUE_LENGTH_MAX);
             let (store, clock) = (store.clone(), clock.clone());
             let writer = ShardWriter { store, clock, key: shard_key(index), timeout, cached: None };
             tokio::spawn(writer.run(receiver));
@@ -88,7 +89,7 @@
         Self { shards: (0..SHARD_COUNT).map(start).collect(), store }
     }
 
-    /// Accepts a task. [`Applied::AlreadyExists`] says that its id was accepted before.
+    /// Stores a new task. Returns [`Applied::AlreadyExists`] if its id was accepted before.
     pub async fn submit(&self, task: Task) -> Result<Applied, TaskStoreError> {
         let key = (task.team.clone(), task.id.clone());
         self.apply(key, Transition::Submit(task)).await
@@ -100,11 +101,11 @@
         key: TaskKey,
         transition: Transition,
     ) -> Result<Applied, TaskStoreError> {
-        let (reply, result) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         let shard = &self.shards[shard_index(&key)];
         let pending = PendingTransition { key, transition, reply };
         shard.try_send(pending).map_err(|_| TaskStoreError::Unavailable)?;
-        result.await.unwrap_or(Err(TaskStoreError::OutcomeUnknown))
+        receiver.await.unwrap_or(Err(TaskStoreError::OutcomeUnknown))
     }
 
     /// Reads every task of a shard.
@@ -120,12 +121,13 @@
     }
 }
 
+/// Writes the transitions of one shard in batches.
 struct ShardWriter<S, C> {
     store: S,
     clock: C,
     key: Arc<str>,
     timeout: Duration,
-    /// The shard as last written or read; dropped when another writer was first.
+    /// The shard as last read or written; cleared after a conflict with another writer.
     cached: Option<(Shard, Compare)>,
 }
 
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Writes a batch; gives one answer for each transition.
+    /// Writes a batch and returns one result for each transition.
     async fn write(&mut self, batch: &[PendingTransition]) -> ApplyResults {
         let deadline = Instant::now() + self.timeout;
         let mut failure = TaskStoreError::Unavailable;
@@ -165,10 +167,10 @@
         }
     }
 
-    /// Tries one compare-and-swap; `None` says that another writer may have been first.
+    /// Attempts one compare-and-swap. Returns `None` if another writer may have changed the shard.
     ///
-    /// An answer that needs no write, or a refusal, is given from the stored shard only, never
-    /// from a copy that may be out of date.
+    /// Results that need no write, and refusals, are returned only after a fresh read of the
+    /// shard, because the cached copy may be out of date.
     async fn try_write(
         &mut self,
         batch: &[PendingTransition],
@@ -198,7 +200,7 @@
                 Ok(Some(results))
             }
             Ok(WriteOutcome::Conflict) => Ok(None),
-            Err(error) => Err(failure(&error)),
+            Err(error) => Err(write_error(&error)),
         }
     }
 }
@@ -217,14 +219,14 @@
     Ok((shard, Compare::Revision(record.revision)))
 }
 
-fn failure(error: &StoreError) -> TaskStoreError {
+fn write_error(error: &StoreError) -> TaskStoreError {
     match error {
         StoreError::Unavailable(_) => TaskStoreError::Unavailable,
         _ => TaskStoreError::OutcomeUnknown,
     }
 }
 
-/// Shard in which a task is stored.
+/// Returns the index of the shard that stores a task.
 pub fn shard_index(key: &TaskKey) -> usize {
     let mut hasher = blake3::Hasher::new();
     hasher.update(key.0.as_bytes());
--- a/crates/tasks/src/task_store/tests.rs
+++ b/crates/tasks/src/task_store/tests.rs
@@ -52,7 +52,7 @@
     })
 }
 
-/// The transitions of one run, in order.
+/// Returns the transitions of one run, in order.
 fn run() -> [Transition; 3] {
     let outcome = Outcome::Succeeded { output: "ok".into() };
     let finish = Transition::Finish { claim: "c1".into(), outcome };
@@ -79,16 +79,16 @@
 }
 
 fault_cases! {
-    a_submission_whose_answer_is_lost_is_accepted_once: WriteFault::LostAnswer, 0;
-    a_claim_whose_answer_is_lost_is_settled: WriteFault::LostAnswer, 1;
-    a_report_whose_answer_is_lost_is_settled: WriteFault::LostAnswer, 2;
-    a_submission_that_is_lost_is_written_again: WriteFault::LostRequest, 0;
-    a_claim_that_is_lost_is_written_again: WriteFault::LostRequest, 1;
-    a_report_that_is_lost_is_written_again: WriteFault::LostRequest, 2;
+    a_submission_whose_response_is_lost_is_accepted_once: WriteFault::LostAnswer, 0;
+    a_claim_whose_response_is_lost_takes_effect: WriteFault::LostAnswer, 1;
+    a_report_whose_response_is_lost_takes_effect: WriteFault::LostAnswer, 2;
+    a_submission_whose_write_is_lost_is_retried: WriteFault::LostRequest, 0;
+    a_claim_whose_write_is_lost_is_retried: WriteFault::LostRequest, 1;
+    a_report_whose_write_is_lost_is_retried: WriteFault::LostRequest, 2;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_repeat_of_an_id_finds_the_first() {
+async fn a_second_submission_with_the_same_id_is_not_stored() {
     let task_store = task_store(&MemoryStore::default());
     assert_eq!(task_store.submit(task("sweep-1", "s1")).await, Ok(Applied::Done));
     assert_eq!(task_store.submit(task("sweep-1", "s2")).await, Ok(Applied::AlreadyExists));
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_submission_during_an_outage_is_refused_as_not_stored() {
+async fn a_submission_during_an_outage_fails_and_is_not_stored() {
     let store = MemoryStore::default();
     let task_store = task_store(&store);
     store.faults().set_outage(true);
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_two_entry_instances_only_one_claims_a_task() {
+async fn only_one_of_two_entry_instances_claims_a_task() {
     let store = MemoryStore::default();
     let (first, second) = (task_store(&store), task_store(&store));
     store.faults().set_delay(Duration::from_millis(10));
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wave_of_cancellations_costs_at_most_one_write_for_each_shard() {
+async fn many_cancellations_need_at_most_one_write_for_each_shard() {
     const TASKS: usize = 2_000;
     let store = MemoryStore::default();
     let task_store = task_store(&store);
@@ -161,7 +161,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn transitions_that_arrive_one_by_one_share_writes() {
+async fn transitions_within_the_batch_window_share_writes() {
     const ARRIVAL: Duration = Duration::from_millis(1);
     const TASKS: usize = 200;
     let store = MemoryStore::default();
--- a/crates/tasks/src/transition.rs
+++ b/crates/tasks/src/transition.rs
@@ -1,17 +1,17 @@
 //! Transitions of tasks as messages.
 //!
-//! Applying a transition twice has the effect of applying it once. So a transition whose write
-//! has an unknown outcome may be applied again to the document as it stands.
+//! Transitions are idempotent: a transition whose write has an unknown outcome can be applied again
+//! to the current document.
 
 use std::time::SystemTime;
 
 use crate::record::{Claim, ClaimId, Outcome, Task, TaskState};
 use crate::shard::{Loss, Shard, SubmitResponse, TaskKey, TransitionError};
 
-/// A change of one task.
+/// A state change of one task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Transition {
-    /// Accepts a task.
+    /// Adds a new task.
     Submit(Task),
     /// Claims a waiting task for a worker.
     Claim(Claim),
@@ -26,19 +26,19 @@
     MarkLost {
         /// Claim of the lost worker.
         claim: ClaimId,
-        /// What is known of the claim.
+        /// Whether the claim may have started.
         loss: Loss,
     },
     /// Cancels the task.
     Cancel,
-    /// Ends a task that fits no worker.
+    /// Ends a task that is too large for every worker.
     EndUnschedulable,
 }
 
 /// Effect of a transition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Applied {
-    /// The transition took effect, now or before.
+    /// The transition has taken effect, with this call or an earlier one.
     Done,
     /// A task of the same team and id was accepted before.
     AlreadyExists,
--- a/crates/tasks/src/wire.rs
+++ b/crates/tasks/src/wire.rs
@@ -8,14 +8,14 @@
 use crate::record::{Claim, Outcome, Resources, Task, TaskState};
 use crate::shard::Shard;
 
-/// Number of the format that this version writes.
+/// Format version that this release writes.
 pub const FORMAT: u32 = 1;
 
 /// Stored form of [`Shard`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WireShard {
-    /// Number of the format.
+    /// Format version.
     pub format: u32,
     /// The tasks.
     pub tasks: Vec<WireTask>,
@@ -71,24 +71,24 @@
     Unschedulable,
 }
 
-/// Why a stored shard was refused.
+/// Reason why a stored shard was refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// The format is not known to this version.
-    #[error("unknown format {0}")]
+    /// The format version is unknown to this release.
+    #[error("unknown format version {0}")]
     UnknownFormat(u32),
     /// Two tasks have the same team and id.
-    #[error("task {id} of team {team} stands twice")]
+    #[error("task {id} of team {team} appears twice")]
     DuplicateTask {
         /// Team of the task.
         team: Arc<str>,
         /// Identifier of the task.
         id: Arc<str>,
     },
-    /// The document is not of the expected shape.
+    /// The document does not match the schema.
     #[error("malformed shard: {0}")]
     Malformed(String),
-    /// A time lies beyond what the clock can express.
+    /// A time exceeds the range of [`SystemTime`].
     #[error("time out of range")]
     TimeOutOfRange,
 }
--- a/crates/tasks/src/wire/tests.rs
+++ b/crates/tasks/src/wire/tests.rs
@@ -58,7 +58,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn a_shard_survives_its_stored_form(tasks in prop::collection::vec(task(), 0..8)) {
+    fn a_shard_round_trips_through_its_stored_form(tasks in prop::collection::vec(task(), 0..8)) {
         let mut shard = Shard::default();
         for task in tasks {
             shard.submit(task);
--- a/crates/tasks/src/worker.rs
+++ b/crates/tasks/src/worker.rs
@@ -1,4 +1,4 @@
-//! Control of workers, as the platform gives it.
+//! Client interface of the workers, which the platform implements.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::estimate::Usage;
 use crate::record::{ClaimId, Resources, TaskId, WorkerId};
 
-/// A worker as it reports itself, with a lag.
+/// Last report of a worker, which lags behind its current state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerReport {
     /// Identifier of the worker.
@@ -18,43 +18,43 @@
     pub zone: ZoneId,
     /// Declared rack of the worker.
     pub rack: RackId,
-    /// All resources of the worker.
+    /// Total resources of the worker.
     pub capacity: Resources,
     /// Resources in use.
     pub used: Resources,
-    /// Claims whose usage is part of `used`.
+    /// Claims whose usage is included in `used`.
     pub counted_claims: Vec<ClaimId>,
-    /// Whether the worker takes new tasks.
+    /// Whether the worker accepts new tasks.
     pub accepts: bool,
 }
 
 /// Request to run a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartRequest {
-    /// Worker that shall run the task.
+    /// Worker that is to run the task.
     pub worker: WorkerId,
     /// Claim under which the task runs; a worker starts each claim at most once.
     pub claim: ClaimId,
     /// The task.
     pub task: TaskId,
-    /// Time after which the worker refuses to start the claim.
+    /// Start deadline, after which the worker refuses to start the claim.
     pub start_before: SystemTime,
     /// Resources to reserve.
     pub resources: Resources,
 }
 
-/// State of a claim at its worker.
+/// State of a claim on its worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunState {
     /// The worker has never started the claim.
     NotStarted,
-    /// The task runs.
+    /// The task is running.
     Running,
     /// The task succeeded.
     Succeeded {
-        /// Answer of the task.
+        /// Output of the task.
         output: Arc<str>,
-        /// What the task used.
+        /// Resource usage of the task.
         usage: Usage,
     },
     /// The task failed, or was stopped.
@@ -70,40 +70,42 @@
     /// The worker refused the call, which had no effect.
     #[error("worker refused the call")]
     Refused,
-    /// The worker could not be reached, or its answer was lost.
+    /// The worker could not be reached, or its response was lost.
     #[error("worker unreachable")]
     Unreachable,
 }
 
 /// Client of the workers. Every call has a deadline.
 pub trait WorkerClient: Clone + Send + Sync + 'static {
-    /// Reads the last report of each worker.
+    /// Returns the last report of each worker.
     fn list(&self) -> impl Future<Output = Result<Vec<WorkerReport>, WorkerError>> + Send;
 
-    /// Starts a claim. A repeat of a claim that was started has no effect.
+    /// Starts a claim. The call is idempotent: a claim that was already started is not started
+    /// again.
     fn start(&self, start: StartRequest) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
-    /// Asks for the state of a claim.
+    /// Returns the state of a claim.
     fn state(
         &self,
         worker: &WorkerId,
         claim: &ClaimId,
     ) -> impl Future<Output = Result<RunState, WorkerError>> + Send;
 
-    /// Stops a claim; it ends as failed.
+    /// Stops a claim, which then ends as [`RunState::Failed`].
     fn stop(
         &self,
         worker: &WorkerId,
         claim: &ClaimId,
     ) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
-    /// Saves the progress of a claim and sets its resources free; it resumes by itself later.
+    /// Checkpoints a claim and releases its resources; the worker resumes it later by itself.
     fn checkpoint(
         &self,
         worker: &WorkerId,
         claim: &ClaimId,
     ) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
-    /// Time after which a worker without contact to the platform has stopped its tasks.
+    /// Returns the time after which a worker that has lost contact with the platform has stopped
+    /// all its tasks.
     fn lease_duration(&self) -> Duration;
 }
