--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -4,11 +4,11 @@
 
 use rand::RngExt;
 
-/// Largest exponent of the delay, far above every cap in use.
+/// Upper limit of the exponent, which keeps the shift in range; every cap is reached earlier.
 const EXPONENT_MAX: u32 = 16;
 
-/// Capped exponential backoff with jitter: each delay is between half of its bound and its bound,
-/// and the bound doubles from `base` up to `cap`.
+/// Exponential backoff with jitter: each delay is a random time between half of a bound and the
+/// bound, which doubles from `base` up to `cap`.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     base: Duration,
@@ -17,12 +17,12 @@
 }
 
 impl Backoff {
-    /// A backoff that starts at `base` and ends at `cap`.
+    /// Creates a backoff whose bound grows from `base` to `cap`.
     pub const fn new(base: Duration, cap: Duration) -> Self {
         Self { base, cap, attempts: 0 }
     }
 
-    /// The next delay.
+    /// Returns the next delay.
     pub fn next_delay(&mut self) -> Duration {
         let bound = self.bound();
         self.attempts = self.attempts.saturating_add(1);
@@ -33,13 +33,13 @@
         self.base.saturating_mul(1 << self.attempts.min(EXPONENT_MAX)).min(self.cap)
     }
 
-    /// Starts again from `base`.
+    /// Resets the bound to `base`.
     pub fn reset(&mut self) {
         self.attempts = 0;
     }
 }
 
-/// A random time between half of `bound` and `bound`.
+/// Returns a random time between half of `bound` and `bound`.
 pub fn jitter(bound: Duration) -> Duration {
     bound.mul_f64(rand::rng().random_range(0.5..=1.0))
 }
--- a/crates/platform/src/clock.rs
+++ b/crates/platform/src/clock.rs
@@ -1,20 +1,20 @@
-//! Time since boot, which also counts while the machine is suspended.
+//! Time since boot, including the time during which the machine was suspended.
 //!
-//! Leases are measured on this clock: a process that was frozen finds its leases over when it
-//! wakes up, where the monotonic clock would show no time passed.
+//! Leases use this clock because the monotonic clock stops during a suspension: a process that
+//! resumes must see that its leases have expired.
 
 use std::time::Duration;
 
 use nix::time::{ClockId, clock_gettime};
 
-/// A point in time, as the time since boot.
+/// A point in time, as the time elapsed since boot.
 pub type Moment = Duration;
 
-/// The time since boot, suspensions included.
+/// Returns the time since boot, suspensions included.
 pub fn since_boot() -> Moment {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => Duration::from(time),
-        // The call fails only where the kernel lacks this clock, which no supported kernel does.
-        Err(error) => unreachable!("no boot-time clock: {error}"),
+        // The call fails only on a kernel without this clock; every supported kernel has it.
+        Err(error) => unreachable!("CLOCK_BOOTTIME is unavailable: {error}"),
     }
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,8 +1,8 @@
-//! Client of a list of instances that is served over HTTP as endpoint slices.
+//! Client of an instance list that is served over HTTP as endpoint slices.
 //!
-//! The hostname of an endpoint is the id of the instance. Instances that are not ready or about to
-//! stop are listed as leaving. An endpoint that lacks a field is left out of the list; an answer
-//! that is not a list of endpoint slices is an error.
+//! The hostname of an endpoint is the id of the instance. Instances that are not ready or are
+//! terminating are listed as leaving. An endpoint that lacks a field is skipped; a response that is
+//! not a list of endpoint slices is an error.
 
 pub mod message;
 
@@ -25,15 +25,15 @@
 
 /// Path of the list.
 pub const LIST_PATH: &str = "/apis/discovery.k8s.io/v1/endpointslices";
-/// Size of the largest list that is read, in bytes.
+/// Maximum size of a response, in bytes.
 const LIST_BYTES_MAX: usize = 4 * 1024 * 1024;
 
 /// The usable instances of a list.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Instances in order of id.
+    /// Instances, ordered by id.
     pub instances: Vec<ListedInstance>,
-    /// Number of endpoints that were left out.
+    /// Number of skipped endpoints.
     pub skipped: usize,
 }
 
@@ -43,7 +43,7 @@
         let mut skipped = 0;
         for slice in &list.items {
             for endpoint in &slice.endpoints {
-                match listed(slice, endpoint) {
+                match to_listed_instance(slice, endpoint) {
                     Ok(instance) => insert(&mut instances, instance),
                     Err(_) => skipped += 1,
                 }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Adds an instance. Of two endpoints with one id, the one that is leaving counts.
+/// Adds an instance. Of two endpoints with the same id, the leaving one takes precedence.
 fn insert(instances: &mut BTreeMap<InstanceId, ListedInstance>, instance: ListedInstance) {
     let known = instances.get(&instance.id);
     if known.is_none_or(|known| known.state == InstanceState::Live) {
@@ -61,22 +61,25 @@
     }
 }
 
-fn listed(slice: &EndpointSlice, endpoint: &Endpoint) -> Result<ListedInstance, EndpointError> {
+fn to_listed_instance(
+    slice: &EndpointSlice,
+    endpoint: &Endpoint,
+) -> Result<ListedInstance, EndpointError> {
     let port = slice.ports.first().and_then(|port| port.port);
     let port = port.ok_or(EndpointError::Missing("port"))?;
     Ok(ListedInstance {
-        id: text(&endpoint.hostname, "hostname")?,
+        id: required_text(&endpoint.hostname, "hostname")?,
         address: SocketAddr::new(endpoint.ip()?, port),
-        zone: text(&endpoint.zone, "zone")?,
-        rack: text(&endpoint.deprecated_topology.rack, "rack")?,
-        state: match endpoint.takes_work() {
+        zone: required_text(&endpoint.zone, "zone")?,
+        rack: required_text(&endpoint.deprecated_topology.rack, "rack")?,
+        state: match endpoint.accepts_work() {
             true => InstanceState::Live,
             false => InstanceState::Leaving,
         },
     })
 }
 
-fn text(field: &Option<Arc<str>>, name: &'static str) -> Result<Arc<str>, EndpointError> {
+fn required_text(field: &Option<Arc<str>>, name: &'static str) -> Result<Arc<str>, EndpointError> {
     let text = field.as_ref().filter(|text| !text.is_empty());
     text.cloned().ok_or(EndpointError::Missing(name))
 }
@@ -101,7 +104,7 @@
     }
 }
 
-/// Client of the list of instances. Clones share connections.
+/// Client of the instance list. Clones share connections and the cached list.
 #[derive(Debug, Clone)]
 pub struct HttpInstanceList {
     http: HttpClient,
@@ -110,7 +113,7 @@
     cached: Arc<Mutex<Option<Cached>>>,
 }
 
-/// A list as last read, with the entity tag under which the platform knows it (RFC 9110).
+/// The last list read, with its entity tag (RFC 9110).
 #[derive(Debug, Clone)]
 struct Cached {
     etag: HeaderValue,
@@ -118,7 +121,7 @@
 }
 
 impl HttpInstanceList {
-    /// A client, named `client` as user agent, whose calls end after `timeout`.
+    /// Creates a client that sends `client` as user agent and whose calls time out after `timeout`.
     pub fn new(address: SocketAddr, client: impl Into<Arc<str>>, timeout: Duration) -> Self {
         let http = HttpClient::new(&[address], client);
         Self { http, timeout, skipped: Arc::default(), cached: Arc::default() }
@@ -128,7 +131,7 @@
         self.cached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the list unless it is still the one with the entity tag `known`.
+    /// Requests the list, on condition that its entity tag differs from `known`.
     async fn fetch(&self, known: Option<&HeaderValue>) -> Result<Answer, CallError> {
         let deadline = Instant::now() + self.timeout;
         let mut request = Request::new(Bytes::new());
@@ -144,8 +147,8 @@
         }
     }
 
-    /// Logs the number of endpoints left out when it changes.
-    fn note_skipped(&self, skipped: usize) {
+    /// Logs the number of skipped endpoints when it changes.
+    fn log_skipped(&self, skipped: usize) {
         if self.skipped.swap(skipped, Ordering::Relaxed) != skipped {
             cassiafold_event::emit!(PlatformEvent::EndpointsSkipped, count = skipped);
         }
@@ -171,7 +174,7 @@
         let list: EndpointSliceList = serde_json::from_slice(&answer.body)
             .map_err(|error| ListError::Malformed(error.to_string().into()))?;
         let listing = Listing::from(list);
-        self.note_skipped(listing.skipped);
+        self.log_skipped(listing.skipped);
         let instances = listing.instances;
         *self.cached() = answer.etag.map(|etag| Cached { etag, instances: instances.clone() });
         Ok(instances)
--- a/crates/platform/src/discovery/message.rs
+++ b/crates/platform/src/discovery/message.rs
@@ -1,4 +1,4 @@
-//! The list of instances as a list of endpoint slices, as far as it is read.
+//! The fields of endpoint slices that the client reads.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
     pub items: Vec<EndpointSlice>,
 }
 
-/// Endpoints that listen on the same ports.
+/// A set of endpoints that listen on the same ports.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointSlice {
     /// The endpoints.
@@ -37,26 +37,26 @@
     pub hostname: Option<Arc<str>>,
     /// Availability zone of the instance.
     pub zone: Option<Arc<str>>,
-    /// Other places of the instance.
+    /// Further topology labels of the instance.
     #[serde(default)]
     pub deprecated_topology: Topology,
 }
 
-/// Conditions of an instance. A missing condition counts as its usual state.
+/// Conditions of an instance. A missing condition has its default value.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointConditions {
-    /// Whether it takes new work; usually true.
+    /// Whether it accepts new work; true by default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ready: Option<bool>,
-    /// Whether it serves what it has; usually true.
+    /// Whether it serves its existing work; true by default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub serving: Option<bool>,
-    /// Whether it is about to stop; usually false.
+    /// Whether it is about to stop; false by default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub terminating: Option<bool>,
 }
 
-/// Other places of an instance.
+/// Further topology labels of an instance.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Topology {
     /// Declared rack.
@@ -70,26 +70,26 @@
     pub port: Option<u16>,
 }
 
-/// Why an endpoint cannot be used.
+/// Reason why an endpoint cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointError {
     /// A field is missing or empty.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// The address is no IP address.
+    /// The address is not an IP address.
     #[error("address {0:?} is not an IP address")]
     Address(Arc<str>),
 }
 
 impl Endpoint {
-    /// The first address of the endpoint.
+    /// Returns the first address of the endpoint.
     pub(super) fn ip(&self) -> Result<IpAddr, EndpointError> {
         let address = self.addresses.first().ok_or(EndpointError::Missing("address"))?;
         address.parse().map_err(|_| EndpointError::Address(address.clone()))
     }
 
-    /// Whether the instance takes new work.
-    pub(super) fn takes_work(&self) -> bool {
+    /// Returns whether the instance accepts new work.
+    pub(super) fn accepts_work(&self) -> bool {
         self.conditions.ready.unwrap_or(true) && !self.conditions.terminating.unwrap_or(false)
     }
 }
--- a/crates/platform/src/discovery/tests.rs
+++ b/crates/platform/src/discovery/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_list_is_read() {
+fn a_list_is_parsed() {
     let expected = vec![
         instance("portal-0", "10.0.0.1:8080", "a", InstanceState::Live),
         instance("portal-1", "10.0.0.2:8080", "b", InstanceState::Leaving),
@@ -49,7 +49,7 @@
     assert_eq!(listing(LIST), Listing { instances: expected, skipped: 0 });
 }
 
-macro_rules! damaged {
+macro_rules! incomplete_lists {
     ($($name:ident: $from:literal => $to:literal, skipped: $skipped:literal;)+) => {$(
         #[test]
         fn $name() {
@@ -60,24 +60,24 @@
     )+};
 }
 
-damaged! {
-    an_endpoint_without_an_id_is_left_out: "\"hostname\": \"portal-0\", " => "", skipped: 1;
-    an_endpoint_with_an_empty_id_is_left_out: "portal-0" => "", skipped: 1;
-    an_endpoint_without_a_zone_is_left_out: "\"zone\": \"a\"," => "", skipped: 1;
-    an_endpoint_without_a_rack_is_left_out: "{\"rack\": \"a-1\"}" => "{}", skipped: 1;
-    an_endpoint_with_a_name_for_an_address_is_left_out: "10.0.0.1" => "localhost", skipped: 1;
-    an_endpoint_without_an_address_is_left_out: "\"10.0.0.1\"" => "", skipped: 1;
-    a_slice_without_a_port_is_left_out: "\"port\": 8080" => "\"port\": null", skipped: 3;
+incomplete_lists! {
+    an_endpoint_without_an_id_is_skipped: "\"hostname\": \"portal-0\", " => "", skipped: 1;
+    an_endpoint_with_an_empty_id_is_skipped: "portal-0" => "", skipped: 1;
+    an_endpoint_without_a_zone_is_skipped: "\"zone\": \"a\"," => "", skipped: 1;
+    an_endpoint_without_a_rack_is_skipped: "{\"rack\": \"a-1\"}" => "{}", skipped: 1;
+    an_endpoint_with_a_host_name_as_address_is_skipped: "10.0.0.1" => "localhost", skipped: 1;
+    an_endpoint_without_an_address_is_skipped: "\"10.0.0.1\"" => "", skipped: 1;
+    a_slice_without_a_port_is_skipped: "\"port\": 8080" => "\"port\": null", skipped: 3;
 }
 
 macro_rules! conditions {
     ($($name:ident: $conditions:literal => $state:ident;)+) => {$(
         #[test]
         fn $name() {
-            let usual = r#"{"ready": true, "serving": true,
+            let default = r#"{"ready": true, "serving": true,
        "terminating": false}"#;
-            assert!(LIST.contains(usual));
-            let listing = listing(&LIST.replace(usual, $conditions));
+            assert!(LIST.contains(default));
+            let listing = listing(&LIST.replace(default, $conditions));
             assert_eq!(listing.instances[0].state, InstanceState::$state);
         }
     )+};
@@ -85,14 +85,14 @@
 
 conditions! {
     an_instance_without_conditions_is_live: "{}" => Live;
-    an_instance_that_is_not_ready_takes_no_work: r#"{"ready": false}"# => Leaving;
-    a_ready_instance_that_is_terminating_takes_no_work:
+    an_instance_that_is_not_ready_is_leaving: r#"{"ready": false}"# => Leaving;
+    a_ready_instance_that_is_terminating_is_leaving:
         r#"{"ready": true, "terminating": true}"# => Leaving;
-    unknown_conditions_count_as_usual: r#"{"ready": null, "terminating": null}"# => Live;
+    null_conditions_have_their_defaults: r#"{"ready": null, "terminating": null}"# => Live;
 }
 
 #[test]
-fn an_instance_that_one_slice_lists_as_leaving_is_leaving() {
+fn an_instance_listed_twice_is_leaving_if_one_entry_is() {
     for replaced in ["portal-0", "portal-2"] {
         let listing = listing(&LIST.replacen(replaced, "portal-1", 1));
         let both: Vec<_> = listing.instances.iter().filter(|one| &*one.id == "portal-1").collect();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_answer_without_items_is_malformed() {
+fn a_response_without_items_is_malformed() {
     assert!(serde_json::from_str::<EndpointSliceList>("{}").is_err());
 }
 
@@ -114,7 +114,7 @@
     })]
 
     #[test]
-    fn instances_survive_the_list(ids in prop::collection::btree_set("[a-z0-9-]{1,8}", 0..8)) {
+    fn instances_round_trip_through_the_list(ids in prop::collection::btree_set("[a-z0-9-]{1,8}", 0..8)) {
         let state = |id: &str| match id.len() % 2 {
             0 => InstanceState::Live,
             _ => InstanceState::Leaving,
--- a/crates/platform/src/document.rs
+++ b/crates/platform/src/document.rs
@@ -1,4 +1,4 @@
-//! Values in the store that record who wrote them.
+//! Stored values with the ids of their last writes.
 
 use std::collections::VecDeque;
 use std::fmt::Display;
@@ -10,21 +10,21 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Identifies one write of one instance.
+/// Identifier of one write of one instance.
 pub type WriteId = Arc<str>;
 
-/// Number of write ids that a document keeps.
+/// Number of last write ids that a document keeps.
 pub const WRITE_IDS_MAX: usize = 32;
 
-/// A checked value that is kept in the store as JSON.
+/// A validated value that is stored as JSON.
 ///
-/// A type that needs no check is its own wire type.
+/// A type that needs no validation can be its own wire type.
 pub trait Document: TryFrom<Self::Wire, Error: Display> + Clone + Send + Sync {
-    /// Form of the value in the store.
+    /// Stored form of the value.
     type Wire: From<Self> + Serialize + DeserializeOwned + Send;
 }
 
-/// Numbers the writes of one process.
+/// Generates the write ids of one process.
 #[derive(Debug)]
 pub struct Writer {
     instance: InstanceId,
@@ -33,12 +33,12 @@
 }
 
 impl Writer {
-    /// A writer with a random incarnation, so that ids never repeat after a restart.
+    /// Creates a writer with a random incarnation, so that ids do not repeat after a restart.
     pub fn new(instance: impl Into<InstanceId>) -> Self {
         Self { instance: instance.into(), incarnation: rand::random(), writes: AtomicU64::new(0) }
     }
 
-    /// A write id that was never used before.
+    /// Returns a new write id.
     pub fn next_id(&self) -> WriteId {
         let number = self.writes.fetch_add(1, Ordering::Relaxed);
         format!("{}/{:016x}/{number}", self.instance, self.incarnation).into()
@@ -54,28 +54,28 @@
 }
 
 impl WriteLog {
-    /// Number of writes of the document so far.
+    /// Returns the number of writes of the document since its creation.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Id of the last write.
+    /// Returns the id of the last write.
     pub fn last(&self) -> Option<&WriteId> {
         self.recent.back()
     }
 
-    /// Whether `id` is among the last writes.
+    /// Returns whether `id` is among the last writes.
     pub fn contains(&self, id: &str) -> bool {
         self.recent.iter().any(|recent| &**recent == id)
     }
 
-    /// Whether the id of the write with this number, counted from 1, is still kept.
+    /// Returns whether the id of the write with this number, counted from 1, is still kept.
     pub fn covers(&self, number: u64) -> bool {
         let kept = u64::try_from(self.recent.len()).unwrap_or(u64::MAX);
         number <= self.count && number > self.count.saturating_sub(kept)
     }
 
-    /// The log after one more write.
+    /// Returns the log after one more write.
     pub fn followed_by(&self, id: WriteId) -> Self {
         let mut next = self.clone();
         next.count = next.count.saturating_add(1);
@@ -92,7 +92,7 @@
 pub struct Envelope<T> {
     /// The document.
     pub value: T,
-    /// Its last writes.
+    /// Log of its last writes.
     pub writes: WriteLog,
 }
 
@@ -103,19 +103,19 @@
     value: W,
 }
 
-/// A stored document that cannot be understood.
+/// Failure to decode or encode a document.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentError {
-    /// The value is not JSON of the expected shape.
+    /// The value is not JSON or does not match the schema.
     #[error("malformed document: {0}")]
     Malformed(Arc<str>),
-    /// The value breaks a rule of its type.
+    /// The value failed the validation of its type.
     #[error("invalid document: {0}")]
     Invalid(Arc<str>),
 }
 
 impl<T: Document> Envelope<T> {
-    /// Reads a stored value.
+    /// Decodes and validates a stored value.
     pub fn decode(value: &[u8]) -> Result<Self, DocumentError> {
         let wire: EnvelopeWire<T::Wire> = serde_json::from_slice(value).map_err(malformed)?;
         let value = T::try_from(wire.value)
@@ -123,7 +123,7 @@
         Ok(Self { value, writes: wire.writes })
     }
 
-    /// The value to store.
+    /// Returns the value to store.
     pub fn encode(&self) -> Result<Bytes, DocumentError> {
         let value = T::Wire::from(self.value.clone());
         let wire = EnvelopeWire { writes: self.writes.clone(), value };
--- a/crates/platform/src/document/tests.rs
+++ b/crates/platform/src/document/tests.rs
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn an_envelope_survives_encoding() {
+fn an_envelope_round_trips_through_its_encoding() {
     let writes = WriteLog::default().followed_by(Writer::new("entry-1").next_id());
     let envelope = Envelope { value: Even(4), writes };
     assert_eq!(Envelope::decode(&envelope.encode().unwrap()), Ok(envelope));
 }
 
 #[test]
-fn a_value_that_breaks_its_rule_is_refused() {
+fn a_value_that_fails_its_validation_is_refused() {
     let stored = br#"{"writes":{"count":0,"recent":[]},"value":3}"#;
     assert_eq!(Envelope::<Even>::decode(stored), Err(DocumentError::Invalid("odd".into())));
 }
--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -1,9 +1,9 @@
-//! Client of a key-value service that speaks the JSON gateway of etcd v3.
+//! Client of a key-value service with the JSON gateway of etcd v3.
 //!
-//! Of the gateway it uses ranges, transactions of one condition and one operation, leases and
-//! watches. Every call has a deadline. A read whose reused connection broke is sent once more on a
-//! new connection; a write is sent at most once. A write counts as without effect only if no byte
-//! of it was sent or the service has refused it; every other failure is an unknown outcome.
+//! The client uses ranges, transactions of one condition and one operation, leases and watches.
+//! Every call has a deadline. A read whose reused connection broke is retried once on a new
+//! connection; a write is sent at most once. A failed write is reported as without effect only if
+//! no part of it was sent or the service refused it; every other failure is an unknown outcome.
 
 pub mod convert;
 pub mod message;
@@ -19,7 +19,7 @@
 use serde::de::DeserializeOwned;
 use tokio::time::Instant;
 
-use self::convert::{granted, prefix_end, prefix_start, renewed, revision};
+use self::convert::{granted_lease, prefix_end, prefix_start, renewed_ttl, revision};
 use self::message::{
     Base64, ErrorBody, Int64, LeaseGrantRequest, LeaseRequest, LeaseResponse, RangeRequest,
     RangeResponse, StreamMessage, TxnRequest, TxnResponse,
@@ -32,13 +32,13 @@
     WriteOutcome,
 };
 
-/// Size of the largest answer that is read, in bytes.
-const ANSWER_BYTES_MAX: usize = 8 * 1024 * 1024;
-/// Number of keys asked for at once.
+/// Maximum size of a response, in bytes.
+const RESPONSE_BYTES_MAX: usize = 8 * 1024 * 1024;
+/// Initial number of keys per page.
 const PAGE_KEYS: u32 = 512;
-/// Number of keys whose largest values fit into one answer.
+/// Minimum number of keys per page; values of the maximum size fit into one response.
 const PAGE_KEYS_MIN: u32 = 4;
-/// Divisor of the number of keys after an answer was too large.
+/// Divisor of the number of keys per page after a response was too large.
 const PAGE_DIVISOR: u32 = 8;
 
 const RANGE_PATH: &str = "/v3/kv/range";
@@ -47,28 +47,28 @@
 const KEEP_ALIVE_PATH: &str = "/v3/lease/keepalive";
 const REVOKE_PATH: &str = "/v3/lease/revoke";
 
-/// Answer of the service while it has no leader, which no call outlives.
+/// Error message of the service while it has no leader; a call that gets it had no effect.
 pub const NO_LEADER: &str = "etcdserver: no leader";
 
-/// Status codes of gRPC, as far as the client tells them apart.
+/// Status codes of gRPC that the client distinguishes.
 pub mod grpc {
     /// An argument is invalid.
     pub const INVALID_ARGUMENT: i32 = 3;
     /// The lease does not exist.
     pub const NOT_FOUND: i32 = 5;
-    /// The caller may not do this.
+    /// The caller lacks permission.
     pub const PERMISSION_DENIED: i32 = 7;
-    /// The service takes no more requests.
+    /// The service accepts no more requests.
     pub const RESOURCE_EXHAUSTED: i32 = 8;
-    /// The state of the service forbids the call.
+    /// The state of the service does not allow the call.
     pub const FAILED_PRECONDITION: i32 = 9;
     /// The revision was compacted.
     pub const OUT_OF_RANGE: i32 = 11;
-    /// The service does not know the call.
+    /// The service does not implement the call.
     pub const UNIMPLEMENTED: i32 = 12;
     /// The service could not complete the call.
     pub const UNAVAILABLE: i32 = 14;
-    /// The caller is not known.
+    /// The caller is not authenticated.
     pub const UNAUTHENTICATED: i32 = 16;
 }
 
@@ -81,18 +81,18 @@
     pub client: Arc<str>,
     /// Timeout of each call.
     pub timeout: Duration,
-    /// How long a watch may stay without any message, progress reports included, before it is
-    /// resumed on a new connection.
+    /// Time without any message, progress reports included, after which a watch is resumed on a new
+    /// connection.
     pub watch_silence: Duration,
 }
 
 impl EtcdSettings {
-    /// Timeout of each call by default.
+    /// Default timeout of each call.
     pub const TIMEOUT: Duration = Duration::from_secs(1);
-    /// Silence of a watch by default.
+    /// Default of [`EtcdSettings::watch_silence`].
     pub const WATCH_SILENCE: Duration = Duration::from_secs(3);
 
-    /// Settings with defaults.
+    /// Creates settings with the default timeouts.
     pub fn new(addresses: Vec<SocketAddr>, client: impl Into<Arc<str>>) -> Self {
         Self {
             addresses,
@@ -112,7 +112,7 @@
     watch_silence: Duration,
 }
 
-/// Why an attempt failed.
+/// Reason why an attempt failed.
 enum Failure {
     Call(CallError),
     Status(Answer),
@@ -143,7 +143,7 @@
     ) -> Result<A, Failure> {
         let sent = Instant::now();
         let request = post(path, request).map_err(Failure::Malformed)?;
-        let answer = self.http.call(request, deadline, ANSWER_BYTES_MAX).await;
+        let answer = self.http.call(request, deadline, RESPONSE_BYTES_MAX).await;
         self.metrics.record(call, outcome(&answer), sent.elapsed());
         let answer = answer.map_err(Failure::Call)?;
         if !answer.status.is_success() {
@@ -153,7 +153,7 @@
             .map_err(|error| Failure::Malformed(error.to_string().into()))
     }
 
-    /// A call that may be repeated.
+    /// Sends an idempotent call, with one retry if a reused connection broke.
     async fn read<Q: Serialize + Sync, A: DeserializeOwned>(
         &self,
         call: StoreCall,
@@ -169,6 +169,7 @@
         }
     }
 
+    /// Reads one page, with a smaller page size if the response is too large.
     async fn page(
         &self,
         request: &mut RangeRequest,
@@ -209,11 +210,11 @@
     }
 }
 
-/// The error of a read.
+/// Maps the failure of a read to an error.
 fn read_error(failure: Failure) -> StoreError {
     match failure {
         Failure::Call(CallError::TooLarge { .. }) => {
-            StoreError::Malformed("answer is too large".into())
+            StoreError::Malformed("response is too large".into())
         }
         Failure::Call(error) => StoreError::Unavailable(error.to_string().into()),
         Failure::Malformed(reason) => StoreError::Malformed(reason),
@@ -228,7 +229,8 @@
     }
 }
 
-/// The error of a write, which had no effect only where that is certain.
+/// Maps the failure of a write to an error, which says that the write had no effect only if that is
+/// certain.
 fn write_error(failure: Failure) -> StoreError {
     match failure {
         Failure::Call(CallError::NotSent(reason)) => StoreError::Unavailable(reason),
@@ -245,7 +247,7 @@
     }
 }
 
-/// Whether the service refused a call before it took effect.
+/// Returns whether the service refused a call before it took effect.
 fn is_refusal(error: &ErrorBody) -> bool {
     match error.code {
         grpc::INVALID_ARGUMENT
@@ -269,7 +271,7 @@
     StoreError::Malformed(reason.into())
 }
 
-/// Turns a malformed answer to a write into an unknown outcome.
+/// Maps a malformed response to a write to an unknown outcome.
 fn unknown(error: impl ToString) -> StoreError {
     StoreError::OutcomeUnknown(error.to_string().into())
 }
@@ -285,7 +287,7 @@
         let mut records = Vec::<Record>::try_from(response)?;
         let record = records.pop();
         if !records.is_empty() || record.as_ref().is_some_and(|record| &*record.key != key) {
-            return Err(malformed("answer holds another key"));
+            return Err(malformed("response contains a different key"));
         }
         Ok(record)
     }
@@ -307,7 +309,7 @@
                 let last = snapshot.records.last();
                 let ordered = last.is_none_or(|last| last.key < record.key);
                 if !ordered || !record.key.starts_with(prefix) {
-                    return Err(malformed("answer holds unexpected keys"));
+                    return Err(malformed("response contains unexpected keys"));
                 }
                 snapshot.records.push(record);
             }
@@ -322,7 +324,9 @@
         if let Operation::Put { value, .. } = &write.operation
             && value.len() > VALUE_BYTES_MAX
         {
-            return Err(StoreError::Unavailable("value exceeds one megabyte".into()));
+            return Err(StoreError::Unavailable(
+                "value exceeds the size limit of one megabyte".into(),
+            ));
         }
         let request = TxnRequest::from(&write);
         let answer = self.attempt(StoreCall::Write, TXN_PATH, &request, self.deadline()).await;
@@ -336,7 +340,7 @@
         let answer =
             self.attempt(StoreCall::GrantLease, GRANT_PATH, &request, self.deadline()).await;
         let response: LeaseResponse = answer.map_err(write_error)?;
-        granted(&response).map_err(unknown)
+        granted_lease(&response).map_err(unknown)
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<Duration, StoreError> {
@@ -346,7 +350,7 @@
         let response: StreamMessage<LeaseResponse> = answer.map_err(write_error)?;
         match response {
             StreamMessage::Result(response) => {
-                renewed(&response).map_err(unknown)?.ok_or(StoreError::LeaseExpired)
+                renewed_ttl(&response).map_err(unknown)?.ok_or(StoreError::LeaseExpired)
             }
             StreamMessage::Error(error) => Err(unknown(error.message)),
         }
--- a/crates/platform/src/etcd/convert.rs
+++ b/crates/platform/src/etcd/convert.rs
@@ -25,7 +25,7 @@
     /// The header is missing.
     #[error("header is missing")]
     Header,
-    /// A part that the operation needs is missing, or there are more parts than it has.
+    /// A required part is missing, or there is an unexpected one.
     #[error("missing or unexpected part")]
     Part,
     /// A time to live is out of range.
@@ -61,12 +61,12 @@
     }
 }
 
-/// Revision of the store in an answer.
+/// Returns the revision of the store in a response.
 pub fn revision(header: &Option<Header>) -> Result<Revision, MessageError> {
     header.as_ref().ok_or(MessageError::Header)?.revision.try_into()
 }
 
-/// End of the range of keys that start with `prefix`.
+/// Returns the exclusive end of the range of keys that start with `prefix`.
 pub fn prefix_end(prefix: &str) -> Base64 {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -78,7 +78,7 @@
     Base64(Bytes::from_static(b"\0"))
 }
 
-/// First key of the range of keys that start with `prefix`.
+/// Returns the start of the range of keys that start with `prefix`.
 pub fn prefix_start(prefix: &str) -> Base64 {
     match prefix {
         "" => Base64(Bytes::from_static(b"\0")),
@@ -190,16 +190,16 @@
     }
 }
 
-/// Identifier of a lease that was granted.
-pub fn granted(response: &LeaseResponse) -> Result<LeaseId, MessageError> {
+/// Returns the identifier of the lease in a grant response.
+pub fn granted_lease(response: &LeaseResponse) -> Result<LeaseId, MessageError> {
     match response.id.0 {
         0 => Err(MessageError::Part),
         id => Ok(id),
     }
 }
 
-/// Time to live of a lease that was renewed; `None` once it has expired.
-pub fn renewed(response: &LeaseResponse) -> Result<Option<Duration>, MessageError> {
+/// Returns the time to live in a renewal response, or `None` if the lease has expired.
+pub fn renewed_ttl(response: &LeaseResponse) -> Result<Option<Duration>, MessageError> {
     revision(&response.header)?;
     let ttl_s = u64::try_from(response.ttl_s.0).map_err(|_| MessageError::TimeToLive)?;
     Ok((ttl_s > 0).then(|| Duration::from_secs(ttl_s)))
--- a/crates/platform/src/etcd/message.rs
+++ b/crates/platform/src/etcd/message.rs
@@ -1,7 +1,7 @@
-//! Messages of the JSON gateway of etcd v3, as far as the store uses them.
+//! Messages of the JSON gateway of etcd v3, with the fields that the client uses.
 //!
-//! The gateway writes bytes in base64 and 64-bit integers as strings, and leaves out fields that
-//! hold the default of their type.
+//! The gateway encodes bytes in base64 and 64-bit integers as strings, and omits fields with the
+//! default value of their type.
 
 use std::fmt;
 
@@ -11,7 +11,7 @@
 use serde::de::{Error, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A 64-bit integer, written as a string and read from a string or a number.
+/// A 64-bit integer, encoded as a string and decoded from a string or a number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Int64(pub i64);
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Bytes, written in base64.
+/// Bytes, encoded in base64.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Base64(pub Bytes);
 
@@ -112,7 +112,7 @@
 }
 
 messages! {
-    /// Header of each answer.
+    /// Header of each response.
     pub struct Header {
         /// Revision of the store.
         revision: Int64, skip "Int64::is_default";
@@ -136,19 +136,19 @@
         key: Base64;
         /// End of the range, exclusive; empty for one key.
         range_end: Base64, skip "Base64::is_default";
-        /// Most keys to return; zero for all.
+        /// Maximum number of keys to return; zero for all.
         limit: Int64, skip "Int64::is_default";
         /// Revision to read; zero for the latest.
         revision: Int64, skip "Int64::is_default";
     }
 
-    /// Answer of `/v3/kv/range`.
+    /// Response of `/v3/kv/range`.
     pub struct RangeResponse {
-        /// Header of the answer.
+        /// Header of the response.
         header: Option<Header>;
-        /// Keys in their order.
+        /// Keys and values, ordered by key.
         kvs: Vec<KeyValue>, skip "Vec::is_empty";
-        /// Whether the limit cut off more keys.
+        /// Whether there are more keys beyond the limit.
         more: bool, skip "is_false";
     }
 
@@ -156,9 +156,9 @@
     pub struct CompareMessage {
         /// The key.
         key: Base64;
-        /// What is compared.
+        /// Compared property of the key.
         target: CompareTarget;
-        /// How it is compared.
+        /// Comparison operator.
         result: CompareResult;
         /// Revision of the creation, for [`CompareTarget::Create`].
         create_revision: Option<Int64>, skip "Option::is_none";
@@ -194,13 +194,13 @@
     pub struct TxnRequest {
         /// Conditions, all of which must hold.
         compare: Vec<CompareMessage>;
-        /// Operations carried out if they hold.
+        /// Operations that take effect if the conditions hold.
         success: Vec<RequestOp>;
     }
 
-    /// Answer of `/v3/kv/txn`.
+    /// Response of `/v3/kv/txn`.
     pub struct TxnResponse {
-        /// Header of the answer.
+        /// Header of the response.
         header: Option<Header>;
         /// Whether the conditions held.
         succeeded: bool, skip "is_false";
@@ -220,9 +220,9 @@
         id: Int64;
     }
 
-    /// Answer about a lease.
+    /// Response of the lease calls.
     pub struct LeaseResponse {
-        /// Header of the answer.
+        /// Header of the response.
         header: Option<Header>;
         /// The lease.
         #[serde(rename = "ID")]
@@ -232,7 +232,7 @@
         ttl_s: Int64, skip "Int64::is_default";
     }
 
-    /// What to watch.
+    /// Keys to watch, and from where.
     pub struct WatchCreateRequest {
         /// The first key.
         key: Base64;
@@ -265,11 +265,11 @@
         header: Option<Header>;
         /// Whether the watch was created.
         created: bool, skip "is_false";
-        /// Whether the service has ended the watch.
+        /// Whether the service has canceled the watch.
         canceled: bool, skip "is_false";
-        /// Oldest revision that can be watched, where the watch ended for its age.
+        /// Oldest revision that can be watched, if the watch was canceled by a compaction.
         compact_revision: Int64, skip "Int64::is_default";
-        /// Changes in order of revision.
+        /// Changes, ordered by revision.
         events: Vec<Event>, skip "Vec::is_empty";
     }
 
@@ -277,7 +277,7 @@
     pub struct ErrorBody {
         /// Status code of gRPC.
         code: i32;
-        /// Text of the error.
+        /// Message of the error.
         message: String;
     }
 
@@ -286,12 +286,12 @@
         /// Status code of gRPC.
         #[serde(alias = "code")]
         grpc_code: i32;
-        /// Text of the error.
+        /// Message of the error.
         message: String;
     }
 }
 
-/// One message of a streaming answer.
+/// One message of a streaming response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StreamMessage<T> {
@@ -301,11 +301,11 @@
     Error(StreamError),
 }
 
-/// What a condition compares.
+/// Property of a key that a condition compares.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum CompareTarget {
-    /// Number of writes since the creation.
+    /// Number of writes of the key since its creation.
     #[default]
     Version,
     /// Revision of the creation.
@@ -314,7 +314,7 @@
     Mod,
 }
 
-/// How a condition compares.
+/// Comparison operator of a condition.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum CompareResult {
--- a/crates/platform/src/etcd/tests.rs
+++ b/crates/platform/src/etcd/tests.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::convert::{granted, prefix_end, renewed, revision};
+use super::convert::{granted_lease, prefix_end, renewed_ttl, revision};
 use super::message::{
     Base64, ErrorBody, LeaseResponse, RangeResponse, StreamMessage, TxnRequest, TxnResponse,
     WatchRequest, WatchResponse,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn writes_are_transactions() {
+fn writes_are_encoded_as_transactions() {
     let put = Write {
         key: "foo".into(),
         compare: Compare::Absent,
@@ -39,7 +39,7 @@
 const HEADER: &str = r#"{"cluster_id":"14841639068965178418","member_id":"10276657743932975437","revision":"9","raft_term":"2"}"#;
 
 #[test]
-fn a_range_answer_is_read() {
+fn a_range_response_is_parsed() {
     let text = format!(
         r#"{{"header":{HEADER},"kvs":[{{"key":"Zm9v","create_revision":"2","mod_revision":"6","version":"3","value":"YmFy"}}],"count":"1"}}"#
     );
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_transaction_answer_is_read() {
+fn a_transaction_response_is_parsed() {
     let succeeded = format!(r#"{{"header":{HEADER},"succeeded":true,"responses":[]}}"#);
     assert_eq!(parse::<TxnResponse>(&succeeded).try_into(), Ok(WriteOutcome::Written(9)));
     let conflict = format!(r#"{{"header":{HEADER}}}"#);
@@ -59,20 +59,20 @@
 }
 
 #[test]
-fn lease_answers_are_read() {
+fn lease_responses_are_parsed() {
     let text = format!(r#"{{"header":{HEADER},"ID":"7587848943239472601","TTL":"10"}}"#);
     let response: LeaseResponse = parse(&text);
-    assert_eq!(granted(&response), Ok(7_587_848_943_239_472_601));
-    assert_eq!(renewed(&response), Ok(Some(std::time::Duration::from_secs(10))));
+    assert_eq!(granted_lease(&response), Ok(7_587_848_943_239_472_601));
+    assert_eq!(renewed_ttl(&response), Ok(Some(std::time::Duration::from_secs(10))));
     let expired = format!(r#"{{"result":{{"header":{HEADER},"ID":"7"}}}}"#);
     let StreamMessage::Result(expired) = parse::<StreamMessage<LeaseResponse>>(&expired) else {
         panic!("not a result")
     };
-    assert_eq!(renewed(&expired), Ok(None));
+    assert_eq!(renewed_ttl(&expired), Ok(None));
 }
 
 #[test]
-fn watch_messages_are_read() {
+fn watch_messages_are_parsed() {
     let text = format!(
         r#"{{"result":{{"header":{HEADER},"events":[{{"kv":{{"key":"Zm9v","mod_revision":"8","value":"YmFy"}}}},{{"type":"DELETE","kv":{{"key":"Zm9v","mod_revision":"9"}}}}]}}}}"#
     );
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn ranges_end_after_their_prefix() {
+fn a_range_ends_after_the_last_key_with_its_prefix() {
     let cases = [("a", &b"b"[..]), ("entries/", b"entries0"), ("", b"\0"), ("\u{7f}", b"\x80")];
     for (prefix, end) in cases {
         assert_eq!(prefix_end(prefix), Base64(bytes::Bytes::copy_from_slice(end)), "{prefix}");
@@ -100,7 +100,7 @@
     Failure::Status(Answer { status: StatusCode::BAD_REQUEST, etag: None, body: body.into() })
 }
 
-fn unanswered() -> Failure {
+fn no_response() -> Failure {
     let reason = "timeout".into();
     Failure::Call(CallError::Unanswered { reason, stale_connection: false })
 }
@@ -118,10 +118,10 @@
 write_failures! {
     an_unsent_write_had_no_effect:
         Failure::Call(CallError::NotSent("refused".into())) => StoreError::Unavailable(_),
-    an_unanswered_write_is_unknown: unanswered() => StoreError::OutcomeUnknown(_),
-    a_malformed_answer_is_unknown:
+    a_write_without_response_is_unknown: no_response() => StoreError::OutcomeUnknown(_),
+    a_malformed_response_is_unknown:
         Failure::Malformed("".into()) => StoreError::OutcomeUnknown(_),
-    an_oversized_answer_is_unknown:
+    an_oversized_response_is_unknown:
         Failure::Call(CallError::TooLarge { max_bytes: 1 }) => StoreError::OutcomeUnknown(_),
     a_server_timeout_is_unknown: status(grpc::UNAVAILABLE, "etcdserver: request timed out")
         => StoreError::OutcomeUnknown(_),
@@ -137,12 +137,12 @@
 }
 
 #[test]
-fn a_compacted_read_is_told_apart() {
+fn a_compacted_read_has_its_own_error() {
     assert_eq!(read_error(status(grpc::OUT_OF_RANGE, "")), StoreError::Compacted);
-    assert!(matches!(read_error(unanswered()), StoreError::Unavailable(_)));
+    assert!(matches!(read_error(no_response()), StoreError::Unavailable(_)));
 }
 
-fn read_all(bytes: &[u8]) {
+fn parse_all(bytes: &[u8]) {
     if let Ok(response) = serde_json::from_slice::<RangeResponse>(bytes) {
         let _ = revision(&response.header);
         let _ = Vec::<Record>::try_from(response);
@@ -154,7 +154,7 @@
         let _ = Write::try_from(request);
     }
     if let Ok(response) = serde_json::from_slice::<LeaseResponse>(bytes) {
-        let _ = (granted(&response), renewed(&response));
+        let _ = (granted_lease(&response), renewed_ttl(&response));
     }
     if let Ok(StreamMessage::Result(response)) =
         serde_json::from_slice::<StreamMessage<WatchResponse>>(bytes)
@@ -183,7 +183,7 @@
 
     #[test]
     fn arbitrary_bytes_never_panic(bytes: Vec<u8>) {
-        read_all(&bytes);
+        parse_all(&bytes);
     }
 
     #[test]
@@ -196,11 +196,11 @@
             let position = position.index(bytes.len());
             bytes[position] = byte;
         }
-        read_all(&bytes);
+        parse_all(&bytes);
     }
 
     #[test]
-    fn writes_survive_the_gateway(
+    fn writes_round_trip_through_the_gateway(
         key: String,
         at: Option<u32>,
         value: Option<Vec<u8>>,
--- a/crates/platform/src/etcd/watch.rs
+++ b/crates/platform/src/etcd/watch.rs
@@ -1,8 +1,9 @@
 //! Watches over the JSON gateway of etcd v3.
 //!
-//! A watch asks for progress reports. Where neither a change nor a report arrives for a while, its
-//! connection is taken for silent and the watch is resumed from its last revision on a new one, so
-//! that nothing is missed. Reports carry the position forward past changes of other keys.
+//! A watch requests progress reports. If neither a change nor a report arrives within
+//! [`EtcdSettings::watch_silence`](super::EtcdSettings::watch_silence), the watch is resumed from
+//! its last revision on a new connection, so that no change is missed. Progress reports also
+//! advance the revision of a watch whose keys do not change, which keeps it from being compacted.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,67 +23,72 @@
 use crate::store::{Change, Revision, StoreError, Watch};
 
 const WATCH_PATH: &str = "/v3/watch";
-/// Size of the largest message of a watch, in bytes.
+/// Maximum size of a watch message, in bytes.
 const MESSAGE_BYTES_MAX: usize = 16 * 1024 * 1024;
-/// Size of the largest error answer, in bytes.
+/// Maximum size of an error response, in bytes.
 const ERROR_BYTES_MAX: usize = 64 * 1024;
-/// Longest wait before a broken watch is resumed.
+/// Maximum delay before a failed watch is resumed.
 const RESUME_DELAY_MAX: Duration = Duration::from_millis(100);
 
-/// A watch that resumes by itself.
+/// A watch that resumes automatically.
 ///
-/// A failure to resume is returned once by `next`; the watch stays usable, and the next call of
-/// `next` tries to resume again. A message too large to read counts as a compacted position.
+/// `next` returns a failure to resume once; the watch stays usable, and the next call of `next`
+/// resumes again. A message that exceeds the size limit is reported as [`StoreError::Compacted`],
+/// so that the caller restarts from a snapshot.
 #[derive(Debug)]
 pub struct EtcdWatch {
     store: EtcdStore,
     prefix: Arc<str>,
+    /// Revision after which the watch continues.
     after: Revision,
     stream: Option<Stream>,
 }
 
-/// Open stream of messages.
+/// An open stream of messages, one JSON object per line.
 #[derive(Debug)]
 struct Stream {
     body: Incoming,
     buffer: BytesMut,
+    /// Length of the start of `buffer` that contains no line end.
     scanned_bytes: usize,
-    heard: Instant,
+    last_message_at: Instant,
     _connection: Connection,
 }
 
-/// What ended a stream.
-enum Broken {
+/// Reason why a stream failed.
+enum StreamFailure {
     Connection(Arc<str>),
     TooLarge,
     Malformed(Arc<str>),
 }
 
-impl From<Broken> for StoreError {
-    fn from(broken: Broken) -> Self {
-        match broken {
-            Broken::Connection(reason) => Self::Unavailable(reason),
-            Broken::TooLarge => Self::Compacted,
-            Broken::Malformed(reason) => Self::Malformed(reason),
+impl From<StreamFailure> for StoreError {
+    fn from(failure: StreamFailure) -> Self {
+        match failure {
+            StreamFailure::Connection(reason) => Self::Unavailable(reason),
+            StreamFailure::TooLarge => Self::Compacted,
+            StreamFailure::Malformed(reason) => Self::Malformed(reason),
         }
     }
 }
 
 impl Stream {
-    /// Waits for the next message. Cancellation loses nothing.
-    async fn message(&mut self) -> Result<StreamMessage<WatchResponse>, Broken> {
+    /// Waits for the next message. Cancel-safe.
+    async fn next_message(&mut self) -> Result<StreamMessage<WatchResponse>, StreamFailure> {
         loop {
             if let Some(line) = self.take_line() {
-                self.heard = Instant::now();
+                self.last_message_at = Instant::now();
                 return serde_json::from_slice(&line)
-                    .map_err(|error| Broken::Malformed(error.to_string().into()));
+                    .map_err(|error| StreamFailure::Malformed(error.to_string().into()));
             }
             if self.buffer.len() > MESSAGE_BYTES_MAX {
-                return Err(Broken::TooLarge);
+                return Err(StreamFailure::TooLarge);
             }
             let frame = self.body.frame().await;
-            let frame = frame.ok_or_else(|| Broken::Connection("watch ended".into()))?;
-            let frame = frame.map_err(|error| Broken::Connection(error.to_string().into()))?;
+            let frame =
+                frame.ok_or_else(|| StreamFailure::Connection("watch stream ended".into()))?;
+            let frame =
+                frame.map_err(|error| StreamFailure::Connection(error.to_string().into()))?;
             if let Ok(data) = frame.into_data() {
                 self.buffer.extend_from_slice(&data);
             }
@@ -113,11 +119,11 @@
         Ok(watch)
     }
 
-    /// Opens the stream at the position of this watch.
+    /// Opens the stream at the revision of this watch.
     async fn resume(&mut self) -> Result<(), StoreError> {
         let deadline = self.store.deadline();
         let sent = Instant::now();
-        let result = timeout_at(deadline, self.start(deadline)).await;
+        let result = timeout_at(deadline, self.open_stream(deadline)).await;
         let result = result.unwrap_or_else(|_| Err(StoreError::Unavailable("timeout".into())));
         let outcome = match &result {
             Ok(_) | Err(StoreError::Compacted | StoreError::Malformed(_)) => CallOutcome::Answered,
@@ -128,7 +134,7 @@
         Ok(())
     }
 
-    async fn start(&self, deadline: Instant) -> Result<Stream, StoreError> {
+    async fn open_stream(&self, deadline: Instant) -> Result<Stream, StoreError> {
         let create_request = WatchCreateRequest {
             key: prefix_start(&self.prefix),
             range_end: prefix_end(&self.prefix),
@@ -157,19 +163,19 @@
             body,
             buffer: BytesMut::new(),
             scanned_bytes: 0,
-            heard: Instant::now(),
+            last_message_at: Instant::now(),
             _connection: connection,
         };
-        let first = stream.message().await?;
+        let first = stream.next_message().await?;
         self.check_created(first)?;
         Ok(stream)
     }
 
     fn check_created(&self, first: StreamMessage<WatchResponse>) -> Result<(), StoreError> {
         let response = result(first)?;
-        check_open(&response)?;
+        check_not_canceled(&response)?;
         if !response.created || !response.events.is_empty() {
-            return Err(malformed("watch does not start with its creation"));
+            return Err(malformed("first message of the watch does not confirm its creation"));
         }
         match revision(&response.header)? < self.after {
             true => Err(StoreError::Compacted),
@@ -177,9 +183,9 @@
         }
     }
 
-    /// Changes of a message, which move the position of the watch.
+    /// Returns the new changes of a message and advances the revision of the watch.
     fn changes(&mut self, response: WatchResponse) -> Result<Vec<Change>, StoreError> {
-        check_open(&response)?;
+        check_not_canceled(&response)?;
         if response.events.is_empty() {
             let progress = revision(&response.header)?;
             self.after = self.after.max(progress);
@@ -190,7 +196,7 @@
         for event in response.events {
             let change = Change::try_from(event)?;
             if !change.key.starts_with(&*self.prefix) || change.revision < last {
-                return Err(malformed("watch delivers unexpected changes"));
+                return Err(malformed("watch delivered changes out of order or of other keys"));
             }
             last = change.revision;
             if change.revision > self.after {
@@ -201,21 +207,21 @@
         Ok(changes)
     }
 
-    async fn wait(&mut self) -> Result<Vec<Change>, StoreError> {
+    async fn next_changes(&mut self) -> Result<Vec<Change>, StoreError> {
         loop {
             let Some(stream) = &mut self.stream else {
                 sleep(jitter(RESUME_DELAY_MAX)).await;
                 self.resume().await?;
                 continue;
             };
-            let silent_at = stream.heard + self.store.watch_silence;
-            let message = match timeout_at(silent_at, stream.message()).await {
+            let silent_at = stream.last_message_at + self.store.watch_silence;
+            let message = match timeout_at(silent_at, stream.next_message()).await {
                 Ok(Ok(message)) => message,
-                Ok(Err(Broken::Connection(_))) => {
+                Ok(Err(StreamFailure::Connection(_))) => {
                     self.stream = None;
                     continue;
                 }
-                Ok(Err(broken)) => return Err(broken.into()),
+                Ok(Err(failure)) => return Err(failure.into()),
                 Err(_) => {
                     cassiafold_event::emit!(PlatformEvent::WatchSilent, prefix = self.prefix);
                     self.stream = None;
@@ -240,7 +246,7 @@
     }
 }
 
-fn check_open(response: &WatchResponse) -> Result<(), StoreError> {
+fn check_not_canceled(response: &WatchResponse) -> Result<(), StoreError> {
     match (response.compact_revision.0, response.canceled) {
         (1.., _) => Err(StoreError::Compacted),
         (_, true) => Err(StoreError::Unavailable("watch was canceled".into())),
@@ -250,7 +256,7 @@
 
 impl Watch for EtcdWatch {
     async fn next(&mut self) -> Result<Vec<Change>, StoreError> {
-        let result = self.wait().await;
+        let result = self.next_changes().await;
         if result.is_err() {
             self.stream = None;
         }
--- a/crates/platform/src/event.rs
+++ b/crates/platform/src/event.rs
@@ -3,9 +3,9 @@
 cassiafold_event::events! {
     /// Log events of the platform's clients.
     pub enum PlatformEvent {
-        LeaseRenewalFailed = 1100, Warn, "renewal of the lease failed";
+        LeaseRenewalFailed = 1100, Warn, "lease renewal failed";
         LeaseExpired = 1101, Warn, "lease expired in the key-value service";
-        WatchSilent = 1102, Warn, "watch of the key-value service went silent; resuming it";
-        EndpointsSkipped = 1103, Warn, "endpoints of the instance list cannot be used";
+        WatchSilent = 1102, Warn, "no message on a watch of the key-value service; resuming the watch";
+        EndpointsSkipped = 1103, Warn, "skipped unusable endpoints of the instance list";
     }
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,9 +1,9 @@
-//! HTTP calls to a service of the platform that listens at several addresses.
+//! HTTP client for a service of the platform that listens on several addresses.
 //!
-//! A call is sent at most once. Its error tells whether any byte of it may have reached the
-//! service. Connections are reused only within a short time after an answer, because an idle
-//! connection may have gone silent. After a failed connect an address is left alone for a random
-//! time that grows from failure to failure; after a lost answer the next address comes first.
+//! A request is sent at most once, and the error of a call says whether the service may have
+//! received it. Connections are reused only for a short time after a response, because an idle
+//! connection may have been dropped without notice. After a failed connect an address is skipped
+//! for an exponential delay with jitter; after a lost response the next address is preferred.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,59 +22,61 @@
 
 use crate::backoff::Backoff;
 
-/// How long after an answer a connection is used again.
-const REUSE_MAX: Duration = Duration::from_secs(1);
-/// Number of idle connections that are kept.
-const IDLE_MAX: usize = 4;
-/// Part of the time to the deadline that one connect may take, as long as other addresses remain.
+/// Maximum age of the last response on a connection that is reused.
+const IDLE_REUSE_MAX: Duration = Duration::from_secs(1);
+/// Maximum number of idle connections.
+const IDLE_CONNECTIONS_MAX: usize = 4;
+/// Divisor of the time to the deadline that gives the connect timeout while other addresses remain.
 const CONNECT_TIMEOUT_DIVISOR: u32 = 3;
-const CONNECT_DELAY_MIN: Duration = Duration::from_millis(50);
-const CONNECT_DELAY_MAX: Duration = Duration::from_secs(2);
+/// Initial delay after a failed connect.
+const CONNECT_BACKOFF_MIN: Duration = Duration::from_millis(50);
+/// Default maximum delay after failed connects.
+const CONNECT_BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// Why a call failed.
+/// Reason why a call failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No byte of the request was sent.
+    /// No part of the request was sent.
     #[error("request not sent: {0}")]
     NotSent(Arc<str>),
-    /// The request may have been received.
-    #[error("no answer: {reason}")]
+    /// The service may have received the request, but no response arrived.
+    #[error("no response: {reason}")]
     Unanswered {
-        /// What went wrong.
+        /// Description of the failure.
         reason: Arc<str>,
-        /// Whether the connection had been used before and broke.
+        /// Whether a reused connection broke, which may have been closed while it was idle.
         stale_connection: bool,
     },
-    /// The answer exceeds what the caller takes.
-    #[error("answer exceeds {max_bytes} bytes")]
+    /// The response body exceeds the limit of the caller.
+    #[error("response exceeds {max_bytes} bytes")]
     TooLarge {
-        /// The most that the caller takes.
+        /// Limit of the caller, in bytes.
         max_bytes: usize,
     },
 }
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status of the answer.
+    /// Status code.
     pub status: StatusCode,
-    /// Its entity tag.
+    /// Entity tag.
     pub etag: Option<HeaderValue>,
-    /// Its whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Client of one service. Clones share its connections.
+/// Client of one service. Clones share connections.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
-    shared: Arc<Mutex<Shared>>,
+    state: Arc<Mutex<ClientState>>,
     user_agent: Arc<str>,
-    /// Whether closed connections are reset.
-    resets: bool,
+    /// Whether connections are closed with a TCP reset.
+    reset_on_close: bool,
 }
 
 #[derive(Debug)]
-struct Shared {
+struct ClientState {
     endpoints: Vec<Endpoint>,
     preferred: usize,
     idle: Vec<Connection>,
@@ -89,7 +91,7 @@
 
 impl Endpoint {
     fn new(address: SocketAddr) -> Self {
-        let backoff = Backoff::new(CONNECT_DELAY_MIN, CONNECT_DELAY_MAX);
+        let backoff = Backoff::new(CONNECT_BACKOFF_MIN, CONNECT_BACKOFF_MAX);
         Self { address, backoff, not_before: None }
     }
 }
@@ -99,38 +101,42 @@
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     endpoint: usize,
-    answered: Option<Instant>,
+    last_response_at: Option<Instant>,
     _task: AbortOnDropHandle<()>,
 }
 
 impl HttpClient {
-    /// A client of the service at `addresses`, which starts with a random one.
+    /// Creates a client of the service at `addresses`, which starts with a random one.
     pub fn new(addresses: &[SocketAddr], user_agent: impl Into<Arc<str>>) -> Self {
         let endpoints: Vec<Endpoint> = addresses.iter().copied().map(Endpoint::new).collect();
         let preferred = rand::random_range(0..endpoints.len().max(1));
-        let shared = Shared { endpoints, preferred, idle: Vec::new() };
-        Self { shared: Arc::new(Mutex::new(shared)), user_agent: user_agent.into(), resets: false }
+        let state = ClientState { endpoints, preferred, idle: Vec::new() };
+        Self {
+            state: Arc::new(Mutex::new(state)),
+            user_agent: user_agent.into(),
+            reset_on_close: false,
+        }
     }
 
-    /// Leaves an address alone for at most `delay_max` after failed connects.
+    /// Limits the time for which an address is skipped after failed connects to `delay_max`.
     pub fn with_delay_max(self, delay_max: Duration) -> Self {
         for endpoint in &mut self.lock().endpoints {
-            endpoint.backoff = Backoff::new(CONNECT_DELAY_MIN.min(delay_max), delay_max);
+            endpoint.backoff = Backoff::new(CONNECT_BACKOFF_MIN.min(delay_max), delay_max);
         }
         self
     }
 
-    /// Resets connections where others are closed. What a partition holds up of a call that was
-    /// given up is then never delivered.
+    /// Closes connections with a TCP reset, so that a request that timed out during a network
+    /// partition is not delivered when the partition ends.
     pub fn with_resets(self) -> Self {
-        Self { resets: true, ..self }
+        Self { reset_on_close: true, ..self }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Shared> {
-        self.shared.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, ClientState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a request and reads its whole answer of at most `max_bytes`.
+    /// Sends a request and reads the complete response, whose body may have at most `max_bytes`.
     pub async fn call(
         &self,
         request: Request<Bytes>,
@@ -144,16 +150,18 @@
             Ok(Err(error)) if error.is::<LengthLimitError>() => {
                 return Err(CallError::TooLarge { max_bytes });
             }
-            Ok(Err(error)) => return Err(self.unanswered(connection.endpoint, error, false)),
-            Err(_) => return Err(self.unanswered(connection.endpoint, "timeout", false)),
+            Ok(Err(error)) => {
+                return Err(self.handle_no_response(connection.endpoint, error, false));
+            }
+            Err(_) => return Err(self.handle_no_response(connection.endpoint, "timeout", false)),
         };
-        connection.answered = Some(Instant::now());
-        self.keep(connection);
+        connection.last_response_at = Some(Instant::now());
+        self.keep_idle(connection);
         let etag = parts.headers.get(header::ETAG).cloned();
         Ok(Answer { status: parts.status, etag, body })
     }
 
-    /// Sends a request and returns its answer with the body still to be read.
+    /// Sends a request and returns the response with an unread body.
     pub async fn open(
         &self,
         request: Request<Bytes>,
@@ -161,13 +169,15 @@
     ) -> Result<(Connection, Parts, Incoming), CallError> {
         loop {
             let mut connection = self.connection(deadline).await?;
-            let request = self.addressed(&request, connection.endpoint);
-            let reused = connection.answered.is_some();
+            let request = self.with_headers(&request, connection.endpoint);
+            let reused = connection.last_response_at.is_some();
             let sending = connection.sender.try_send_request(request);
             let mut error = match timeout_at(deadline, sending).await {
-                Err(_) => return Err(self.unanswered(connection.endpoint, "timeout", false)),
+                Err(_) => {
+                    return Err(self.handle_no_response(connection.endpoint, "timeout", false));
+                }
                 Ok(Ok(answer)) => {
-                    self.note_success(connection.endpoint);
+                    self.record_success(connection.endpoint);
                     let (parts, body) = answer.into_parts();
                     return Ok((connection, parts, body));
                 }
@@ -176,9 +186,11 @@
             let unsent = error.take_message().is_some();
             let error = error.into_error();
             match (unsent, reused) {
-                (false, _) => return Err(self.unanswered(connection.endpoint, error, reused)),
+                (false, _) => {
+                    return Err(self.handle_no_response(connection.endpoint, error, reused));
+                }
                 (true, false) => {
-                    self.note_failure(connection.endpoint);
+                    self.record_failure(connection.endpoint);
                     return Err(CallError::NotSent(error.to_string().into()));
                 }
                 (true, true) => {}
@@ -186,7 +198,7 @@
         }
     }
 
-    fn addressed(&self, request: &Request<Bytes>, endpoint: usize) -> Request<Full<Bytes>> {
+    fn with_headers(&self, request: &Request<Bytes>, endpoint: usize) -> Request<Full<Bytes>> {
         let address = self.lock().endpoints[endpoint].address;
         let mut request = request.clone().map(Full::new);
         let headers = request.headers_mut();
@@ -200,47 +212,48 @@
         request
     }
 
-    /// Takes an idle connection that has answered a short time ago, or opens a new one.
+    /// Returns an idle connection that can be reused, or opens a new one.
     async fn connection(&self, deadline: Instant) -> Result<Connection, CallError> {
         if let Some(connection) = self.take_idle() {
             return Ok(connection);
         }
         let candidates = self.candidates();
-        let mut reason: Arc<str> = "waiting after failed connections".into();
+        let mut reason: Arc<str> = "all addresses are in backoff after failed connects".into();
         for (remaining, endpoint) in candidates.iter().rev().enumerate().rev() {
             match self.connect(*endpoint, remaining, deadline).await {
                 Ok(connection) => return Ok(connection),
                 Err(error) => reason = error,
             }
-            self.note_failure(*endpoint);
+            self.record_failure(*endpoint);
         }
         Err(CallError::NotSent(reason))
     }
 
     fn take_idle(&self) -> Option<Connection> {
-        let mut shared = self.lock();
-        shared.idle.retain(|connection| {
-            let fresh = connection.answered.is_some_and(|time| time.elapsed() < REUSE_MAX);
+        let mut state = self.lock();
+        state.idle.retain(|connection| {
+            let fresh =
+                connection.last_response_at.is_some_and(|time| time.elapsed() < IDLE_REUSE_MAX);
             fresh && connection.sender.is_ready()
         });
-        shared.idle.pop()
+        state.idle.pop()
     }
 
-    fn keep(&self, connection: Connection) {
-        let mut shared = self.lock();
-        if shared.idle.len() < IDLE_MAX {
-            shared.idle.push(connection);
+    fn keep_idle(&self, connection: Connection) {
+        let mut state = self.lock();
+        if state.idle.len() < IDLE_CONNECTIONS_MAX {
+            state.idle.push(connection);
         }
     }
 
-    /// Endpoints that may be tried now, the preferred one first.
+    /// Returns the endpoints that are not in backoff, the preferred one first.
     fn candidates(&self) -> Vec<usize> {
         let now = Instant::now();
-        let shared = self.lock();
-        let count = shared.endpoints.len();
-        let order = (0..count).map(|offset| (shared.preferred + offset) % count);
+        let state = self.lock();
+        let count = state.endpoints.len();
+        let order = (0..count).map(|offset| (state.preferred + offset) % count);
         let may_try = |endpoint: &usize| {
-            shared.endpoints[*endpoint].not_before.is_none_or(|not_before| not_before <= now)
+            state.endpoints[*endpoint].not_before.is_none_or(|not_before| not_before <= now)
         };
         order.filter(may_try).collect()
     }
@@ -258,50 +271,50 @@
             _ => now + deadline.saturating_duration_since(now) / CONNECT_TIMEOUT_DIVISOR,
         };
         let connecting = timeout_at(limit, TcpStream::connect(address)).await;
-        let stream = connecting.map_err(|_| "connect timeout")?.map_err(text)?;
+        let stream = connecting.map_err(|_| "connect timeout")?.map_err(to_text)?;
         let _ = stream.set_nodelay(true);
-        if self.resets {
-            stream.set_zero_linger().map_err(text)?;
+        if self.reset_on_close {
+            stream.set_zero_linger().map_err(to_text)?;
         }
-        let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(text)?;
+        let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(to_text)?;
         let task = tokio::spawn(async move {
             let _ = connection.await;
         });
         let _task = AbortOnDropHandle::new(task);
-        Ok(Connection { sender, endpoint, answered: None, _task })
+        Ok(Connection { sender, endpoint, last_response_at: None, _task })
     }
 
-    fn note_success(&self, endpoint: usize) {
-        let mut shared = self.lock();
-        shared.preferred = endpoint;
-        shared.endpoints[endpoint].backoff.reset();
-        shared.endpoints[endpoint].not_before = None;
+    fn record_success(&self, endpoint: usize) {
+        let mut state = self.lock();
+        state.preferred = endpoint;
+        state.endpoints[endpoint].backoff.reset();
+        state.endpoints[endpoint].not_before = None;
     }
 
-    /// Leaves an endpoint alone for a while after it could not be reached.
-    fn note_failure(&self, endpoint: usize) {
-        let mut shared = self.lock();
-        let failed = &mut shared.endpoints[endpoint];
+    /// Starts the backoff of an endpoint that could not be reached.
+    fn record_failure(&self, endpoint: usize) {
+        let mut state = self.lock();
+        let failed = &mut state.endpoints[endpoint];
         failed.not_before = Some(Instant::now() + failed.backoff.next_delay());
     }
 
-    /// Forgets the idle connections to an endpoint and prefers the next one, unless just one
-    /// connection was closed while it was idle.
-    fn unanswered(
+    /// Drops the idle connections to an endpoint. Prefers the next endpoint, unless the failure may
+    /// only be that a reused connection was closed while it was idle.
+    fn handle_no_response(
         &self,
         endpoint: usize,
         reason: impl ToString,
         stale_connection: bool,
     ) -> CallError {
-        let mut shared = self.lock();
-        shared.idle.retain(|connection| connection.endpoint != endpoint);
+        let mut state = self.lock();
+        state.idle.retain(|connection| connection.endpoint != endpoint);
         if !stale_connection {
-            shared.preferred = (endpoint + 1) % shared.endpoints.len();
+            state.preferred = (endpoint + 1) % state.endpoints.len();
         }
         CallError::Unanswered { reason: reason.to_string().into(), stale_connection }
     }
 }
 
-fn text(error: impl ToString) -> Arc<str> {
+fn to_text(error: impl ToString) -> Arc<str> {
     error.to_string().into()
 }
--- a/crates/platform/src/lease.rs
+++ b/crates/platform/src/lease.rs
@@ -1,10 +1,10 @@
-//! Keeps a lease of the store alive and knows, without asking, until when it surely holds.
+//! Renews a lease of the store and tracks locally until when the lease is certainly valid.
 //!
-//! The validity is measured from before each renewal was sent, so that it ends before the store
-//! ends the lease, however long the holder or the answer is delayed. Both the monotonic clock and
-//! the time since boot are consulted and the later one counts, since the monotonic clock stands
-//! still while a machine is suspended. Check the validity at the moment of use: a holder that was
-//! paused finds it over when it wakes up.
+//! The validity counts from the time at which a renewal was sent, so it ends before the store ends
+//! the lease, however long the holder or the response is delayed. The elapsed time is the larger of
+//! the monotonic time and the time since boot, because the monotonic clock stops while the machine
+//! is suspended. Check the validity immediately before each use: a holder that was paused may find
+//! that its lease has expired.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,24 +21,26 @@
 use crate::event::PlatformEvent;
 use crate::store::{LeaseId, Store, StoreError};
 
-/// Part of the time to live that is left unused, against clocks that run at different rates.
-const MARGIN_DIVISOR: u32 = 10;
-/// Renewals per time to live while they succeed.
+/// Divisor of the time to live that gives the safety margin for clocks of different rates.
+const TTL_MARGIN_DIVISOR: u32 = 10;
+/// Number of renewals per time to live while renewals succeed.
 const RENEWALS_PER_TTL: u32 = 3;
-/// Renewals per time to live after one has failed.
+/// Number of renewals per time to live after a failure.
 const RETRIES_PER_TTL: u32 = 10;
-/// Part of the time to live that an attempt may take: the rest of it would be of little use.
-const ATTEMPT_PART: f64 = 0.75;
+/// Timeout of a renewal as a fraction of the time to live; a later response would extend the
+/// validity by too little.
+const ATTEMPT_TTL_FRACTION: f64 = 0.75;
 
-/// Tells whether a lease holds now. Clones are cheap and share the same lease.
+/// Validity of a lease. Clones are cheap and share one state.
 #[derive(Debug, Clone)]
 pub struct LeaseValidity {
     start: Stamp,
-    valid_ns: Arc<AtomicU64>,
+    /// End of the validity, in nanoseconds after `start`.
+    valid_until_ns: Arc<AtomicU64>,
 }
 
-/// A moment on the monotonic clock, which stands still while a machine is suspended, and on the
-/// one that counts suspensions.
+/// A point in time on the monotonic clock, which stops while the machine is suspended, and on the
+/// boot-time clock, which does not.
 #[derive(Debug, Clone, Copy)]
 pub struct Stamp {
     monotonic: Instant,
@@ -46,12 +48,12 @@
 }
 
 impl Stamp {
-    /// The present moment.
+    /// Returns the current time.
     pub fn now() -> Self {
         Self { monotonic: Instant::now(), boot: since_boot() }
     }
 
-    /// Time from `earlier` to this moment on the clock that advanced more.
+    /// Returns the time elapsed since `earlier` on the clock that advanced more.
     pub fn since(&self, earlier: &Self) -> Duration {
         let monotonic = self.monotonic.duration_since(earlier.monotonic);
         monotonic.max(self.boot.saturating_sub(earlier.boot))
@@ -60,102 +62,103 @@
 
 impl LeaseValidity {
     fn new(start: Stamp) -> Self {
-        Self { start, valid_ns: Arc::default() }
+        Self { start, valid_until_ns: Arc::default() }
     }
 
-    /// Whether the lease surely holds at this moment.
+    /// Returns whether the lease is certainly valid now.
     pub fn is_valid(&self) -> bool {
         !self.remaining().is_zero()
     }
 
-    /// How long the lease surely holds from now on.
+    /// Returns the time for which the lease is certainly still valid.
     pub fn remaining(&self) -> Duration {
-        let valid = Duration::from_nanos(self.valid_ns.load(Ordering::Acquire));
+        let valid = Duration::from_nanos(self.valid_until_ns.load(Ordering::Acquire));
         valid.saturating_sub(Stamp::now().since(&self.start))
     }
 
-    /// Notes a renewal that was sent at `sent` and answered with a time to live.
-    fn renew(&self, sent: Stamp, ttl: Duration) {
-        let until = sent.since(&self.start) + (ttl - ttl / MARGIN_DIVISOR);
+    /// Extends the validity by a renewal that was sent at `sent` and returned the time to live
+    /// `ttl`.
+    fn extend(&self, sent: Stamp, ttl: Duration) {
+        let until = sent.since(&self.start) + (ttl - ttl / TTL_MARGIN_DIVISOR);
         let until_ns = u64::try_from(until.as_nanos()).unwrap_or(u64::MAX);
-        self.valid_ns.fetch_max(until_ns, Ordering::AcqRel);
+        self.valid_until_ns.fetch_max(until_ns, Ordering::AcqRel);
     }
 
-    fn end(&self) {
-        self.valid_ns.store(0, Ordering::Release);
+    fn invalidate(&self) {
+        self.valid_until_ns.store(0, Ordering::Release);
     }
 }
 
-/// A lease that is renewed until it is closed, dropped or has expired in the store.
+/// Renews a lease until the keeper is closed or dropped, or the lease has expired in the store.
 #[derive(Debug)]
 pub struct LeaseKeeper<S: Store> {
     store: S,
     id: LeaseId,
     validity: LeaseValidity,
     ended: watch::Receiver<bool>,
-    renewals: AbortOnDropHandle<()>,
+    renewal_task: AbortOnDropHandle<()>,
 }
 
 impl<S: Store> LeaseKeeper<S> {
-    /// Grants a lease and starts to renew it.
+    /// Requests a lease and starts to renew it.
     pub async fn start(store: S, ttl: Duration) -> Result<Self, StoreError> {
         let sent = Stamp::now();
         let id = store.grant_lease(ttl).await?;
         let validity = LeaseValidity::new(sent);
-        validity.renew(sent, ttl);
+        validity.extend(sent, ttl);
         let (sender, ended) = watch::channel(false);
         let task = renew(store.clone(), id, ttl, validity.clone(), sender);
-        let renewals = AbortOnDropHandle::new(tokio::spawn(task));
-        Ok(Self { store, id, validity, ended, renewals })
+        let renewal_task = AbortOnDropHandle::new(tokio::spawn(task));
+        Ok(Self { store, id, validity, ended, renewal_task })
     }
 
-    /// Identifier of the lease, to bind keys to it.
+    /// Returns the identifier of the lease, to which keys can be bound.
     pub fn id(&self) -> LeaseId {
         self.id
     }
 
-    /// Whether the lease surely holds at this moment.
+    /// Returns whether the lease is certainly valid now.
     pub fn is_valid(&self) -> bool {
         self.validity.is_valid()
     }
 
-    /// A handle on the validity, for the places where it is used.
+    /// Returns a handle with which other components can check the validity.
     pub fn validity(&self) -> LeaseValidity {
         self.validity.clone()
     }
 
-    /// Waits until the store says that the lease has expired. It never holds again after that.
+    /// Waits until the store reports that the lease has expired, which is final.
     pub async fn ended(&self) {
         let _ = self.ended.clone().wait_for(|ended| *ended).await;
     }
 
-    /// Ends the lease and removes the keys bound to it. It is invalid at once, whatever the
-    /// outcome in the store.
+    /// Revokes the lease, which removes the keys bound to it. The validity ends before the call to
+    /// the store, whatever its outcome.
     pub async fn close(self) -> Result<(), StoreError> {
-        self.renewals.abort();
-        let _ = self.renewals.await;
-        self.validity.end();
+        self.renewal_task.abort();
+        let _ = self.renewal_task.await;
+        self.validity.invalidate();
         self.store.revoke_lease(self.id).await
     }
 }
 
-/// An attempt to renew a lease.
-struct Renewal {
+/// Result of one attempt to renew a lease.
+struct RenewalAttempt {
     sent: Stamp,
-    /// `None` if it has taken too long.
-    answer: Option<Result<Duration, StoreError>>,
+    /// `None` if the attempt timed out.
+    result: Option<Result<Duration, StoreError>>,
 }
 
-async fn attempt<S: Store>(store: &S, id: LeaseId, ttl: Duration) -> Renewal {
+async fn attempt<S: Store>(store: &S, id: LeaseId, ttl: Duration) -> RenewalAttempt {
     let sent = Stamp::now();
-    let answer = timeout(ttl.mul_f64(ATTEMPT_PART), store.keep_alive(id)).await.ok();
-    Renewal { sent, answer }
+    let result = timeout(ttl.mul_f64(ATTEMPT_TTL_FRACTION), store.keep_alive(id)).await.ok();
+    RenewalAttempt { sent, result }
 }
 
-/// Renews a lease until the store says that it has expired.
+/// Renews a lease until the store reports that it has expired.
 ///
-/// An attempt does not wait for the one before it: a slow store or a connection on which an
-/// answer was lost delays that attempt alone.
+/// Attempts run concurrently, so a slow store or a connection on which a response was lost delays
+/// only the affected attempt.
 async fn renew<S: Store>(
     store: S,
     id: LeaseId,
@@ -165,19 +168,19 @@
 ) {
     let interval = || jitter(ttl / RENEWALS_PER_TTL);
     let mut attempts = FuturesUnordered::new();
-    let mut next = Instant::now() + interval();
+    let mut next_attempt = Instant::now() + interval();
     loop {
         let renewal = tokio::select! {
-            () = sleep_until(next) => {
+            () = sleep_until(next_attempt) => {
                 attempts.push(attempt(&store, id, ttl));
-                next = Instant::now() + interval();
+                next_attempt = Instant::now() + interval();
                 continue;
             }
             Some(renewal) = attempts.next() => renewal,
         };
-        match renewal.answer {
+        match renewal.result {
             Some(Ok(granted)) => {
-                validity.renew(renewal.sent, granted.min(ttl));
+                validity.extend(renewal.sent, granted.min(ttl));
                 continue;
             }
             Some(Err(StoreError::LeaseExpired)) => break,
@@ -188,9 +191,9 @@
                 cassiafold_event::emit!(PlatformEvent::LeaseRenewalFailed, error = "timeout");
             }
         }
-        next = next.min(Instant::now() + jitter(ttl / RETRIES_PER_TTL));
+        next_attempt = next_attempt.min(Instant::now() + jitter(ttl / RETRIES_PER_TTL));
     }
-    validity.end();
+    validity.invalidate();
     ended.send_replace(true);
     cassiafold_event::emit!(PlatformEvent::LeaseExpired, lease = id);
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,5 @@
-//! Clients of what the platform gives: the key-value service, the list of instances and the
-//! control of instances. Each is a small trait, so that tests can put a fake in its place.
+//! Clients of the services of the platform: the key-value service, the instance list and the
+//! instance control. Each is a trait, so that tests can use a fake.
 
 pub mod backoff;
 pub mod clock;
--- a/crates/platform/src/metrics.rs
+++ b/crates/platform/src/metrics.rs
@@ -9,9 +9,9 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
-/// Upper bound of the first bucket of call durations, in seconds.
+/// Upper bound of the first histogram bucket, in seconds.
 const FIRST_BUCKET_S: f64 = 0.000_5;
-/// Number of buckets of call durations, each twice as wide as the one before.
+/// Number of histogram buckets; each bound is twice the previous one.
 const BUCKETS: u16 = 14;
 
 /// Kind of a call to the key-value service.
@@ -19,7 +19,7 @@
 pub enum StoreCall {
     /// Read of one key.
     Get,
-    /// Read of a page of keys.
+    /// Read of one page of a key range.
     List,
     /// Compare-and-swap of one key.
     Write,
@@ -27,20 +27,20 @@
     GrantLease,
     /// Renewal of a lease.
     KeepAlive,
-    /// End of a lease.
+    /// Revocation of a lease.
     RevokeLease,
-    /// Watch, counted once however long it waits.
+    /// Opening of a watch stream, counted once however long the stream lasts.
     Watch,
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CallOutcome {
-    /// The service answered.
+    /// The service responded.
     Answered,
     /// The call had no effect.
     Failed,
-    /// The answer was lost.
+    /// The response was lost; the call may have had an effect.
     Unknown,
 }
 
@@ -68,23 +68,23 @@
     }
 }
 
-/// Labels of a counted call.
+/// Labels of the counter of calls.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
     /// Kind of the call.
     pub call: StoreCall,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: CallOutcome,
 }
 
-/// Labels of a measured call.
+/// Labels of the histogram of durations.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KindLabels {
     /// Kind of the call.
     pub call: StoreCall,
 }
 
-/// Counts and durations of calls by kind. Clones share one state.
+/// Counts and durations of calls, by kind. Clones share one state.
 #[derive(Debug, Clone)]
 pub struct StoreMetrics {
     calls: Family<CallLabels, Counter>,
@@ -102,7 +102,7 @@
 }
 
 impl StoreMetrics {
-    /// Adds the metrics to a registry.
+    /// Registers the metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "store_calls",
@@ -117,13 +117,13 @@
         );
     }
 
-    /// Notes a call that has ended; a watch has once it is open.
+    /// Records a call that has ended. For a watch that is when its stream has opened.
     pub fn record(&self, call: StoreCall, outcome: CallOutcome, duration: Duration) {
         self.calls.get_or_create(&CallLabels { call, outcome }).inc();
         self.durations.get_or_create(&KindLabels { call }).observe(duration.as_secs_f64());
     }
 
-    /// Number of calls of one kind that ended so.
+    /// Returns the number of calls of this kind with this outcome.
     pub fn count(&self, call: StoreCall, outcome: CallOutcome) -> u64 {
         self.calls.get_or_create(&CallLabels { call, outcome }).get()
     }
--- a/crates/platform/src/redfish.rs
+++ b/crates/platform/src/redfish.rs
@@ -1,7 +1,7 @@
 //! Client of an instance control that follows Redfish.
 //!
-//! A reboot is the action `ComputerSystem.Reset`. The request id travels in a header, and a repeat
-//! with the same id finds the first request, so that a lost answer can be settled by asking again.
+//! A reboot is the action `ComputerSystem.Reset`. The request id is sent in a header as idempotency
+//! key, so a request whose response was lost can be retried without a second reboot.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,25 +18,25 @@
 
 /// Header that carries the request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Size of the largest answer that is read, in bytes.
-const ANSWER_BYTES_MAX: usize = 64 * 1024;
+/// Maximum size of a response, in bytes.
+const RESPONSE_BYTES_MAX: usize = 64 * 1024;
 
 /// Body of the action `ComputerSystem.Reset`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResetRequest {
-    /// Kind of the reset.
+    /// Type of the reset.
     #[serde(rename = "ResetType")]
     pub reset_type: ResetType,
 }
 
-/// Kind of a reset.
+/// Type of a reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResetType {
-    /// The system shuts down in order and starts again.
+    /// The system shuts down gracefully and starts again.
     GracefulRestart,
 }
 
-/// Client of the control of instances. Clones share connections.
+/// Client of the instance control. Clones share connections.
 #[derive(Debug, Clone)]
 pub struct HttpInstanceControl {
     http: HttpClient,
@@ -44,7 +44,7 @@
 }
 
 impl HttpInstanceControl {
-    /// A client, named `client` as user agent, whose calls end after `timeout`.
+    /// Creates a client that sends `client` as user agent and whose calls time out after `timeout`.
     pub fn new(address: SocketAddr, client: impl Into<Arc<str>>, timeout: Duration) -> Self {
         Self { http: HttpClient::new(&[address], client), timeout }
     }
@@ -52,21 +52,21 @@
 
 impl InstanceControl for HttpInstanceControl {
     async fn reboot(&self, instance: &InstanceId, request_id: &str) -> Result<(), ControlError> {
-        let request = reset(instance, request_id)?;
+        let request = reset_request(instance, request_id)?;
         let deadline = Instant::now() + self.timeout;
-        match self.http.call(request, deadline, ANSWER_BYTES_MAX).await {
-            Ok(answer) => verdict(answer.status),
+        match self.http.call(request, deadline, RESPONSE_BYTES_MAX).await {
+            Ok(answer) => response_result(answer.status),
             Err(CallError::NotSent(reason)) => Err(ControlError::Unavailable(reason)),
             Err(error) => Err(ControlError::OutcomeUnknown(error.to_string().into())),
         }
     }
 }
 
-fn reset(instance: &str, request_id: &str) -> Result<Request<Bytes>, ControlError> {
+fn reset_request(instance: &str, request_id: &str) -> Result<Request<Bytes>, ControlError> {
     let refused = |reason: &str| ControlError::Unavailable(reason.into());
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     if instance.is_empty() || instance.starts_with('.') || !instance.bytes().all(is_plain) {
-        return Err(refused("the instance id cannot stand in a path"));
+        return Err(refused("instance id contains characters that are not allowed in a path"));
     }
     let body = ResetRequest { reset_type: ResetType::GracefulRestart };
     let body = serde_json::to_vec(&body).map_err(|error| refused(&error.to_string()))?;
@@ -77,8 +77,9 @@
         .map_err(|error| refused(&error.to_string()))
 }
 
-/// A refusal by the service had no effect; a failure within it may have had one.
-fn verdict(status: StatusCode) -> Result<(), ControlError> {
+/// Maps the status of a response to a result. A request that the service refused had no effect; one
+/// that failed within the service may have had one.
+fn response_result(status: StatusCode) -> Result<(), ControlError> {
     let reason = || format!("status {status}").into();
     if status.is_success() {
         return Ok(());
--- a/crates/platform/src/store.rs
+++ b/crates/platform/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service: compare-and-swap, leases and watches.
+//! Interface of the platform's key-value service: compare-and-swap, leases and watches.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 
 use bytes::Bytes;
 
-/// Number that the key-value service raises with each write.
+/// Number that the key-value service increases with each write.
 pub type Revision = u64;
-/// Identifies a lease granted by the key-value service.
+/// Identifier of a lease granted by the key-value service.
 pub type LeaseId = i64;
 
-/// Size of the largest value that the key-value service holds, in bytes.
+/// Maximum size of a value in the key-value service, in bytes.
 pub const VALUE_BYTES_MAX: usize = 1_000_000;
 
 /// A stored value.
@@ -19,22 +19,22 @@
 pub struct Record {
     /// Key of the value.
     pub key: Arc<str>,
-    /// The value, at most one megabyte.
+    /// The value, of at most [`VALUE_BYTES_MAX`].
     pub value: Bytes,
     /// Revision of the last write of this key.
     pub revision: Revision,
 }
 
-/// All values below a prefix at one revision.
+/// All values with a common key prefix at one revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Snapshot {
     /// Revision at which the values were read.
     pub revision: Revision,
-    /// The values in order of key.
+    /// The values, ordered by key.
     pub records: Vec<Record>,
 }
 
-/// Condition that a key must meet for a write to take effect.
+/// Condition on a key under which a write takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Compare {
     /// The key does not exist.
@@ -43,14 +43,14 @@
     Revision(Revision),
 }
 
-/// What a write does when its condition is met.
+/// Effect of a write whose condition is met.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Operation {
-    /// Stores a value, which disappears with `lease` where one is given.
+    /// Stores a value, which is removed when `lease` ends, if one is given.
     Put {
         /// The value to store.
         value: Bytes,
-        /// Lease that bounds the life of the value.
+        /// Lease to which the key is bound.
         lease: Option<LeaseId>,
     },
     /// Removes the key.
@@ -69,14 +69,14 @@
 }
 
 impl Write {
-    /// A write that stores `value` without a lease.
+    /// Creates a write that stores `value` without a lease.
     pub fn put(key: impl Into<Arc<str>>, compare: Compare, value: impl Into<Bytes>) -> Self {
         let operation = Operation::Put { value: value.into(), lease: None };
         Self { key: key.into(), compare, operation }
     }
 }
 
-/// Answer to a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// The write took effect at this revision.
@@ -85,7 +85,7 @@
     Conflict,
 }
 
-/// A change seen by a watch.
+/// A change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// Key that changed.
@@ -99,21 +99,21 @@
 /// Failure of a call to the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The call had no effect: the service could not be reached or refused it.
+    /// The call had no effect: the service was unreachable or refused it.
     #[error("key-value service unavailable: {0}")]
     Unavailable(Arc<str>),
-    /// The answer was lost; a write may have taken effect.
+    /// The response was lost; a write may have taken effect.
     #[error("outcome of the call to the key-value service is unknown: {0}")]
     OutcomeUnknown(Arc<str>),
     /// The lease does not exist or has expired.
     #[error("lease expired")]
     LeaseExpired,
-    /// The service cannot resume a watch at this position, because its history no longer reaches
-    /// back or because it was restored to an older state. Start again from a snapshot.
-    #[error("watch position was compacted")]
+    /// The service cannot start a watch at this revision, because it has compacted that part of its
+    /// history or was restored to an older state. Restart from a snapshot.
+    #[error("revision of the watch was compacted")]
     Compacted,
-    /// The service sent an answer that cannot be understood.
-    #[error("malformed answer of the key-value service: {0}")]
+    /// The response of the service cannot be decoded.
+    #[error("malformed response of the key-value service: {0}")]
     Malformed(Arc<str>),
 }
 
@@ -125,13 +125,13 @@
     /// Reads one key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Record>, StoreError>> + Send;
 
-    /// Reads every key that starts with `prefix`.
+    /// Reads all keys that start with `prefix`.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Snapshot, StoreError>> + Send;
 
     /// Writes one key if its condition is met.
     fn write(&self, write: Write) -> impl Future<Output = Result<WriteOutcome, StoreError>> + Send;
 
-    /// Grants a lease that expires after `ttl` without renewal.
+    /// Requests a lease that expires after `ttl` without renewal.
     fn grant_lease(
         &self,
         ttl: Duration,
@@ -143,12 +143,12 @@
         lease: LeaseId,
     ) -> impl Future<Output = Result<Duration, StoreError>> + Send;
 
-    /// Ends a lease and removes the keys bound to it.
+    /// Revokes a lease, which removes the keys bound to it.
     fn revoke_lease(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Watches every key that starts with `prefix` for changes after revision `after`, which may
-    /// not lie in the future of the service. A position that the service cannot resume is reported
-    /// here or by the first [`Watch::next`].
+    /// Watches all keys that start with `prefix` for changes after revision `after`, which must not
+    /// exceed the current revision of the service. [`StoreError::Compacted`] is returned here or by
+    /// the first [`Watch::next`].
     fn watch(
         &self,
         prefix: &str,
@@ -159,9 +159,9 @@
 /// Condition on one key of a [`Transaction`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Expectation {
-    /// Key that the condition is about.
+    /// Key to compare.
     pub key: Arc<str>,
-    /// State that the key must have.
+    /// Required state of the key.
     pub compare: Compare,
 }
 
@@ -170,11 +170,11 @@
 pub struct Effect {
     /// Key to change.
     pub key: Arc<str>,
-    /// What happens to the key.
+    /// Change of the key.
     pub operation: Operation,
 }
 
-/// A change of several keys that takes effect as a whole, if all conditions are met.
+/// An atomic change of several keys that takes effect if all conditions are met.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transaction {
     /// Conditions.
@@ -208,22 +208,22 @@
         self
     }
 
-    /// Number of conditions and effects.
+    /// Returns the number of conditions and effects.
     pub fn entries(&self) -> usize {
         self.expectations.len() + self.effects.len()
     }
 }
 
-/// Answer to a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionOutcome {
     /// The transaction took effect at this revision.
     Written(Revision),
-    /// A condition was not met and nothing changed; the keys of the conditions that exist.
+    /// A condition was not met and nothing changed. Contains the existing keys of the conditions.
     Conflict(Vec<Record>),
 }
 
-/// A store that changes several keys at once.
+/// A store that supports transactions.
 pub trait TransactionalStore: Store {
     /// Applies a transaction if its conditions are met.
     fn commit(
@@ -232,7 +232,7 @@
     ) -> impl Future<Output = Result<TransactionOutcome, StoreError>> + Send;
 }
 
-/// Stream of changes below a prefix.
+/// Stream of changes of the keys with a common prefix.
 pub trait Watch: Send + 'static {
     /// Waits for the next changes, in order of revision.
     fn next(&mut self) -> impl Future<Output = Result<Vec<Change>, StoreError>> + Send;
--- a/crates/platform/src/update.rs
+++ b/crates/platform/src/update.rs
@@ -1,17 +1,17 @@
-//! Compare-and-swap updates whose unknown outcomes are settled by reading back.
+//! Compare-and-swap updates that resolve unknown outcomes by reading the document back.
 //!
-//! Each write carries a fresh write id, and each document keeps the ids of its last writes. When
-//! an answer is lost, the document is read back:
+//! Each write has a new write id, and each document keeps the ids of its last writes. When a
+//! response is lost, the document is read back:
 //!
-//! - it holds the write id: the write took effect;
-//! - it was written since by others and its log covers the place of this write: the write had no
-//!   effect and, since its condition can no longer be met, never will;
-//! - it is unchanged: the write was lost or is still under way. The same write, with the same id
-//!   and the same condition, is sent again; the condition lets at most one of the two take effect;
-//! - its log no longer covers the place of this write: the outcome stays unknown.
+//! - it contains the write id: the write took effect;
+//! - others have written it and its log still covers the number of this write: the write had no
+//!   effect and never will, since its condition can no longer be met;
+//! - it is unchanged: the write was lost or is still in flight. The same write, with the same id and
+//!   condition, is sent again; the condition lets at most one of the two take effect;
+//! - its log no longer covers the number of this write: the outcome stays unknown.
 //!
-//! Keys that are updated this way must not be removed, because a key that is absent again meets
-//! the condition of its creation a second time.
+//! Keys that are updated this way must not be removed, because a removed key meets the condition of
+//! its creation a second time.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -35,19 +35,19 @@
     Applied {
         /// The value that was written.
         value: T,
-        /// Revision at which the store was seen to hold the write.
+        /// Revision of the document when the write was confirmed.
         revision: Revision,
     },
-    /// The update had no effect and will have none.
+    /// The update had no effect and never will.
     NotApplied(NotApplied<R>),
-    /// The update may have taken effect, once at most.
+    /// The update may have taken effect, at most once.
     StillUnknown {
-        /// Id of the write in question.
+        /// Id of the write with the unknown outcome.
         write_id: WriteId,
     },
 }
 
-/// Why an update had no effect.
+/// Reason why an update had no effect.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NotApplied<R> {
     /// The caller's function refused to change the value.
@@ -56,24 +56,24 @@
     /// The store could not be reached before the deadline.
     #[error("{0}")]
     Unavailable(StoreError),
-    /// Other writers won every time before the deadline.
-    #[error("other writers won until the deadline")]
+    /// Every attempt until the deadline conflicted with another writer.
+    #[error("all attempts until the deadline conflicted with other writers")]
     Contended,
-    /// The stored value or the new one cannot be understood.
+    /// The stored value cannot be decoded, or the new one cannot be encoded.
     #[error("{0}")]
     Malformed(Arc<str>),
-    /// The new value exceeds what the store holds.
-    #[error("new value of {size_bytes} bytes exceeds the largest value of the store")]
+    /// The new value exceeds [`VALUE_BYTES_MAX`].
+    #[error("new value of {size_bytes} bytes exceeds the value size limit of the store")]
     TooLarge {
-        /// Size of the new value.
+        /// Size of the new value, in bytes.
         size_bytes: usize,
     },
 }
 
-/// Updates the document at `key` until it is applied, refused or the deadline has come.
+/// Updates the document at `key`, with retries until `deadline`.
 ///
-/// `change` gets the value now, or `None` where the key does not exist, and returns the new value
-/// or a refusal. It is called again after each lost race.
+/// `change` receives the current value, or `None` if the key does not exist, and returns the new
+/// value or a refusal. It is called again after each conflict with another writer.
 pub async fn update<S: Store, T: Document, R: Send>(
     store: &S,
     writer: &Writer,
@@ -81,63 +81,66 @@
     deadline: Instant,
     mut change: impl FnMut(Option<&T>) -> Result<T, R> + Send,
 ) -> UpdateOutcome<T, R> {
-    let call = Call { store, key, deadline };
+    let call = UpdateCall { store, key, deadline };
     let mut backoff = Backoff::new(RETRY_DELAY_MIN, RETRY_DELAY_MAX);
     loop {
-        let prepared = match call.prepare(writer, &mut change).await {
+        let prepared = match call.prepare_write(writer, &mut change).await {
             Ok(prepared) => prepared,
             Err(reason) => return UpdateOutcome::NotApplied(reason),
         };
-        let reason = match call.settle(&prepared).await {
-            Settled::Applied(revision) => {
+        let reason = match call.resolve(&prepared).await {
+            WriteResolution::Applied(revision) => {
                 return UpdateOutcome::Applied { value: prepared.value, revision };
             }
-            Settled::Unknown => return UpdateOutcome::StillUnknown { write_id: prepared.id },
-            Settled::Lost => NotApplied::Contended,
-            Settled::Unsent(error) => NotApplied::Unavailable(error),
+            WriteResolution::Unknown => {
+                return UpdateOutcome::StillUnknown { write_id: prepared.id };
+            }
+            WriteResolution::Conflict => NotApplied::Contended,
+            WriteResolution::NoEffect(error) => NotApplied::Unavailable(error),
         };
-        if !call.pause(&mut backoff).await {
+        if !call.wait_before_retry(&mut backoff).await {
             return UpdateOutcome::NotApplied(reason);
         }
     }
 }
 
-/// A write with what is needed to find it again.
-struct Prepared<T> {
+/// A write, with the id and the number by which a read-back finds it in the log.
+struct PreparedWrite<T> {
     write: Write,
     id: WriteId,
     number: u64,
     value: T,
 }
 
-/// Outcome of one prepared write.
-enum Settled {
+/// Resolved outcome of one prepared write.
+enum WriteResolution {
     Applied(Revision),
-    Lost,
-    Unsent(StoreError),
+    Conflict,
+    NoEffect(StoreError),
     Unknown,
 }
 
-/// What a read-back says about a write.
-enum Trace {
+/// Result of reading the document back after a write.
+enum ReadBack {
     Applied(Revision),
-    Lost,
+    Conflict,
     Unchanged,
-    Forgotten,
+    NotInLog,
 }
 
-struct Call<'a, S> {
+/// Target and deadline of one update.
+struct UpdateCall<'a, S> {
     store: &'a S,
     key: &'a str,
     deadline: Instant,
 }
 
-impl<S: Store> Call<'_, S> {
-    async fn prepare<T: Document, R>(
+impl<S: Store> UpdateCall<'_, S> {
+    async fn prepare_write<T: Document, R>(
         &self,
         writer: &Writer,
         change: &mut impl FnMut(Option<&T>) -> Result<T, R>,
-    ) -> Result<Prepared<T>, NotApplied<R>> {
+    ) -> Result<PreparedWrite<T>, NotApplied<R>> {
         let record = self.read_until_deadline().await.map_err(NotApplied::Unavailable)?;
         let current = record.as_ref().map(|record| Envelope::<T>::decode(&record.value));
         let current = current.transpose().map_err(malformed)?;
@@ -152,31 +155,31 @@
             return Err(NotApplied::TooLarge { size_bytes: bytes.len() });
         }
         let compare = record.map_or(Compare::Absent, |record| Compare::Revision(record.revision));
-        Ok(Prepared { write: Write::put(self.key, compare, bytes), id, number, value })
+        Ok(PreparedWrite { write: Write::put(self.key, compare, bytes), id, number, value })
     }
 
-    /// Sends the write and, where the outcome is unknown, finds out what became of it.
-    async fn settle<T: Document>(&self, prepared: &Prepared<T>) -> Settled {
+    /// Sends the write and, if the response is lost, resolves the outcome by reading back.
+    async fn resolve<T: Document>(&self, prepared: &PreparedWrite<T>) -> WriteResolution {
         match self.write(prepared.write.clone()).await {
-            Ok(WriteOutcome::Written(revision)) => return Settled::Applied(revision),
-            Ok(WriteOutcome::Conflict) => return Settled::Lost,
-            Err(error) if had_no_effect(&error) => return Settled::Unsent(error),
+            Ok(WriteOutcome::Written(revision)) => return WriteResolution::Applied(revision),
+            Ok(WriteOutcome::Conflict) => return WriteResolution::Conflict,
+            Err(error) if had_no_effect(&error) => return WriteResolution::NoEffect(error),
             Err(_) => {}
         }
         let mut backoff = Backoff::new(RETRY_DELAY_MIN, RETRY_DELAY_MAX);
-        while self.pause(&mut backoff).await {
+        while self.wait_before_retry(&mut backoff).await {
             let Ok(record) = self.read().await else { continue };
-            match trace(record.as_ref(), prepared) {
-                Trace::Applied(revision) => return Settled::Applied(revision),
-                Trace::Lost => return Settled::Lost,
-                Trace::Forgotten => return Settled::Unknown,
-                Trace::Unchanged => {}
+            match check_read_back(record.as_ref(), prepared) {
+                ReadBack::Applied(revision) => return WriteResolution::Applied(revision),
+                ReadBack::Conflict => return WriteResolution::Conflict,
+                ReadBack::NotInLog => return WriteResolution::Unknown,
+                ReadBack::Unchanged => {}
             }
             if let Ok(WriteOutcome::Written(revision)) = self.write(prepared.write.clone()).await {
-                return Settled::Applied(revision);
+                return WriteResolution::Applied(revision);
             }
         }
-        Settled::Unknown
+        WriteResolution::Unknown
     }
 
     async fn read_until_deadline(&self) -> Result<Option<Record>, StoreError> {
@@ -186,32 +189,32 @@
                 Ok(record) => return Ok(record),
                 Err(error) => error,
             };
-            if !self.pause(&mut backoff).await {
+            if !self.wait_before_retry(&mut backoff).await {
                 return Err(error);
             }
         }
     }
 
     async fn read(&self) -> Result<Option<Record>, StoreError> {
-        let unanswered = StoreError::Unavailable("no answer before the deadline".into());
-        self.bounded(self.store.get(self.key), unanswered).await
+        let timeout_error = StoreError::Unavailable("no response before the deadline".into());
+        self.until_deadline(self.store.get(self.key), timeout_error).await
     }
 
     async fn write(&self, write: Write) -> Result<WriteOutcome, StoreError> {
-        let unanswered = StoreError::OutcomeUnknown("no answer before the deadline".into());
-        self.bounded(self.store.write(write), unanswered).await
+        let timeout_error = StoreError::OutcomeUnknown("no response before the deadline".into());
+        self.until_deadline(self.store.write(write), timeout_error).await
     }
 
-    async fn bounded<O>(
+    async fn until_deadline<O>(
         &self,
         call: impl Future<Output = Result<O, StoreError>>,
-        unanswered: StoreError,
+        timeout_error: StoreError,
     ) -> Result<O, StoreError> {
-        timeout_at(self.deadline, call).await.unwrap_or(Err(unanswered))
+        timeout_at(self.deadline, call).await.unwrap_or(Err(timeout_error))
     }
 
-    /// Waits before a retry. Returns false where the deadline comes first.
-    async fn pause(&self, backoff: &mut Backoff) -> bool {
+    /// Waits before a retry. Returns false if the deadline would pass first.
+    async fn wait_before_retry(&self, backoff: &mut Backoff) -> bool {
         let wake = Instant::now() + backoff.next_delay();
         if wake >= self.deadline {
             return false;
@@ -225,25 +228,25 @@
     NotApplied::Malformed(error.to_string().into())
 }
 
-/// Whether a failed write certainly had no effect.
+/// Returns whether a failed write certainly had no effect.
 fn had_no_effect(error: &StoreError) -> bool {
     matches!(error, StoreError::Unavailable(_) | StoreError::LeaseExpired)
 }
 
-/// Looks for the trace of a write in what was read back.
-fn trace<T: Document>(record: Option<&Record>, prepared: &Prepared<T>) -> Trace {
-    let Some(record) = record else { return Trace::Unchanged };
+/// Looks for a write in the log of the document that was read back.
+fn check_read_back<T: Document>(record: Option<&Record>, prepared: &PreparedWrite<T>) -> ReadBack {
+    let Some(record) = record else { return ReadBack::Unchanged };
     if let Compare::Revision(expected) = prepared.write.compare
         && record.revision <= expected
     {
-        return Trace::Unchanged;
+        return ReadBack::Unchanged;
     }
-    let Ok(envelope) = Envelope::<T>::decode(&record.value) else { return Trace::Forgotten };
+    let Ok(envelope) = Envelope::<T>::decode(&record.value) else { return ReadBack::NotInLog };
     if envelope.writes.contains(&prepared.id) {
-        return Trace::Applied(record.revision);
+        return ReadBack::Applied(record.revision);
     }
     match envelope.writes.covers(prepared.number) {
-        true => Trace::Lost,
-        false => Trace::Forgotten,
+        true => ReadBack::Conflict,
+        false => ReadBack::NotInLog,
     }
 }
--- a/crates/platform/tests/etcd.rs
+++ b/crates/platform/tests/etcd.rs
@@ -1,5 +1,5 @@
-//! The store client against connections that break, servers that answer badly and addresses that
-//! do not answer.
+//! Tests of the store client against broken connections, malformed responses and unreachable
+//! addresses.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,7 +22,7 @@
 const SHORT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of clients, each of which starts at a random address.
 const CLIENTS: usize = 40;
-/// How long a server waits for more bytes than a request has.
+/// Time for which a server waits for bytes beyond the end of the request.
 const READ_WAIT: Duration = Duration::from_millis(300);
 const LOOPBACK: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 0);
 
@@ -35,7 +35,7 @@
     EtcdStore::new(settings, StoreMetrics::default())
 }
 
-/// An address that refuses connections for as long as the socket is kept.
+/// Returns an address that refuses connections while the socket is kept.
 fn refusing() -> (SocketAddr, TcpSocket) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind(LOOPBACK.into()).unwrap();
@@ -64,11 +64,11 @@
 /// Reads one request.
 async fn read_request(stream: &mut TcpStream) -> String {
     let mut request = Vec::new();
-    while !complete(&request) && stream.read_buf(&mut request).await.unwrap() > 0 {}
+    while !is_complete(&request) && stream.read_buf(&mut request).await.unwrap() > 0 {}
     String::from_utf8(request).unwrap()
 }
 
-fn complete(request: &[u8]) -> bool {
+fn is_complete(request: &[u8]) -> bool {
     let text = String::from_utf8_lossy(request);
     let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
@@ -88,7 +88,7 @@
     assert!(matches!(result, Err(StoreError::Unavailable(_))), "{result:?}");
 }
 
-async fn broken_after(bytes: usize) {
+async fn write_with_connection_closed_after(bytes: usize) {
     let (address, task) = server(move |mut stream| async move {
         let mut request = vec![0; bytes];
         let _ = tokio::time::timeout(READ_WAIT, stream.read_exact(&mut request)).await;
@@ -101,11 +101,11 @@
 
 #[tokio::test]
 async fn a_connection_that_breaks_after_any_byte_leaves_the_outcome_unknown() {
-    join_all((1..400).map(broken_after)).await;
+    join_all((1..400).map(write_with_connection_closed_after)).await;
 }
 
 #[tokio::test]
-async fn an_answer_cut_off_at_any_byte_leaves_the_outcome_unknown() {
+async fn a_response_truncated_at_any_byte_leaves_the_outcome_unknown() {
     let whole = answer(WRITTEN);
     for bytes in 0..=whole.len() {
         let part = whole[..bytes].to_vec();
@@ -149,20 +149,23 @@
 }
 
 #[tokio::test]
-async fn a_dead_address_does_not_hinder_a_live_one() {
-    let (dead, _socket) = refusing();
+async fn an_unreachable_address_does_not_block_a_reachable_one() {
+    let (unreachable, _socket) = refusing();
     let (working, _task) = server(|mut stream| async move {
         read_request(&mut stream).await;
         stream.write_all(&answer(WRITTEN)).await.unwrap();
     })
     .await;
     for _ in 0..8 {
-        assert_eq!(client(&[dead, working]).write(put()).await, Ok(WriteOutcome::Written(4)));
+        assert_eq!(
+            client(&[unreachable, working]).write(put()).await,
+            Ok(WriteOutcome::Written(4))
+        );
     }
 }
 
 #[tokio::test]
-async fn a_connection_closed_while_idle_costs_a_read_nothing() {
+async fn a_read_succeeds_after_its_idle_connection_was_closed() {
     let (address, _task) = server(|mut stream| async move {
         read_request(&mut stream).await;
         stream.write_all(&answer(r#"{"header":{"revision":"4"}}"#)).await.unwrap();
@@ -175,7 +178,7 @@
 }
 
 #[tokio::test]
-async fn a_reused_connection_that_breaks_costs_a_read_nothing_and_a_write_its_answer() {
+async fn a_reused_connection_that_breaks_fails_a_write_but_not_a_read() {
     let (address, _task) = server(|mut stream| async move {
         if read_request(&mut stream).await.contains("/v3/kv/range") {
             stream.write_all(&answer(r#"{"header":{"revision":"4"}}"#)).await.unwrap();
@@ -191,7 +194,7 @@
     assert!(matches!(written, Err(StoreError::OutcomeUnknown(_))), "{written:?}");
 }
 
-/// Answers the requests of all connections in turn and returns the bodies that it read.
+/// Responds to the requests of all connections in order and returns the recorded requests.
 async fn scripted(answers: Vec<String>) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let requests = Arc::new(Mutex::new(Vec::new()));
     let seen = requests.clone();
@@ -212,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn all_pages_are_read_at_the_revision_of_the_first() {
+async fn all_pages_are_read_at_the_revision_of_the_first_page() {
     let first =
         r#"{"header":{"revision":"9"},"kvs":[{"key":"YQ==","mod_revision":"3"}],"more":true}"#;
     let second = r#"{"header":{"revision":"12"},"kvs":[{"key":"Yg==","mod_revision":"4"}]}"#;
@@ -236,7 +239,7 @@
 }
 
 watch_starts! {
-    a_watch_beyond_a_restored_store_is_compacted:
+    a_watch_after_the_revision_of_a_restored_store_is_compacted:
         "{\"result\":{\"header\":{\"revision\":\"4\"},\"created\":true}}\n"
         => StoreError::Compacted,
     a_watch_before_the_kept_history_is_compacted:
@@ -245,13 +248,13 @@
     a_refused_watch_is_unavailable:
         "{\"error\":{\"grpc_code\":14,\"message\":\"etcdserver: no leader\"}}\n"
         => StoreError::Unavailable(_),
-    a_watch_without_its_creation_is_malformed:
+    a_watch_without_confirmed_creation_is_malformed:
         "{\"result\":{\"header\":{\"revision\":\"9\"}}}\n" => StoreError::Malformed(_),
-    a_watch_of_something_else_is_malformed: "[]\n" => StoreError::Malformed(_),
+    a_watch_message_of_another_type_is_malformed: "[]\n" => StoreError::Malformed(_),
 }
 
 #[tokio::test]
-async fn an_endless_answer_is_refused() {
+async fn a_response_beyond_the_size_limit_is_refused() {
     let (address, _task) = server(|mut stream| async move {
         read_request(&mut stream).await;
         let head = "HTTP/1.1 200 OK\r\ncontent-length: 1000000000\r\n\r\n";
@@ -262,13 +265,13 @@
     let settings = EtcdSettings { timeout: TIMEOUT, ..EtcdSettings::new(vec![address], "entry") };
     let metrics = StoreMetrics::default();
     let store = EtcdStore::new(settings, metrics.clone());
-    let refused = Err(StoreError::Malformed("answer is too large".into()));
+    let refused = Err(StoreError::Malformed("response is too large".into()));
     assert_eq!(store.get("key").await, refused);
     assert_eq!(metrics.count(StoreCall::Get, CallOutcome::Answered), 1);
 }
 
 #[test]
-fn arbitrary_answers_give_typed_errors() {
+fn arbitrary_responses_give_typed_errors() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let config = Config {
         cases: 200,
@@ -282,13 +285,13 @@
         .run(&(http, any::<Vec<u8>>()), |(http, bytes)| {
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", bytes.len());
             let bytes = if http { [head.as_bytes(), &bytes].concat() } else { bytes };
-            runtime.block_on(answered_with(bytes));
+            runtime.block_on(check_response_bytes(bytes));
             Ok(())
         })
         .unwrap();
 }
 
-async fn answered_with(bytes: Vec<u8>) {
+async fn check_response_bytes(bytes: Vec<u8>) {
     let (address, task) = server(move |mut stream| {
         let bytes = bytes.clone();
         async move {
--- a/crates/platform/tests/gateway.rs
+++ b/crates/platform/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The store client over the stand-in gateway, compared with the stand-in store itself.
+//! Compares the store client over the stand-in gateway with the stand-in store.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,10 +20,11 @@
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const TTL: Duration = Duration::from_secs(3600);
 const LONG: Duration = Duration::from_secs(20);
+/// Delay of a write that arrives late.
 const LATE: Duration = Duration::from_millis(100);
-/// Time within which one update is settled.
-const UPDATE_TIME: Duration = Duration::from_secs(2);
-/// Timeouts of three clients, of which the first is seldom answered in time.
+/// Deadline of one update.
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeouts of three clients; most calls of the first time out.
 const TIMEOUTS: [Duration; 3] = [Duration::from_millis(23), Duration::from_millis(40), LONG];
 
 #[derive(Debug, Clone)]
@@ -76,9 +77,9 @@
     ]
 }
 
-/// What a step returned, without the texts of errors.
+/// Result of a step, without error messages.
 #[derive(Debug, PartialEq)]
-enum Seen {
+enum StepResult {
     Value(String),
     Unavailable,
     OutcomeUnknown,
@@ -87,26 +88,26 @@
     Malformed,
 }
 
-fn seen<T: std::fmt::Debug>(result: Result<T, StoreError>) -> Seen {
+fn step_result<T: std::fmt::Debug>(result: Result<T, StoreError>) -> StepResult {
     match result {
-        Ok(value) => Seen::Value(format!("{value:?}")),
-        Err(StoreError::Unavailable(_)) => Seen::Unavailable,
-        Err(StoreError::OutcomeUnknown(_)) => Seen::OutcomeUnknown,
-        Err(StoreError::LeaseExpired) => Seen::LeaseExpired,
-        Err(StoreError::Compacted) => Seen::Compacted,
-        Err(StoreError::Malformed(_)) => Seen::Malformed,
+        Ok(value) => StepResult::Value(format!("{value:?}")),
+        Err(StoreError::Unavailable(_)) => StepResult::Unavailable,
+        Err(StoreError::OutcomeUnknown(_)) => StepResult::OutcomeUnknown,
+        Err(StoreError::LeaseExpired) => StepResult::LeaseExpired,
+        Err(StoreError::Compacted) => StepResult::Compacted,
+        Err(StoreError::Malformed(_)) => StepResult::Malformed,
     }
 }
 
-/// What a watch delivers at once.
+/// What a watch delivers without waiting.
 #[derive(Debug, Clone, Copy)]
 enum Pending {
     Changes(usize),
     Error,
 }
 
-/// Opens a watch and reads what is pending.
-async fn watched<S: Store>(
+/// Opens a watch and reads the pending changes.
+async fn read_watch<S: Store>(
     store: &S,
     prefix: &str,
     after: u64,
@@ -126,25 +127,25 @@
     Ok(changes)
 }
 
-async fn carry_out<S: Store>(store: &S, step: &Step, pending: Pending) -> Seen {
+async fn run_step<S: Store>(store: &S, step: &Step, pending: Pending) -> StepResult {
     match step {
-        Step::Get { key } => seen(store.get(KEYS[*key as usize]).await),
-        Step::List { prefix } => seen(store.list(PREFIXES[*prefix as usize]).await),
+        Step::Get { key } => step_result(store.get(KEYS[*key as usize]).await),
+        Step::List { prefix } => step_result(store.list(PREFIXES[*prefix as usize]).await),
         Step::Write { key, compare, value, lease } => {
             let operation = match value {
                 Some(value) => Operation::Put { value: vec![*value].into(), lease: *lease },
                 None => Operation::Delete,
             };
             let key = KEYS[*key as usize].into();
-            seen(store.write(Write { key, compare: *compare, operation }).await)
+            step_result(store.write(Write { key, compare: *compare, operation }).await)
         }
-        Step::Grant => seen(store.grant_lease(TTL).await),
-        Step::KeepAlive { lease } => seen(store.keep_alive(*lease).await),
-        Step::Revoke { lease } => seen(store.revoke_lease(*lease).await),
+        Step::Grant => step_result(store.grant_lease(TTL).await),
+        Step::KeepAlive { lease } => step_result(store.keep_alive(*lease).await),
+        Step::Revoke { lease } => step_result(store.revoke_lease(*lease).await),
         Step::Watch { prefix, after } => {
-            seen(watched(store, PREFIXES[*prefix as usize], *after, pending).await)
+            step_result(read_watch(store, PREFIXES[*prefix as usize], *after, pending).await)
         }
-        Step::Fault { .. } => Seen::Value(String::new()),
+        Step::Fault { .. } => StepResult::Value(String::new()),
     }
 }
 
@@ -167,17 +168,17 @@
 }
 
 async fn compare_stores(steps: Vec<Step>) -> TestCaseResult {
-    let (model, behind) = (MemoryStore::default(), MemoryStore::default());
-    let (gateway, tested, _) = client(&behind).await;
+    let (model, backing) = (MemoryStore::default(), MemoryStore::default());
+    let (gateway, tested, _) = client(&backing).await;
     for step in steps {
         if let Step::Fault { command } = &step {
-            let applied = command.clone().apply(&behind.faults());
+            let applied = command.clone().apply(&backing.faults());
             prop_assert_eq!(applied, command.clone().apply(&model.faults()));
             continue;
         }
         let pending = pending(&model, &step).await;
-        let expected = carry_out(&model, &step, pending).await;
-        let actual = timeout(LONG, carry_out(&tested, &step, pending)).await;
+        let expected = run_step(&model, &step, pending).await;
+        let actual = timeout(LONG, run_step(&tested, &step, pending)).await;
         prop_assert_eq!(actual.ok(), Some(expected), "{:?}", step);
     }
     gateway.close().await;
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn the_client_over_the_gateway_equals_the_store() {
+fn the_client_over_the_gateway_behaves_like_the_store() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let config = Config {
         cases: 300,
@@ -207,7 +208,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_resumes_after_a_restart_and_misses_nothing() {
+async fn a_watch_resumes_after_a_restart_without_missing_changes() {
     let store = MemoryStore::default();
     let (gateway, client, _) = client(&store).await;
     let address = gateway.address();
@@ -244,7 +245,7 @@
 }
 
 #[tokio::test]
-async fn progress_reports_carry_a_quiet_watch_past_compaction() {
+async fn progress_reports_keep_an_idle_watch_ahead_of_compaction() {
     let store = MemoryStore::default();
     let (gateway, client, _) = client(&store).await;
     let address = gateway.address();
@@ -252,8 +253,8 @@
     for key in ["other1", "other2"] {
         put(&store, key).await;
     }
-    let quiet = timeout(Duration::from_millis(2_500), watch.next()).await;
-    assert!(quiet.is_err(), "{quiet:?}");
+    let idle = timeout(Duration::from_millis(2_500), watch.next()).await;
+    assert!(idle.is_err(), "{idle:?}");
     gateway.close().await;
     store.faults().compact();
     let gateway = Gateway::start(address, store.clone()).await.unwrap();
@@ -263,7 +264,7 @@
 }
 
 #[tokio::test]
-async fn largest_values_and_long_lists_pass_through() {
+async fn values_of_maximum_size_and_long_lists_are_read_completely() {
     let store = MemoryStore::default();
     let (_gateway, client, _) = client(&store).await;
     let large = Bytes::from(vec![0xff; VALUE_BYTES_MAX]);
@@ -282,7 +283,7 @@
 }
 
 #[tokio::test]
-async fn calls_are_counted_on_both_sides_and_a_waiting_watch_once() {
+async fn client_and_gateway_count_each_call_and_a_watch_once() {
     let store = MemoryStore::default();
     let (_gateway, client, metrics) = client(&store).await;
     let mut watch = client.watch("k", 0).await.unwrap();
@@ -298,7 +299,7 @@
 
 type AddOutcome = UpdateOutcome<Numbers, ()>;
 
-/// Adds numbers to a stored list and returns what became of each.
+/// Adds numbers to a stored list and returns the outcome of each.
 async fn add_numbers(
     store: EtcdStore,
     name: &str,
@@ -307,7 +308,7 @@
     let writer = Writer::new(name);
     let mut outcomes = Vec::new();
     for number in numbers {
-        let deadline = Instant::now() + UPDATE_TIME;
+        let deadline = Instant::now() + UPDATE_TIMEOUT;
         let outcome = update(&store, &writer, "numbers", deadline, |stored: Option<&Numbers>| {
             let mut numbers = stored.cloned().unwrap_or_default();
             numbers.0.push(number);
@@ -327,7 +328,7 @@
 }
 
 #[tokio::test]
-async fn racing_updates_over_the_gateway_are_true_whatever_is_lost() {
+async fn concurrent_updates_report_true_outcomes_under_every_fault() {
     let store = MemoryStore::default();
     let (gateway, _, _) = client(&store).await;
     store.faults().set_delay(Duration::from_millis(20));
--- a/crates/platform/tests/http.rs
+++ b/crates/platform/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client against a peer that never answers.
+//! Tests of the HTTP client against a peer that never responds.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// What the peer sees of a connection on which a call was given up, after the request itself.
-async fn end_of_a_given_up_call(resets: bool) -> std::io::Result<usize> {
+/// Returns how the connection of a call that timed out ends at the peer.
+async fn connection_end_after_timeout(resets: bool) -> std::io::Result<usize> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let mut client = HttpClient::new(&[address], "test");
@@ -34,15 +34,15 @@
     }
 }
 
-/// What a partition holds up of a request is lost with a reset. Otherwise it would be carried out
-/// when the partition ends.
+/// Without the reset, a request that a network partition has delayed would still be delivered and
+/// executed when the partition ends.
 #[tokio::test]
-async fn a_given_up_call_resets_its_connection() {
-    let end = end_of_a_given_up_call(true).await;
+async fn a_call_that_times_out_resets_its_connection() {
+    let end = connection_end_after_timeout(true).await;
     assert_eq!(end.map_err(|error| error.kind()), Err(ErrorKind::ConnectionReset));
 }
 
 #[tokio::test]
 async fn a_client_without_resets_closes_its_connection() {
-    assert_eq!(end_of_a_given_up_call(false).await.expect("end"), 0);
+    assert_eq!(connection_end_after_timeout(false).await.expect("end"), 0);
 }
--- a/crates/platform/tests/instances.rs
+++ b/crates/platform/tests/instances.rs
@@ -1,4 +1,4 @@
-//! The clients of the instance list and of the instance control against their stand-ins.
+//! Tests of the clients of the instance list and of the instance control against their stand-ins.
 
 #![allow(clippy::unwrap_used)]
 
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn reboots_are_idempotent_by_request_id_whatever_is_lost() {
+async fn reboots_are_idempotent_by_request_id_under_every_fault() {
     let instances = MemoryInstances::default();
     let server = ControlServer::start(LOOPBACK, instances.clone()).await.unwrap();
     let client = HttpInstanceControl::new(server.address(), "entry", TIMEOUT);
@@ -85,7 +85,8 @@
     }
 }
 
-/// Answers the first request with a list, and the next ones with 304 where they name its tag.
+/// Responds to the first request with a list, and with 304 to later ones that contain its entity
+/// tag.
 async fn tagged_list(listener: TcpListener) {
     const BODY: &str = r#"{"items":[]}"#;
     let (mut stream, _) = listener.accept().await.unwrap();
--- a/crates/platform/tests/lease.rs
+++ b/crates/platform/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases under pauses, delays, lost answers and outages.
+//! Leases under pauses, delays, lost responses and outages.
 
 #![allow(clippy::unwrap_used)]
 
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_is_renewed_and_ends_with_its_keeper() {
+async fn a_lease_is_renewed_until_its_keeper_is_closed() {
     let store = MemoryStore::default();
     let keeper = holder(&store).await;
     let validity = keeper.validity();
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_costs_three_to_six_calls_in_its_time_to_live() {
+async fn a_lease_needs_three_to_six_renewals_per_time_to_live() {
     let store = MemoryStore::default();
     let keeper = holder(&store).await;
     sleep(TTL * 100).await;
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dropped_keeper_renews_no_more() {
+async fn a_dropped_keeper_stops_the_renewals() {
     let store = MemoryStore::default();
     drop(holder(&store).await);
     sleep(TTL).await;
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_paused_holder_wakes_up_without_its_lease() {
+async fn a_holder_paused_for_the_time_to_live_has_no_valid_lease() {
     let store = MemoryStore::default();
     let keeper = holder(&store).await;
     advance(TTL).await;
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_short_outage_is_outlived() {
+async fn a_lease_survives_a_short_outage() {
     let store = MemoryStore::default();
     let keeper = holder(&store).await;
     store.faults().set_outage(true);
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_store_ends_no_lease() {
+async fn a_lease_stays_valid_with_a_slow_store() {
     let store = MemoryStore::default();
     let keeper = holder(&store).await;
     store.faults().set_delay(TTL.mul_f64(0.45));
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn lost_answers_end_the_validity_before_the_lease() {
+async fn lost_responses_end_the_validity_before_the_lease() {
     let store = MemoryStore::default();
     let keeper = holder(&store).await;
     store.faults().cut_off("holder", Partition::Answers);
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_lease_is_granted_in_an_outage() {
+async fn no_lease_is_granted_during_an_outage() {
     let store = MemoryStore::default();
     store.faults().set_outage(true);
     let result = LeaseKeeper::start(store, TTL).await;
--- a/crates/platform/tests/settle.rs
+++ b/crates/platform/tests/settle.rs
@@ -1,4 +1,4 @@
-//! Updates under lost answers, lost requests, late writes and outages.
+//! Updates under lost responses, lost requests, late writes and outages.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,6 +16,7 @@
 
 const KEY: &str = "tokens";
 const DEADLINE: Duration = Duration::from_secs(30);
+/// Delay of a write that arrives late.
 const LATE: Duration = Duration::from_millis(300);
 
 /// The tokens that updates have added, in order.
@@ -45,8 +46,8 @@
     })
 }
 
-/// Checks that the outcome of the update that added `token` is true.
-fn assert_true(outcome: &Outcome, token: u32, stored: &Tokens) {
+/// Asserts that the outcome of the update that added `token` agrees with the stored value.
+fn assert_outcome_matches(outcome: &Outcome, token: u32, stored: &Tokens) {
     let times = stored.0.iter().filter(|stored| **stored == token).count();
     match outcome {
         UpdateOutcome::Applied { .. } => assert_eq!(times, 1, "applied, stored {stored:?}"),
@@ -55,7 +56,7 @@
     }
 }
 
-/// Order in which two clients may call the store. The rest of the calls are not ordered.
+/// Order of the first calls of two clients to the store. Later calls are not ordered.
 #[derive(Debug)]
 struct Schedule {
     turns: Mutex<VecDeque<usize>>,
@@ -169,12 +170,12 @@
     let stored = stored(&store.faults());
     for (token, outcome) in [(0, &first), (1, &second)] {
         assert!(matches!(outcome, UpdateOutcome::Applied { .. }), "{turns:b} {plan:b} {outcome:?}");
-        assert_true(outcome, token, &stored);
+        assert_outcome_matches(outcome, token, &stored);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_updates_apply_once_in_every_interleaving_of_faults() {
+async fn two_updates_apply_once_in_every_interleaving_with_faults() {
     for turns in 0..1 << SCHEDULED_CALLS {
         for plan in 0..1 << (2 * PLANNED_WRITES) {
             race(turns, plan).await;
@@ -182,8 +183,8 @@
     }
 }
 
-/// Runs one update while an outage starts and ends at the given times.
-async fn through_outage(fault: Option<WriteFault>, start_ms: u64, end_ms: u64) {
+/// Runs one update during which an outage starts and ends at the given times.
+async fn update_during_outage(fault: Option<WriteFault>, start_ms: u64, end_ms: u64) {
     let store = MemoryStore::default();
     let faults = store.faults();
     faults.set_delay(Duration::from_millis(20));
@@ -197,24 +198,24 @@
     let writer = Writer::new("entry");
     let (outcome, ()) = tokio::join!(add(&store, &writer, 1), outage);
     sleep(LATE).await;
-    assert_true(&outcome, 1, &stored(&faults));
-    let within = Duration::from_millis(end_ms) < DEADLINE / 2;
-    assert!(!within || matches!(outcome, UpdateOutcome::Applied { .. }), "{outcome:?}");
+    assert_outcome_matches(&outcome, 1, &stored(&faults));
+    let ends_in_time = Duration::from_millis(end_ms) < DEADLINE / 2;
+    assert!(!ends_in_time || matches!(outcome, UpdateOutcome::Applied { .. }), "{outcome:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_at_any_moment_leaves_a_true_outcome() {
+async fn an_outage_at_any_time_gives_a_true_outcome() {
     for fault in FAULTS {
         for start_ms in (0..100).step_by(5) {
             for length_ms in [5, 50, 5_000, 60_000] {
-                through_outage(fault, start_ms, start_ms + length_ms).await;
+                update_during_outage(fault, start_ms, start_ms + length_ms).await;
             }
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_in_a_long_outage_stays_unknown() {
+async fn a_response_lost_in_a_long_outage_leaves_the_outcome_unknown() {
     let store = MemoryStore::default();
     store.faults().plan_writes([Some(WriteFault::LostAnswer)]);
     let writer = Writer::new("entry");
@@ -228,7 +229,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_until_the_deadline_is_not_applied() {
+async fn an_update_in_an_outage_until_the_deadline_is_not_applied() {
     let store = MemoryStore::default();
     store.faults().set_outage(true);
     let outcome = add(&store, &Writer::new("entry"), 1).await;
@@ -236,7 +237,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn stale_reads_never_lead_to_a_second_write() {
+async fn stale_reads_do_not_cause_a_second_write() {
     let store = MemoryStore::default();
     let writer = Writer::new("entry");
     add(&store, &writer, 1).await;
@@ -252,7 +253,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_that_left_the_log_stays_unknown() {
+async fn a_write_beyond_the_log_stays_unknown() {
     let store = MemoryStore::default();
     let writer = Writer::new("entry");
     add(&store, &writer, 1).await;
--- a/crates/tasks/src/estimate.rs
+++ b/crates/tasks/src/estimate.rs
@@ -1,8 +1,8 @@
 //! Resource and run time estimates of tasks, per team and kind, from usage reports.
 //!
 //! Values declared by callers are inaccurate. The estimate of a kind is a quantile of the usage
-//! that its last tasks reported, with a lower bound. The declared values are used until enough reports
-//! have arrived.
+//! that its last tasks reported, with a lower bound. The declared values are used until enough
+//! reports have arrived.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
--- a/crates/tasks/src/scheduler.rs
+++ b/crates/tasks/src/scheduler.rs
@@ -1,8 +1,9 @@
 //! Starts waiting tasks on workers and tracks the running ones.
 //!
 //! A round reads the stored tasks, updates the claimed ones from the state of their runs, and
-//! places the waiting ones. Every start is preceded by a stored claim, and a worker starts a claim at most
-//! once, so two schedulers can process one shard at the same time without running a task twice.
+//! places the waiting ones. Every start is preceded by a stored claim, and a worker starts a claim
+//! at most once, so two schedulers can process one shard at the same time without running a task
+//! twice.
 
 use std::collections::HashMap;
 use std::time::Duration;
