--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -159,24 +159,24 @@
     async fn list(&self) -> Result<Vec<ListedInstance>, ListError> {
         let cached = self.cached().clone();
         let known = cached.as_ref().map(|cached| &cached.etag);
-        let answer = self.fetch(known).await.map_err(|error| match error {
+        let response = self.fetch(known).await.map_err(|error| match error {
             CallError::TooLarge { .. } => ListError::Malformed(error.to_string().into()),
             error => ListError::Unavailable(error.to_string().into()),
         })?;
-        if answer.status == StatusCode::NOT_MODIFIED
+        if response.status == StatusCode::NOT_MODIFIED
             && let Some(cached) = cached
         {
             return Ok(cached.instances);
         }
-        if !answer.status.is_success() {
-            return Err(ListError::Unavailable(format!("status {}", answer.status).into()));
+        if !response.status.is_success() {
+            return Err(ListError::Unavailable(format!("status {}", response.status).into()));
         }
-        let list: EndpointSliceList = serde_json::from_slice(&answer.body)
+        let list: EndpointSliceList = serde_json::from_slice(&response.body)
             .map_err(|error| ListError::Malformed(error.to_string().into()))?;
         let listing = Listing::from(list);
         self.log_skipped(listing.skipped);
         let instances = listing.instances;
-        *self.cached() = answer.etag.map(|etag| Cached { etag, instances: instances.clone() });
+        *self.cached() = response.etag.map(|etag| Cached { etag, instances: instances.clone() });
         Ok(instances)
     }
 }
--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -143,13 +143,13 @@
     ) -> Result<A, Failure> {
         let sent = Instant::now();
         let request = post(path, request).map_err(Failure::Malformed)?;
-        let answer = self.http.call(request, deadline, RESPONSE_BYTES_MAX).await;
-        self.metrics.record(call, outcome(&answer), sent.elapsed());
-        let answer = answer.map_err(Failure::Call)?;
-        if !answer.status.is_success() {
-            return Err(Failure::Status(answer));
+        let response = self.http.call(request, deadline, RESPONSE_BYTES_MAX).await;
+        self.metrics.record(call, outcome(&response), sent.elapsed());
+        let response = response.map_err(Failure::Call)?;
+        if !response.status.is_success() {
+            return Err(Failure::Status(response));
         }
-        serde_json::from_slice(&answer.body)
+        serde_json::from_slice(&response.body)
             .map_err(|error| Failure::Malformed(error.to_string().into()))
     }
 
@@ -202,8 +202,8 @@
     Ok(request)
 }
 
-fn outcome(answer: &Result<Answer, CallError>) -> CallOutcome {
-    match answer {
+fn outcome(response: &Result<Answer, CallError>) -> CallOutcome {
+    match response {
         Ok(_) | Err(CallError::TooLarge { .. }) => CallOutcome::Answered,
         Err(CallError::NotSent(_)) => CallOutcome::Failed,
         Err(CallError::Unanswered { .. }) => CallOutcome::Unknown,
@@ -218,8 +218,8 @@
         }
         Failure::Call(error) => StoreError::Unavailable(error.to_string().into()),
         Failure::Malformed(reason) => StoreError::Malformed(reason),
-        Failure::Status(answer) => {
-            let error = error_body(&answer);
+        Failure::Status(response) => {
+            let error = error_body(&response);
             match error.code {
                 grpc::OUT_OF_RANGE => StoreError::Compacted,
                 grpc::NOT_FOUND => StoreError::LeaseExpired,
@@ -236,8 +236,8 @@
         Failure::Call(CallError::NotSent(reason)) => StoreError::Unavailable(reason),
         Failure::Call(error) => StoreError::OutcomeUnknown(error.to_string().into()),
         Failure::Malformed(reason) => StoreError::OutcomeUnknown(reason),
-        Failure::Status(answer) => {
-            let error = error_body(&answer);
+        Failure::Status(response) => {
+            let error = error_body(&response);
             match error.code {
                 grpc::NOT_FOUND => StoreError::LeaseExpired,
                 _ if is_refusal(&error) => StoreError::Unavailable(error.message.into()),
@@ -262,9 +262,9 @@
     }
 }
 
-fn error_body(answer: &Answer) -> ErrorBody {
-    serde_json::from_slice(&answer.body)
-        .unwrap_or_else(|_| ErrorBody { code: 0, message: format!("status {}", answer.status) })
+fn error_body(response: &Answer) -> ErrorBody {
+    serde_json::from_slice(&response.body)
+        .unwrap_or_else(|_| ErrorBody { code: 0, message: format!("status {}", response.status) })
 }
 
 fn malformed(reason: &str) -> StoreError {
@@ -281,8 +281,8 @@
 
     async fn get(&self, key: &str) -> Result<Option<Record>, StoreError> {
         let request = RangeRequest { key: key.into(), ..RangeRequest::default() };
-        let answer = self.read(StoreCall::Get, RANGE_PATH, &request, self.deadline()).await;
-        let response: RangeResponse = answer.map_err(read_error)?;
+        let result = self.read(StoreCall::Get, RANGE_PATH, &request, self.deadline()).await;
+        let response: RangeResponse = result.map_err(read_error)?;
         revision(&response.header)?;
         let mut records = Vec::<Record>::try_from(response)?;
         let record = records.pop();
@@ -329,25 +329,25 @@
             ));
         }
         let request = TxnRequest::from(&write);
-        let answer = self.attempt(StoreCall::Write, TXN_PATH, &request, self.deadline()).await;
-        let response: TxnResponse = answer.map_err(write_error)?;
+        let result = self.attempt(StoreCall::Write, TXN_PATH, &request, self.deadline()).await;
+        let response: TxnResponse = result.map_err(write_error)?;
         response.try_into().map_err(unknown)
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
         let ttl_s = i64::try_from(ttl.as_millis().div_ceil(1_000)).unwrap_or(i64::MAX);
         let request = LeaseGrantRequest { ttl_s: Int64(ttl_s) };
-        let answer =
+        let result =
             self.attempt(StoreCall::GrantLease, GRANT_PATH, &request, self.deadline()).await;
-        let response: LeaseResponse = answer.map_err(write_error)?;
+        let response: LeaseResponse = result.map_err(write_error)?;
         granted_lease(&response).map_err(unknown)
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<Duration, StoreError> {
         let request = LeaseRequest { id: Int64(lease) };
-        let answer =
+        let result =
             self.read(StoreCall::KeepAlive, KEEP_ALIVE_PATH, &request, self.deadline()).await;
-        let response: StreamMessage<LeaseResponse> = answer.map_err(write_error)?;
+        let response: StreamMessage<LeaseResponse> = result.map_err(write_error)?;
         match response {
             StreamMessage::Result(response) => {
                 renewed_ttl(&response).map_err(unknown)?.ok_or(StoreError::LeaseExpired)
@@ -358,9 +358,9 @@
 
     async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         let request = LeaseRequest { id: Int64(lease) };
-        let answer =
+        let result =
             self.attempt(StoreCall::RevokeLease, REVOKE_PATH, &request, self.deadline()).await;
-        let response: LeaseResponse = answer.map_err(write_error)?;
+        let response: LeaseResponse = result.map_err(write_error)?;
         revision(&response.header).map_err(unknown)?;
         Ok(())
     }
--- a/crates/platform/src/etcd/message.rs
+++ b/crates/platform/src/etcd/message.rs
@@ -232,7 +232,7 @@
         ttl_s: Int64, skip "Int64::is_default";
     }
 
-    /// Keys to watch, and from where.
+    /// Parameters of a new watch.
     pub struct WatchCreateRequest {
         /// The first key.
         key: Base64;
@@ -246,7 +246,7 @@
 
     /// Request of `/v3/watch`.
     pub struct WatchRequest {
-        /// What to watch.
+        /// Parameters of the watch.
         create_request: WatchCreateRequest;
     }
 
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -150,10 +150,8 @@
             Ok(Err(error)) if error.is::<LengthLimitError>() => {
                 return Err(CallError::TooLarge { max_bytes });
             }
-            Ok(Err(error)) => {
-                return Err(self.handle_no_response(connection.endpoint, error, false));
-            }
-            Err(_) => return Err(self.handle_no_response(connection.endpoint, "timeout", false)),
+            Ok(Err(error)) => return Err(self.no_response(connection.endpoint, error, false)),
+            Err(_) => return Err(self.no_response(connection.endpoint, "timeout", false)),
         };
         connection.last_response_at = Some(Instant::now());
         self.keep_idle(connection);
@@ -173,12 +171,10 @@
             let reused = connection.last_response_at.is_some();
             let sending = connection.sender.try_send_request(request);
             let mut error = match timeout_at(deadline, sending).await {
-                Err(_) => {
-                    return Err(self.handle_no_response(connection.endpoint, "timeout", false));
-                }
-                Ok(Ok(answer)) => {
+                Err(_) => return Err(self.no_response(connection.endpoint, "timeout", false)),
+                Ok(Ok(response)) => {
                     self.record_success(connection.endpoint);
-                    let (parts, body) = answer.into_parts();
+                    let (parts, body) = response.into_parts();
                     return Ok((connection, parts, body));
                 }
                 Ok(Err(error)) => error,
@@ -186,9 +182,7 @@
             let unsent = error.take_message().is_some();
             let error = error.into_error();
             match (unsent, reused) {
-                (false, _) => {
-                    return Err(self.handle_no_response(connection.endpoint, error, reused));
-                }
+                (false, _) => return Err(self.no_response(connection.endpoint, error, reused)),
                 (true, false) => {
                     self.record_failure(connection.endpoint);
                     return Err(CallError::NotSent(error.to_string().into()));
@@ -300,7 +294,7 @@
 
     /// Drops the idle connections to an endpoint. Prefers the next endpoint, unless the failure may
     /// only be that a reused connection was closed while it was idle.
-    fn handle_no_response(
+    fn no_response(
         &self,
         endpoint: usize,
         reason: impl ToString,
--- a/crates/platform/src/redfish.rs
+++ b/crates/platform/src/redfish.rs
@@ -55,7 +55,7 @@
         let request = reset_request(instance, request_id)?;
         let deadline = Instant::now() + self.timeout;
         match self.http.call(request, deadline, RESPONSE_BYTES_MAX).await {
-            Ok(answer) => response_result(answer.status),
+            Ok(response) => response_result(response.status),
             Err(CallError::NotSent(reason)) => Err(ControlError::Unavailable(reason)),
             Err(error) => Err(ControlError::OutcomeUnknown(error.to_string().into())),
         }
--- a/crates/platform/src/store.rs
+++ b/crates/platform/src/store.rs
@@ -190,7 +190,7 @@
         self
     }
 
-    /// Adds a value to store, bound to `lease` where one is given.
+    /// Adds a value to store, bound to `lease` if one is given.
     pub fn put(
         mut self,
         key: impl Into<Arc<str>>,
--- a/crates/platform/src/update.rs
+++ b/crates/platform/src/update.rs
@@ -89,14 +89,12 @@
             Err(reason) => return UpdateOutcome::NotApplied(reason),
         };
         let reason = match call.resolve(&prepared).await {
-            WriteResolution::Applied(revision) => {
+            Resolved::Applied(revision) => {
                 return UpdateOutcome::Applied { value: prepared.value, revision };
             }
-            WriteResolution::Unknown => {
-                return UpdateOutcome::StillUnknown { write_id: prepared.id };
-            }
-            WriteResolution::Conflict => NotApplied::Contended,
-            WriteResolution::NoEffect(error) => NotApplied::Unavailable(error),
+            Resolved::Unknown => return UpdateOutcome::StillUnknown { write_id: prepared.id },
+            Resolved::Conflict => NotApplied::Contended,
+            Resolved::NoEffect(error) => NotApplied::Unavailable(error),
         };
         if !call.wait_before_retry(&mut backoff).await {
             return UpdateOutcome::NotApplied(reason);
@@ -113,7 +111,7 @@
 }
 
 /// Resolved outcome of one prepared write.
-enum WriteResolution {
+enum Resolved {
     Applied(Revision),
     Conflict,
     NoEffect(StoreError),
@@ -159,27 +157,27 @@
     }
 
     /// Sends the write and, if the response is lost, resolves the outcome by reading back.
-    async fn resolve<T: Document>(&self, prepared: &PreparedWrite<T>) -> WriteResolution {
+    async fn resolve<T: Document>(&self, prepared: &PreparedWrite<T>) -> Resolved {
         match self.write(prepared.write.clone()).await {
-            Ok(WriteOutcome::Written(revision)) => return WriteResolution::Applied(revision),
-            Ok(WriteOutcome::Conflict) => return WriteResolution::Conflict,
-            Err(error) if had_no_effect(&error) => return WriteResolution::NoEffect(error),
+            Ok(WriteOutcome::Written(revision)) => return Resolved::Applied(revision),
+            Ok(WriteOutcome::Conflict) => return Resolved::Conflict,
+            Err(error) if had_no_effect(&error) => return Resolved::NoEffect(error),
             Err(_) => {}
         }
         let mut backoff = Backoff::new(RETRY_DELAY_MIN, RETRY_DELAY_MAX);
         while self.wait_before_retry(&mut backoff).await {
             let Ok(record) = self.read().await else { continue };
             match check_read_back(record.as_ref(), prepared) {
-                ReadBack::Applied(revision) => return WriteResolution::Applied(revision),
-                ReadBack::Conflict => return WriteResolution::Conflict,
-                ReadBack::NotInLog => return WriteResolution::Unknown,
+                ReadBack::Applied(revision) => return Resolved::Applied(revision),
+                ReadBack::Conflict => return Resolved::Conflict,
+                ReadBack::NotInLog => return Resolved::Unknown,
                 ReadBack::Unchanged => {}
             }
             if let Ok(WriteOutcome::Written(revision)) = self.write(prepared.write.clone()).await {
-                return WriteResolution::Applied(revision);
+                return Resolved::Applied(revision);
             }
         }
-        WriteResolution::Unknown
+        Resolved::Unknown
     }
 
     async fn read_until_deadline(&self) -> Result<Option<Record>, StoreError> {
--- a/crates/platform/tests/etcd.rs
+++ b/crates/platform/tests/etcd.rs
@@ -75,7 +75,7 @@
     body.len() >= length.unwrap().parse::<usize>().unwrap()
 }
 
-fn answer(body: &str) -> Vec<u8> {
+fn http_response(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
@@ -106,7 +106,7 @@
 
 #[tokio::test]
 async fn a_response_truncated_at_any_byte_leaves_the_outcome_unknown() {
-    let whole = answer(WRITTEN);
+    let whole = http_response(WRITTEN);
     for bytes in 0..=whole.len() {
         let part = whole[..bytes].to_vec();
         let (address, task) = server(move |mut stream| {
@@ -135,7 +135,7 @@
     .await;
     let (working, _task) = server(|mut stream| async move {
         read_request(&mut stream).await;
-        stream.write_all(&answer(WRITTEN)).await.unwrap();
+        stream.write_all(&http_response(WRITTEN)).await.unwrap();
     })
     .await;
     let first_unknown = (0..CLIENTS).map(|_| async {
@@ -153,7 +153,7 @@
     let (unreachable, _socket) = refusing();
     let (working, _task) = server(|mut stream| async move {
         read_request(&mut stream).await;
-        stream.write_all(&answer(WRITTEN)).await.unwrap();
+        stream.write_all(&http_response(WRITTEN)).await.unwrap();
     })
     .await;
     for _ in 0..8 {
@@ -168,7 +168,7 @@
 async fn a_read_succeeds_after_its_idle_connection_was_closed() {
     let (address, _task) = server(|mut stream| async move {
         read_request(&mut stream).await;
-        stream.write_all(&answer(r#"{"header":{"revision":"4"}}"#)).await.unwrap();
+        stream.write_all(&http_response(r#"{"header":{"revision":"4"}}"#)).await.unwrap();
     })
     .await;
     let store = client(&[address]);
@@ -181,7 +181,7 @@
 async fn a_reused_connection_that_breaks_fails_a_write_but_not_a_read() {
     let (address, _task) = server(|mut stream| async move {
         if read_request(&mut stream).await.contains("/v3/kv/range") {
-            stream.write_all(&answer(r#"{"header":{"revision":"4"}}"#)).await.unwrap();
+            stream.write_all(&http_response(r#"{"header":{"revision":"4"}}"#)).await.unwrap();
             read_request(&mut stream).await;
         }
     })
@@ -195,11 +195,11 @@
 }
 
 /// Responds to the requests of all connections in order and returns the recorded requests.
-async fn scripted(answers: Vec<String>) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
+async fn scripted(responses: Vec<String>) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let requests = Arc::new(Mutex::new(Vec::new()));
     let seen = requests.clone();
     let (address, _) = server(move |mut stream| {
-        let (answers, seen) = (answers.clone(), seen.clone());
+        let (responses, seen) = (responses.clone(), seen.clone());
         async move {
             let request = read_request(&mut stream).await;
             let number = {
@@ -207,7 +207,7 @@
                 seen.push(request);
                 seen.len() - 1
             };
-            stream.write_all(&answer(&answers[number])).await.unwrap();
+            stream.write_all(&http_response(&responses[number])).await.unwrap();
         }
     })
     .await;
--- a/crates/platform/tests/gateway.rs
+++ b/crates/platform/tests/gateway.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// What a watch delivers without waiting.
+/// Result that a watch returns without waiting.
 #[derive(Debug, Clone, Copy)]
 enum Pending {
     Changes(usize),
--- a/crates/platform/tests/http.rs
+++ b/crates/platform/tests/http.rs
@@ -22,8 +22,8 @@
     let deadline = Instant::now() + Duration::from_millis(100);
     let call = tokio::spawn(async move { client.call(request, deadline, 1_000).await });
     let (mut peer, _) = listener.accept().await.expect("connection");
-    let answer = call.await.expect("call");
-    assert!(matches!(answer, Err(CallError::Unanswered { .. })), "{answer:?}");
+    let result = call.await.expect("call");
+    assert!(matches!(result, Err(CallError::Unanswered { .. })), "{result:?}");
     let mut bytes = [0; 1_000];
     loop {
         match peer.read(&mut bytes).await {
--- a/crates/platform/tests/instances.rs
+++ b/crates/platform/tests/instances.rs
@@ -94,7 +94,7 @@
     for number in 0.. {
         let length = stream.read(&mut buffer).await.unwrap();
         let head = String::from_utf8_lossy(&buffer[..length]).to_ascii_lowercase();
-        let answer = match (number, head.contains("if-none-match: \"one\"")) {
+        let response = match (number, head.contains("if-none-match: \"one\"")) {
             (0, false) => format!(
                 "HTTP/1.1 200 OK\r\netag: \"one\"\r\ncontent-length: {}\r\n\r\n{BODY}",
                 BODY.len()
@@ -102,7 +102,7 @@
             (_, true) => "HTTP/1.1 304 Not Modified\r\netag: \"one\"\r\n\r\n".to_owned(),
             _ => "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n".to_owned(),
         };
-        stream.write_all(answer.as_bytes()).await.unwrap();
+        stream.write_all(response.as_bytes()).await.unwrap();
     }
 }
 
--- a/crates/tasks/src/task_store.rs
+++ b/crates/tasks/src/task_store.rs
@@ -1,7 +1,7 @@
 //! The stored tasks, changed in batches by compare-and-swap.
 //!
 //! Tasks are distributed over shards by a hash of team and id. Transitions of one shard that arrive
-//! within [`BATCH_WINDOW`] share one write, which limits the load on the key-value service.
+//! within a batch window share one write, which limits the load on the key-value service.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -54,7 +54,7 @@
     /// The state of the task does not allow the transition.
     #[error(transparent)]
     Refused(#[from] TransitionError),
-    /// The shard has reached [`SHARD_BYTES_MAX`].
+    /// The shard has reached the size limit of a stored value.
     #[error("too many tasks are stored; nothing was changed")]
     Full,
     /// The stored shard cannot be decoded.
