--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -1,9 +1,9 @@
-//! Client of a key-value service that speaks the JSON gateway of etcd v3.
+//! Client of a key-value service with the JSON gateway of etcd v3.
 //!
-//! Of the gateway it uses ranges, transactions of one condition and one operation, leases and
-//! watches. Every call has a deadline. A read whose reused connection broke is sent once more on a
-//! new connection; a write is sent at most once. A write counts as without effect only if no byte
-//! of it was sent or the service has refused it; every other failure is an unknown outcome.
+//! The client uses ranges, transactions of one condition and one operation, leases and watches.
+//! Every call has a deadline. A read whose reused connection broke is retried once on a new
+//! connection; a write is sent at most once. A failed write is reported as without effect only if
+//! no part of it was sent or the service refused it; every other failure is an unknown outcome.
 
 pub mod convert;
 pub mod message;
@@ -19,7 +19,7 @@
 use serde::de::DeserializeOwned;
 use tokio::time::Instant;
 
-use self::convert::{granted, prefix_end, prefix_start, renewed, revision};
+use self::convert::{granted_lease, prefix_end, prefix_start, renewed_ttl, revision};
 use self::message::{
     Base64, ErrorBody, Int64, LeaseGrantRequest, LeaseRequest, LeaseResponse, RangeRequest,
     RangeResponse, StreamMessage, TxnRequest, TxnResponse,
@@ -32,13 +32,13 @@
     WriteOutcome,
 };
 
-/// Size of the largest answer that is read, in bytes.
-const ANSWER_BYTES_MAX: usize = 8 * 1024 * 1024;
-/// Number of keys asked for at once.
+/// Maximum size of a response, in bytes.
+const RESPONSE_BYTES_MAX: usize = 8 * 1024 * 1024;
+/// Initial number of keys per page.
 const PAGE_KEYS: u32 = 512;
-/// Number of keys whose largest values fit into one answer.
+/// Minimum number of keys per page; values of the maximum size fit into one response.
 const PAGE_KEYS_MIN: u32 = 4;
-/// Divisor of the number of keys after an answer was too large.
+/// Divisor of the number of keys per page after a response was too large.
 const PAGE_DIVISOR: u32 = 8;
 
 const RANGE_PATH: &str = "/v3/kv/range";
@@ -47,28 +47,28 @@
 const KEEP_ALIVE_PATH: &str = "/v3/lease/keepalive";
 const REVOKE_PATH: &str = "/v3/lease/revoke";
 
-/// Answer of the service while it has no leader, which no call outlives.
+/// Error message of the service while it has no leader; a call that gets it had no effect.
 pub const NO_LEADER: &str = "etcdserver: no leader";
 
-/// Status codes of gRPC, as far as the client tells them apart.
+/// Status codes of gRPC that the client distinguishes.
 pub mod grpc {
     /// An argument is invalid.
     pub const INVALID_ARGUMENT: i32 = 3;
     /// The lease does not exist.
     pub const NOT_FOUND: i32 = 5;
-    /// The caller may not do this.
+    /// The caller lacks permission.
     pub const PERMISSION_DENIED: i32 = 7;
-    /// The service takes no more requests.
+    /// The service accepts no more requests.
     pub const RESOURCE_EXHAUSTED: i32 = 8;
-    /// The state of the service forbids the call.
+    /// The state of the service does not allow the call.
     pub const FAILED_PRECONDITION: i32 = 9;
     /// The revision was compacted.
     pub const OUT_OF_RANGE: i32 = 11;
-    /// The service does not know the call.
+    /// The service does not implement the call.
     pub const UNIMPLEMENTED: i32 = 12;
     /// The service could not complete the call.
     pub const UNAVAILABLE: i32 = 14;
-    /// The caller is not known.
+    /// The caller is not authenticated.
     pub const UNAUTHENTICATED: i32 = 16;
 }
 
@@ -81,18 +81,18 @@
     pub client: Arc<str>,
     /// Timeout of each call.
     pub timeout: Duration,
-    /// How long a watch may stay without any message, progress reports included, before it is
-    /// resumed on a new connection.
+    /// Time without any message, progress reports included, after which a watch is resumed on a new
+    /// connection.
     pub watch_silence: Duration,
 }
 
 impl EtcdSettings {
-    /// Timeout of each call by default.
+    /// Default timeout of each call.
     pub const TIMEOUT: Duration = Duration::from_secs(1);
-    /// Silence of a watch by default.
+    /// Default of [`EtcdSettings::watch_silence`].
     pub const WATCH_SILENCE: Duration = Duration::from_secs(3);
 
-    /// Settings with defaults.
+    /// Creates settings with the default timeouts.
     pub fn new(addresses: Vec<SocketAddr>, client: impl Into<Arc<str>>) -> Self {
         Self {
             addresses,
@@ -112,7 +112,7 @@
     watch_silence: Duration,
 }
 
-/// Why an attempt failed.
+/// Reason why an attempt failed.
 enum Failure {
     Call(CallError),
     Status(Answer),
@@ -143,17 +143,17 @@
     ) -> Result<A, Failure> {
         let sent = Instant::now();
         let request = post(path, request).map_err(Failure::Malformed)?;
-        let answer = self.http.call(request, deadline, ANSWER_BYTES_MAX).await;
-        self.metrics.record(call, outcome(&answer), sent.elapsed());
-        let answer = answer.map_err(Failure::Call)?;
-        if !answer.status.is_success() {
-            return Err(Failure::Status(answer));
+        let response = self.http.call(request, deadline, RESPONSE_BYTES_MAX).await;
+        self.metrics.record(call, outcome(&response), sent.elapsed());
+        let response = response.map_err(Failure::Call)?;
+        if !response.status.is_success() {
+            return Err(Failure::Status(response));
         }
-        serde_json::from_slice(&answer.body)
+        serde_json::from_slice(&response.body)
             .map_err(|error| Failure::Malformed(error.to_string().into()))
     }
 
-    /// A call that may be repeated.
+    /// Sends an idempotent call, with one retry if a reused connection broke.
     async fn read<Q: Serialize + Sync, A: DeserializeOwned>(
         &self,
         call: StoreCall,
@@ -169,6 +169,7 @@
         }
     }
 
+    /// Reads one page, with a smaller page size if the response is too large.
     async fn page(
         &self,
         request: &mut RangeRequest,
@@ -201,24 +202,24 @@
     Ok(request)
 }
 
-fn outcome(answer: &Result<Answer, CallError>) -> CallOutcome {
-    match answer {
+fn outcome(response: &Result<Answer, CallError>) -> CallOutcome {
+    match response {
         Ok(_) | Err(CallError::TooLarge { .. }) => CallOutcome::Answered,
         Err(CallError::NotSent(_)) => CallOutcome::Failed,
         Err(CallError::Unanswered { .. }) => CallOutcome::Unknown,
     }
 }
 
-/// The error of a read.
+/// Maps the failure of a read to an error.
 fn read_error(failure: Failure) -> StoreError {
     match failure {
         Failure::Call(CallError::TooLarge { .. }) => {
-            StoreError::Malformed("answer is too large".into())
+            StoreError::Malformed("response is too large".into())
         }
         Failure::Call(error) => StoreError::Unavailable(error.to_string().into()),
         Failure::Malformed(reason) => StoreError::Malformed(reason),
-        Failure::Status(answer) => {
-            let error = error_body(&answer);
+        Failure::Status(response) => {
+            let error = error_body(&response);
             match error.code {
                 grpc::OUT_OF_RANGE => StoreError::Compacted,
                 grpc::NOT_FOUND => StoreError::LeaseExpired,
@@ -228,14 +229,15 @@
     }
 }
 
-/// The error of a write, which had no effect only where that is certain.
+/// Maps the failure of a write to an error, which says that the write had no effect only if that is
+/// certain.
 fn write_error(failure: Failure) -> StoreError {
     match failure {
         Failure::Call(CallError::NotSent(reason)) => StoreError::Unavailable(reason),
         Failure::Call(error) => StoreError::OutcomeUnknown(error.to_string().into()),
         Failure::Malformed(reason) => StoreError::OutcomeUnknown(reason),
-        Failure::Status(answer) => {
-            let error = error_body(&answer);
+        Failure::Status(response) => {
+            let error = error_body(&response);
             match error.code {
                 grpc::NOT_FOUND => StoreError::LeaseExpired,
                 _ if is_refusal(&error) => StoreError::Unavailable(error.message.into()),
@@ -245,7 +247,7 @@
     }
 }
 
-/// Whether the service refused a call before it took effect.
+/// Returns whether the service refused a call before it took effect.
 fn is_refusal(error: &ErrorBody) -> bool {
     match error.code {
         grpc::INVALID_ARGUMENT
@@ -260,16 +262,16 @@
     }
 }
 
-fn error_body(answer: &Answer) -> ErrorBody {
-    serde_json::from_slice(&answer.body)
-        .unwrap_or_else(|_| ErrorBody { code: 0, message: format!("status {}", answer.status) })
+fn error_body(response: &Answer) -> ErrorBody {
+    serde_json::from_slice(&response.body)
+        .unwrap_or_else(|_| ErrorBody { code: 0, message: format!("status {}", response.status) })
 }
 
 fn malformed(reason: &str) -> StoreError {
     StoreError::Malformed(reason.into())
 }
 
-/// Turns a malformed answer to a write into an unknown outcome.
+/// Maps a malformed response to a write to an unknown outcome.
 fn unknown(error: impl ToString) -> StoreError {
     StoreError::OutcomeUnknown(error.to_string().into())
 }
@@ -279,13 +281,13 @@
 
     async fn get(&self, key: &str) -> Result<Option<Record>, StoreError> {
         let request = RangeRequest { key: key.into(), ..RangeRequest::default() };
-        let answer = self.read(StoreCall::Get, RANGE_PATH, &request, self.deadline()).await;
-        let response: RangeResponse = answer.map_err(read_error)?;
+        let result = self.read(StoreCall::Get, RANGE_PATH, &request, self.deadline()).await;
+        let response: RangeResponse = result.map_err(read_error)?;
         revision(&response.header)?;
         let mut records = Vec::<Record>::try_from(response)?;
         let record = records.pop();
         if !records.is_empty() || record.as_ref().is_some_and(|record| &*record.key != key) {
-            return Err(malformed("answer holds another key"));
+            return Err(malformed("response contains a different key"));
         }
         Ok(record)
     }
@@ -307,7 +309,7 @@
                 let last = snapshot.records.last();
                 let ordered = last.is_none_or(|last| last.key < record.key);
                 if !ordered || !record.key.starts_with(prefix) {
-                    return Err(malformed("answer holds unexpected keys"));
+                    return Err(malformed("response contains unexpected keys"));
                 }
                 snapshot.records.push(record);
             }
@@ -322,31 +324,33 @@
         if let Operation::Put { value, .. } = &write.operation
             && value.len() > VALUE_BYTES_MAX
         {
-            return Err(StoreError::Unavailable("value exceeds one megabyte".into()));
+            return Err(StoreError::Unavailable(
+                "value exceeds the size limit of one megabyte".into(),
+            ));
         }
         let request = TxnRequest::from(&write);
-        let answer = self.attempt(StoreCall::Write, TXN_PATH, &request, self.deadline()).await;
-        let response: TxnResponse = answer.map_err(write_error)?;
+        let result = self.attempt(StoreCall::Write, TXN_PATH, &request, self.deadline()).await;
+        let response: TxnResponse = result.map_err(write_error)?;
         response.try_into().map_err(unknown)
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
         let ttl_s = i64::try_from(ttl.as_millis().div_ceil(1_000)).unwrap_or(i64::MAX);
         let request = LeaseGrantRequest { ttl_s: Int64(ttl_s) };
-        let answer =
+        let result =
             self.attempt(StoreCall::GrantLease, GRANT_PATH, &request, self.deadline()).await;
-        let response: LeaseResponse = answer.map_err(write_error)?;
-        granted(&response).map_err(unknown)
+        let response: LeaseResponse = result.map_err(write_error)?;
+        granted_lease(&response).map_err(unknown)
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<Duration, StoreError> {
         let request = LeaseRequest { id: Int64(lease) };
-        let answer =
+        let result =
             self.read(StoreCall::KeepAlive, KEEP_ALIVE_PATH, &request, self.deadline()).await;
-        let response: StreamMessage<LeaseResponse> = answer.map_err(write_error)?;
+        let response: StreamMessage<LeaseResponse> = result.map_err(write_error)?;
         match response {
             StreamMessage::Result(response) => {
-                renewed(&response).map_err(unknown)?.ok_or(StoreError::LeaseExpired)
+                renewed_ttl(&response).map_err(unknown)?.ok_or(StoreError::LeaseExpired)
             }
             StreamMessage::Error(error) => Err(unknown(error.message)),
         }
@@ -354,9 +358,9 @@
 
     async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         let request = LeaseRequest { id: Int64(lease) };
-        let answer =
+        let result =
             self.attempt(StoreCall::RevokeLease, REVOKE_PATH, &request, self.deadline()).await;
-        let response: LeaseResponse = answer.map_err(write_error)?;
+        let response: LeaseResponse = result.map_err(write_error)?;
         revision(&response.header).map_err(unknown)?;
         Ok(())
     }
--- a/crates/platform/tests/instances.rs
+++ b/crates/platform/tests/instances.rs
@@ -1,4 +1,4 @@
-//! The clients of the instance list and of the instance control against their stand-ins.
+//! Tests of the clients of the instance list and of the instance control against their stand-ins.
 
 #![allow(clippy::unwrap_used)]
 
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn reboots_are_idempotent_by_request_id_whatever_is_lost() {
+async fn reboots_are_idempotent_by_request_id_under_every_fault() {
     let instances = MemoryInstances::default();
     let server = ControlServer::start(LOOPBACK, instances.clone()).await.unwrap();
     let client = HttpInstanceControl::new(server.address(), "entry", TIMEOUT);
@@ -85,7 +85,8 @@
     }
 }
 
-/// Answers the first request with a list, and the next ones with 304 where they name its tag.
+/// Responds to the first request with a list, and with 304 to later ones that contain its entity
+/// tag.
 async fn tagged_list(listener: TcpListener) {
     const BODY: &str = r#"{"items":[]}"#;
     let (mut stream, _) = listener.accept().await.unwrap();
@@ -93,7 +94,7 @@
     for number in 0.. {
         let length = stream.read(&mut buffer).await.unwrap();
         let head = String::from_utf8_lossy(&buffer[..length]).to_ascii_lowercase();
-        let answer = match (number, head.contains("if-none-match: \"one\"")) {
+        let response = match (number, head.contains("if-none-match: \"one\"")) {
             (0, false) => format!(
                 "HTTP/1.1 200 OK\r\netag: \"one\"\r\ncontent-length: {}\r\n\r\n{BODY}",
                 BODY.len()
@@ -101,7 +102,7 @@
             (_, true) => "HTTP/1.1 304 Not Modified\r\netag: \"one\"\r\n\r\n".to_owned(),
             _ => "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n".to_owned(),
         };
-        stream.write_all(answer.as_bytes()).await.unwrap();
+        stream.write_all(response.as_bytes()).await.unwrap();
     }
 }
 
--- a/crates/tasks/src/shard.rs
+++ b/crates/tasks/src/shard.rs
@@ -1,7 +1,8 @@
-//! Transitions of tasks within one shard.
+//! State transitions of tasks within one shard.
 //!
-//! A shard is one document in the key-value service. Each transition is a plain function on it;
-//! callers read the document, apply one or many transitions, and write it by compare-and-swap.
+//! A shard is one document in the key-value service. Transitions are functions on it without side
+//! effects; callers read the document, apply one or more transitions, and write it by
+//! compare-and-swap.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -10,41 +11,42 @@
 
 use crate::record::{Claim, ClaimId, Outcome, Task, TaskId, TaskState, WorkerId};
 
-/// Delay before the second try of an idempotent task; it doubles with each further try.
+/// Delay before the first retry of an idempotent task; it doubles with each further worker on which
+/// the task failed.
 pub const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Longest delay between tries.
+/// Maximum delay between retries.
 pub const RETRY_DELAY_MAX: Duration = Duration::from_secs(300);
-/// Number of distinct workers on which a task may fail before it is stopped.
+/// Number of distinct workers on which a task fails before it ends as failed.
 pub const FAILED_WORKERS_MAX: usize = 3;
-/// How long finished tasks are kept.
-pub const FINISHED_KEPT: Duration = Duration::from_secs(24 * 3600);
+/// Time for which finished tasks are kept.
+pub const FINISHED_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// Key of a task within its shard.
 pub type TaskKey = (TeamId, TaskId);
 
-/// One document of tasks.
+/// A document of tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Shard {
     /// Tasks by team and id.
     pub tasks: BTreeMap<TaskKey, Task>,
 }
 
-/// Answer to a submission.
+/// Result of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Submitted {
-    /// The task is new and was accepted.
+pub enum SubmitResponse {
+    /// The task was added.
     Created,
     /// A task of the same team and id was accepted before.
-    Found,
+    AlreadyExists,
 }
 
-/// Why a transition was refused.
+/// Reason why a transition was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
     /// The task does not exist.
     #[error("no such task")]
-    NoTask,
-    /// The task is not waiting, or not yet due.
+    TaskNotFound,
+    /// The task is not waiting, or its retry delay has not passed yet.
     #[error("task cannot be claimed now")]
     NotClaimable,
     /// The task is not claimed under this claim.
@@ -52,7 +54,7 @@
     StaleClaim,
 }
 
-/// What is known of a claim whose worker stopped reporting.
+/// Whether a lost claim may have started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
     /// The worker states that it never started the claim and can no longer start it.
@@ -62,14 +64,14 @@
 }
 
 impl Shard {
-    /// Accepts a task unless its team already has one of the same id.
-    pub fn submit(&mut self, task: Task) -> Submitted {
+    /// Adds a task unless its team already has one with the same id.
+    pub fn submit(&mut self, task: Task) -> SubmitResponse {
         let key = (task.team.clone(), task.id.clone());
         if self.tasks.contains_key(&key) {
-            return Submitted::Found;
+            return SubmitResponse::AlreadyExists;
         }
         self.tasks.insert(key, task);
-        Submitted::Created
+        SubmitResponse::Created
     }
 
     /// Claims a waiting task for a worker.
@@ -104,11 +106,12 @@
         Ok(())
     }
 
-    /// Records that the worker of a claim was lost or that the run broke down.
+    /// Records that the worker of a claim was lost, or that the run of an idempotent task failed.
     ///
-    /// A task that never started waits again. An idempotent task is tried again after a growing
-    /// delay, on few distinct workers. Any other task ends with an unknown outcome.
-    pub fn lose(
+    /// A task that never started returns to the waiting state. An idempotent task is retried after
+    /// an exponential delay, until it has failed on [`FAILED_WORKERS_MAX`] distinct workers. Any
+    /// other task ends with an unknown outcome.
+    pub fn mark_lost(
         &mut self,
         key: &TaskKey,
         claim: &ClaimId,
@@ -121,7 +124,7 @@
         Ok(())
     }
 
-    /// Cancels a waiting task at once, and asks for the cancellation of a running one.
+    /// Cancels a waiting task, or requests the cancellation of a claimed one.
     pub fn cancel(&mut self, key: &TaskKey, now: SystemTime) -> Result<(), TransitionError> {
         let task = self.task_mut(key)?;
         match task.state {
@@ -134,32 +137,36 @@
         Ok(())
     }
 
-    /// Ends a waiting task that no worker could ever run.
-    pub fn end_hopeless(&mut self, key: &TaskKey, now: SystemTime) -> Result<(), TransitionError> {
+    /// Ends a waiting task that is too large for every worker.
+    pub fn end_unschedulable(
+        &mut self,
+        key: &TaskKey,
+        now: SystemTime,
+    ) -> Result<(), TransitionError> {
         let task = self.task_mut(key)?;
         if !matches!(task.state, TaskState::Waiting { .. }) {
             return Err(TransitionError::NotClaimable);
         }
-        task.state = TaskState::Finished { outcome: Outcome::Hopeless, at: now };
+        task.state = TaskState::Finished { outcome: Outcome::Unschedulable, at: now };
         Ok(())
     }
 
-    /// Removes tasks that ended longer ago than [`FINISHED_KEPT`].
-    pub fn expire(&mut self, now: SystemTime) {
+    /// Removes tasks that ended at least [`FINISHED_RETENTION`] ago.
+    pub fn remove_expired(&mut self, now: SystemTime) {
         self.tasks.retain(|_, task| match &task.state {
-            TaskState::Finished { at, .. } => *at + FINISHED_KEPT > now,
+            TaskState::Finished { at, .. } => *at + FINISHED_RETENTION > now,
             TaskState::Waiting { .. } | TaskState::Claimed(_) => true,
         });
     }
 
-    /// Number of claimed tasks of a team, which count against its upper limit.
-    pub fn running(&self, team: &TeamId) -> usize {
+    /// Returns the number of claimed tasks of a team, which count towards its quota.
+    pub fn running_count(&self, team: &TeamId) -> usize {
         let of_team = self.tasks.values().filter(|task| task.team == *team);
         of_team.filter(|task| matches!(task.state, TaskState::Claimed(_))).count()
     }
 
     fn task_mut(&mut self, key: &TaskKey) -> Result<&mut Task, TransitionError> {
-        self.tasks.get_mut(key).ok_or(TransitionError::NoTask)
+        self.tasks.get_mut(key).ok_or(TransitionError::TaskNotFound)
     }
 
     fn claimed_mut(
@@ -183,7 +190,7 @@
         return TaskState::Finished { outcome: Outcome::Unknown, at: now };
     }
     if let TaskState::Claimed(claim) = &task.state {
-        note_failed_worker(&mut task.failed_on, claim.worker.clone());
+        add_failed_worker(&mut task.failed_on, claim.worker.clone());
     }
     if task.failed_on.len() >= FAILED_WORKERS_MAX {
         let reason = "failed on several distinct workers".into();
@@ -192,7 +199,7 @@
     waiting_or_cancelled(task, now + retry_delay(task.failed_on.len()), now)
 }
 
-fn note_failed_worker(failed_on: &mut Vec<WorkerId>, worker: WorkerId) {
+fn add_failed_worker(failed_on: &mut Vec<WorkerId>, worker: WorkerId) {
     if !failed_on.contains(&worker) {
         failed_on.push(worker);
     }
--- a/crates/tasks/src/transition.rs
+++ b/crates/tasks/src/transition.rs
@@ -1,17 +1,17 @@
 //! Transitions of tasks as messages.
 //!
-//! Applying a transition twice has the effect of applying it once. So a transition whose write
-//! has an unknown outcome may be applied again to the document as it stands.
+//! Transitions are idempotent: a transition whose write has an unknown outcome can be applied again
+//! to the current document.
 
 use std::time::SystemTime;
 
 use crate::record::{Claim, ClaimId, Outcome, Task, TaskState};
-use crate::shard::{Loss, Shard, Submitted, TaskKey, TransitionError};
+use crate::shard::{Loss, Shard, SubmitResponse, TaskKey, TransitionError};
 
-/// A change of one task.
+/// A state change of one task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Transition {
-    /// Accepts a task.
+    /// Adds a new task.
     Submit(Task),
     /// Claims a waiting task for a worker.
     Claim(Claim),
@@ -23,25 +23,25 @@
         outcome: Outcome,
     },
     /// Records that the worker of a claim was lost.
-    Lose {
+    MarkLost {
         /// Claim of the lost worker.
         claim: ClaimId,
-        /// What is known of the claim.
+        /// Whether the claim may have started.
         loss: Loss,
     },
     /// Cancels the task.
     Cancel,
-    /// Ends a task that fits no worker.
-    EndHopeless,
+    /// Ends a task that is too large for every worker.
+    EndUnschedulable,
 }
 
 /// Effect of a transition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Applied {
-    /// The transition took effect, now or before.
+    /// The transition has taken effect, with this call or an earlier one.
     Done,
     /// A task of the same team and id was accepted before.
-    Found,
+    AlreadyExists,
 }
 
 impl Transition {
@@ -57,14 +57,14 @@
         }
         match self {
             Self::Submit(task) => match shard.submit(task.clone()) {
-                Submitted::Created => return Ok(Applied::Done),
-                Submitted::Found => return Ok(Applied::Found),
+                SubmitResponse::Created => return Ok(Applied::Done),
+                SubmitResponse::AlreadyExists => return Ok(Applied::AlreadyExists),
             },
             Self::Claim(claim) => shard.claim(key, claim.clone(), now),
             Self::Finish { claim, outcome } => shard.finish(key, claim, outcome.clone(), now),
-            Self::Lose { claim, loss } => shard.lose(key, claim, *loss, now),
+            Self::MarkLost { claim, loss } => shard.mark_lost(key, claim, *loss, now),
             Self::Cancel => shard.cancel(key, now),
-            Self::EndHopeless => shard.end_hopeless(key, now),
+            Self::EndUnschedulable => shard.end_unschedulable(key, now),
         }?;
         Ok(Applied::Done)
     }
@@ -76,12 +76,12 @@
             Self::Claim(claim) => {
                 matches!(&task.state, TaskState::Claimed(current) if current.id == claim.id)
             }
-            Self::Finish { claim, .. } | Self::Lose { claim, .. } => {
+            Self::Finish { claim, .. } | Self::MarkLost { claim, .. } => {
                 task.last_ended_claim.as_ref() == Some(claim)
             }
             Self::Cancel => false,
-            Self::EndHopeless => {
-                matches!(&task.state, TaskState::Finished { outcome: Outcome::Hopeless, .. })
+            Self::EndUnschedulable => {
+                matches!(&task.state, TaskState::Finished { outcome: Outcome::Unschedulable, .. })
             }
         }
     }
--- a/crates/tasks/src/wire.rs
+++ b/crates/tasks/src/wire.rs
@@ -8,14 +8,14 @@
 use crate::record::{Claim, Outcome, Resources, Task, TaskState};
 use crate::shard::Shard;
 
-/// Number of the format that this version writes.
+/// Format version that this release writes.
 pub const FORMAT: u32 = 1;
 
 /// Stored form of [`Shard`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WireShard {
-    /// Number of the format.
+    /// Format version.
     pub format: u32,
     /// The tasks.
     pub tasks: Vec<WireTask>,
@@ -58,31 +58,37 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 enum WireOutcome {
-    Succeeded { answer: Arc<str> },
-    Failed { reason: Arc<str> },
+    Succeeded {
+        #[serde(rename = "answer")]
+        output: Arc<str>,
+    },
+    Failed {
+        reason: Arc<str>,
+    },
     Unknown,
     Cancelled,
-    Hopeless,
+    #[serde(rename = "hopeless")]
+    Unschedulable,
 }
 
-/// Why a stored shard was refused.
+/// Reason why a stored shard was refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// The format is not known to this version.
-    #[error("unknown format {0}")]
+    /// The format version is unknown to this release.
+    #[error("unknown format version {0}")]
     UnknownFormat(u32),
     /// Two tasks have the same team and id.
-    #[error("task {id} of team {team} stands twice")]
-    Repeated {
+    #[error("task {id} of team {team} appears twice")]
+    DuplicateTask {
         /// Team of the task.
         team: Arc<str>,
         /// Identifier of the task.
         id: Arc<str>,
     },
-    /// The document is not of the expected shape.
+    /// The document does not match the schema.
     #[error("malformed shard: {0}")]
     Malformed(String),
-    /// A time lies beyond what the clock can express.
+    /// A time exceeds the range of [`SystemTime`].
     #[error("time out of range")]
     TimeOutOfRange,
 }
@@ -112,7 +118,7 @@
             let task = Task::try_from(task)?;
             let key = (task.team.clone(), task.id.clone());
             if let Some(task) = shard.tasks.insert(key, task) {
-                return Err(WireError::Repeated { team: task.team, id: task.id });
+                return Err(WireError::DuplicateTask { team: task.team, id: task.id });
             }
         }
         Ok(shard)
@@ -206,11 +212,11 @@
 impl From<&Outcome> for WireOutcome {
     fn from(outcome: &Outcome) -> Self {
         match outcome {
-            Outcome::Succeeded { answer } => Self::Succeeded { answer: answer.clone() },
+            Outcome::Succeeded { output } => Self::Succeeded { output: output.clone() },
             Outcome::Failed { reason } => Self::Failed { reason: reason.clone() },
             Outcome::Unknown => Self::Unknown,
             Outcome::Cancelled => Self::Cancelled,
-            Outcome::Hopeless => Self::Hopeless,
+            Outcome::Unschedulable => Self::Unschedulable,
         }
     }
 }
@@ -218,11 +224,11 @@
 impl From<WireOutcome> for Outcome {
     fn from(wire: WireOutcome) -> Self {
         match wire {
-            WireOutcome::Succeeded { answer } => Self::Succeeded { answer },
+            WireOutcome::Succeeded { output } => Self::Succeeded { output },
             WireOutcome::Failed { reason } => Self::Failed { reason },
             WireOutcome::Unknown => Self::Unknown,
             WireOutcome::Cancelled => Self::Cancelled,
-            WireOutcome::Hopeless => Self::Hopeless,
+            WireOutcome::Unschedulable => Self::Unschedulable,
         }
     }
 }
