--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -2,10 +2,10 @@
 
 use serde::de::DeserializeOwned;
 
-use crate::decode::{Decoded, decode, merge_checked};
+use crate::decode::{Decoded, decode, merge_validation_faults};
 use crate::document::Config;
 use crate::error::Faults;
-use crate::node::{Item, Node, locate};
+use crate::node::{Item, Node, assign_lines};
 use crate::raw::RawConfig;
 use crate::settings::{RawSettings, Settings};
 
@@ -69,17 +69,19 @@
 {
     if !matches!(item.node, Node::Map(_)) {
         let mut faults = Faults::one("", "must be a mapping");
-        locate(&mut faults, &item.lines());
+        assign_lines(&mut faults, &item.lines());
         return Err(faults);
     }
-    let Decoded { value, mut faults, spoiled } = decode::<R>(item);
+    let Decoded { value, mut faults, placeholder_paths } = decode::<R>(item);
     let mut checked = None;
     match value.map(T::try_from) {
         Some(Ok(value)) => checked = Some(value),
-        Some(Err(found)) => merge_checked(&mut faults, &spoiled, found),
+        Some(Err(validation_faults)) => {
+            merge_validation_faults(&mut faults, &placeholder_paths, validation_faults)
+        }
         None => {}
     }
-    locate(&mut faults, &item.lines());
+    assign_lines(&mut faults, &item.lines());
     match checked {
         Some(value) if faults.is_empty() => Ok(value),
         _ => Err(faults),
--- a/crates/config/src/decode.rs
+++ b/crates/config/src/decode.rs
@@ -28,66 +28,71 @@
     /// Every fault found.
     pub faults: Faults,
     /// Paths of the stand-ins.
-    pub spoiled: BTreeSet<String>,
+    pub placeholder_paths: BTreeSet<String>,
 }
 
 /// Reads a value from `item`.
 pub fn decode<T: DeserializeOwned>(item: &Item) -> Decoded<T> {
-    let mut ended = Faults::default();
-    let mut standins = BTreeSet::new();
+    let mut serde_faults = Faults::default();
+    let mut failed_paths = BTreeSet::new();
     for _ in 0..PASSES_MAX {
-        let sink = Sink {
+        let state = PassState {
             faults: RefCell::default(),
-            spoiled: RefCell::new(standins.clone()),
-            standins: &standins,
+            placeholder_paths: RefCell::new(failed_paths.clone()),
+            failed_paths: &failed_paths,
         };
-        let result = T::deserialize(Reader { item: Some(item), path: String::new(), sink: &sink });
-        let mut faults = sink.faults.into_inner();
-        let spoiled = sink.spoiled.into_inner();
-        faults.list.extend(ended.list.iter().cloned());
+        let result =
+            T::deserialize(Reader { item: Some(item), path: String::new(), state: &state });
+        let mut faults = state.faults.into_inner();
+        let placeholder_paths = state.placeholder_paths.into_inner();
+        faults.list.extend(serde_faults.list.iter().cloned());
         let error = match result {
-            Ok(value) => return Decoded { value: Some(value), faults, spoiled },
+            Ok(value) => return Decoded { value: Some(value), faults, placeholder_paths },
             Err(error) => error,
         };
         let path = error.path.unwrap_or_default();
-        ended.push(path.clone(), error.message);
-        if !standins.insert(path) {
-            return Decoded { value: None, faults: ended, spoiled };
+        serde_faults.push(path.clone(), error.message);
+        if !failed_paths.insert(path) {
+            return Decoded { value: None, faults: serde_faults, placeholder_paths };
         }
     }
-    ended.push("", format!("more than {PASSES_MAX} faults; the rest was not looked for"));
-    Decoded { value: None, faults: ended, spoiled: standins }
+    serde_faults.push("", format!("more than {PASSES_MAX} faults; the rest was not looked for"));
+    Decoded { value: None, faults: serde_faults, placeholder_paths: failed_paths }
 }
 
 /// Adds the faults that `checked` found, less those that follow from stand-ins.
-pub fn merge_checked(read: &mut Faults, spoiled: &BTreeSet<String>, checked: Faults) {
-    let is_spoiled = |path: &str| spoiled.iter().any(|other| within(path, other));
-    let sound = checked.list.into_iter().filter(|fault| {
-        let related = fault.related.as_deref().is_some_and(is_spoiled);
-        !related && !is_spoiled(&fault.path)
+pub fn merge_validation_faults(
+    read: &mut Faults,
+    placeholder_paths: &BTreeSet<String>,
+    checked: Faults,
+) {
+    let is_placeholder = |path: &str| placeholder_paths.iter().any(|other| is_within(path, other));
+    let independent = checked.list.into_iter().filter(|fault| {
+        let related = fault.related.as_deref().is_some_and(is_placeholder);
+        !related && !is_placeholder(&fault.path)
     });
-    read.list.extend(sound);
+    read.list.extend(independent);
 }
 
-fn within(path: &str, outer: &str) -> bool {
-    let mut place = Some(path);
-    while let Some(path) = place {
+fn is_within(path: &str, outer: &str) -> bool {
+    let mut ancestor = Some(path);
+    while let Some(path) = ancestor {
         if path == outer {
             return true;
         }
-        place = parent_path(path);
+        ancestor = parent_path(path);
     }
     false
 }
 
-struct Sink<'a> {
+struct PassState<'a> {
     faults: RefCell<Faults>,
-    spoiled: RefCell<BTreeSet<String>>,
-    standins: &'a BTreeSet<String>,
+    placeholder_paths: RefCell<BTreeSet<String>>,
+    failed_paths: &'a BTreeSet<String>,
 }
 
-impl Sink<'_> {
-    fn note(&self, path: &str, message: impl Into<String>) {
+impl PassState<'_> {
+    fn push_fault(&self, path: &str, message: impl Into<String>) {
         self.faults.borrow_mut().push(path, message);
     }
 }
--- a/crates/config/src/decode/access.rs
+++ b/crates/config/src/decode/access.rs
@@ -4,20 +4,20 @@
 use serde::de::{DeserializeSeed, IntoDeserializer, MapAccess, SeqAccess};
 
 use super::reader::Reader;
-use super::{DecodeError, Sink};
+use super::{DecodeError, PassState};
 use crate::node::{Entry, Item, index_path, key_path};
 
 /// Elements of a list.
 pub(super) struct Items<'a, 'p> {
     items: std::iter::Enumerate<std::slice::Iter<'a, Item>>,
     path: &'p str,
-    sink: &'a Sink<'a>,
+    state: &'a PassState<'a>,
 }
 
 impl<'a, 'p> Items<'a, 'p> {
     /// The elements of the list at `path`.
-    pub(super) fn new(items: &'a [Item], path: &'p str, sink: &'a Sink<'a>) -> Self {
-        Self { items: items.iter().enumerate(), path, sink }
+    pub(super) fn new(items: &'a [Item], path: &'p str, state: &'a PassState<'a>) -> Self {
+        Self { items: items.iter().enumerate(), path, state }
     }
 }
 
@@ -30,7 +30,7 @@
     ) -> Result<Option<T::Value>, DecodeError> {
         let Some((index, item)) = self.items.next() else { return Ok(None) };
         let path = index_path(self.path, index);
-        seed.deserialize(Reader { item: Some(item), path, sink: self.sink }).map(Some)
+        seed.deserialize(Reader { item: Some(item), path, state: self.state }).map(Some)
     }
 }
 
@@ -40,7 +40,7 @@
     missing: std::vec::IntoIter<&'static str>,
     value: Option<(Option<&'a Item>, String)>,
     path: String,
-    sink: &'a Sink<'a>,
+    state: &'a PassState<'a>,
 }
 
 impl<'a> Entries<'a> {
@@ -49,10 +49,10 @@
         entries: Vec<&'a Entry>,
         missing: Vec<&'static str>,
         path: &str,
-        sink: &'a Sink<'a>,
+        state: &'a PassState<'a>,
     ) -> Self {
         let (entries, missing) = (entries.into_iter(), missing.into_iter());
-        Self { entries, missing, value: None, path: path.to_owned(), sink }
+        Self { entries, missing, value: None, path: path.to_owned(), state }
     }
 }
 
@@ -68,10 +68,10 @@
             let key: StrDeserializer<'_, DecodeError> = (&*entry.key).into_deserializer();
             return seed.deserialize(key).map(Some);
         }
-        let standins = self.sink.standins;
+        let failed_paths = self.state.failed_paths;
         let missing = self.missing.by_ref().find(|field| {
             let path = key_path(&self.path, field);
-            standins.contains(&path)
+            failed_paths.contains(&path)
         });
         let Some(field) = missing else { return Ok(None) };
         self.value = Some((None, key_path(&self.path, field)));
@@ -84,6 +84,6 @@
         seed: V,
     ) -> Result<V::Value, DecodeError> {
         let (item, path) = self.value.take().unwrap_or_default();
-        seed.deserialize(Reader { item, path, sink: self.sink })
+        seed.deserialize(Reader { item, path, state: self.state })
     }
 }
--- a/crates/config/src/decode/reader.rs
+++ b/crates/config/src/decode/reader.rs
@@ -6,14 +6,14 @@
 use serde::de::{Deserializer, IntoDeserializer, Visitor};
 
 use super::access::{Entries, Items};
-use super::{DecodeError, Sink};
+use super::{DecodeError, PassState};
 use crate::node::{Entry, Item, Node, key_path};
 
 /// Text that stands in for a faulty one; it also reads as a socket address.
-const TEXT_STANDIN: &str = "127.0.0.1:1";
+const TEXT_PLACEHOLDER: &str = "127.0.0.1:1";
 
 /// Likeness above which a known field is suggested for an unknown one.
-const SUGGESTION_LIKENESS: f64 = 0.8;
+const SUGGESTION_SIMILARITY_MIN: f64 = 0.8;
 
 /// Deserializer of one value; without an item it yields a stand-in.
 pub(super) struct Reader<'a> {
@@ -22,22 +22,22 @@
     /// Path of the value.
     pub(super) path: String,
     /// Where faults are noted.
-    pub(super) sink: &'a Sink<'a>,
+    pub(super) state: &'a PassState<'a>,
 }
 
 impl<'a> Reader<'a> {
     /// The value, or `None` where a stand-in must be yielded.
     fn node(&self) -> Option<&'a Node> {
-        if self.sink.standins.contains(&self.path) {
+        if self.state.failed_paths.contains(&self.path) {
             return None;
         }
         self.item.map(|item| &item.node)
     }
 
     /// Notes that a stand-in takes the place of this value.
-    fn note(&self, message: impl Into<String>) {
-        self.sink.spoiled.borrow_mut().insert(self.path.clone());
-        self.sink.note(&self.path, message);
+    fn reject(&self, message: impl Into<String>) {
+        self.state.placeholder_paths.borrow_mut().insert(self.path.clone());
+        self.state.push_fault(&self.path, message);
     }
 
     fn unsigned(&self, max: u64) -> u64 {
@@ -45,7 +45,7 @@
             None => 1,
             Some(Node::Unsigned(value)) if *value <= max => *value,
             Some(_) => {
-                self.note(format!("must be a whole number from 0 to {max}"));
+                self.reject(format!("must be a whole number from 0 to {max}"));
                 1
             }
         }
@@ -59,7 +59,7 @@
             Some(_) => None,
         };
         value.filter(|value| (min..=max).contains(value)).unwrap_or_else(|| {
-            self.note(format!("must be a whole number from {min} to {max}"));
+            self.reject(format!("must be a whole number from {min} to {max}"));
             1
         })
     }
@@ -71,7 +71,7 @@
             Some(Node::Signed(value)) => *value as f64,
             Some(Node::Float(value)) if value.is_finite() => *value,
             Some(_) => {
-                self.note("must be a number");
+                self.reject("must be a number");
                 1.0
             }
         }
@@ -80,7 +80,7 @@
     fn text(&self) -> &'a str {
         let plain = self.item.and_then(|item| item.plain.as_deref());
         match self.node() {
-            None => TEXT_STANDIN,
+            None => TEXT_PLACEHOLDER,
             Some(Node::Text(text)) => text,
             Some(Node::Bool(_) | Node::Unsigned(_) | Node::Signed(_) | Node::Float(_))
                 if plain.is_some() =>
@@ -88,8 +88,8 @@
                 plain.unwrap_or_default()
             }
             Some(_) => {
-                self.note("must be text");
-                TEXT_STANDIN
+                self.reject("must be text");
+                TEXT_PLACEHOLDER
             }
         }
     }
@@ -99,7 +99,7 @@
             None => &[],
             Some(Node::Map(entries)) => entries,
             Some(_) => {
-                self.note("must be a mapping");
+                self.reject("must be a mapping");
                 &[]
             }
         }
@@ -110,14 +110,14 @@
             None => &[],
             Some(Node::List(items)) => items,
             Some(_) => {
-                self.note("must be a list");
+                self.reject("must be a list");
                 &[]
             }
         }
     }
 
     /// The last entry of each key; earlier ones are noted as faults.
-    fn distinct(&self) -> Vec<&'a Entry> {
+    fn distinct_entries(&self) -> Vec<&'a Entry> {
         let entries = self.entries();
         let mut seen = BTreeSet::new();
         let mut distinct = Vec::new();
@@ -125,33 +125,34 @@
             if seen.insert(&entry.key) {
                 distinct.push(entry);
             } else {
-                self.sink.note(&key_path(&self.path, &entry.key), "is given more than once");
+                self.state.push_fault(&key_path(&self.path, &entry.key), "is given more than once");
             }
         }
         distinct.reverse();
         distinct
     }
 
-    fn known(&self, fields: &'static [&'static str]) -> Vec<&'a Entry> {
+    fn known_entries(&self, fields: &'static [&'static str]) -> Vec<&'a Entry> {
         let (known, unknown): (Vec<_>, Vec<_>) =
-            self.distinct().into_iter().partition(|entry| fields.contains(&&*entry.key));
+            self.distinct_entries().into_iter().partition(|entry| fields.contains(&&*entry.key));
         for entry in unknown {
-            self.sink.note(&key_path(&self.path, &entry.key), unknown_field(&entry.key, fields));
+            self.state
+                .push_fault(&key_path(&self.path, &entry.key), unknown_field(&entry.key, fields));
         }
         known
     }
 
-    fn access(&self, fields: &[&'static str], entries: Vec<&'a Entry>) -> Entries<'a> {
+    fn map_access(&self, fields: &[&'static str], entries: Vec<&'a Entry>) -> Entries<'a> {
         let absent = |field: &&&str| !entries.iter().any(|entry| *entry.key == ***field);
         let missing = fields.iter().filter(absent).copied().collect();
-        Entries::new(entries, missing, &self.path, self.sink)
+        Entries::new(entries, missing, &self.path, self.state)
     }
 }
 
 fn unknown_field(name: &str, fields: &[&str]) -> String {
-    let likeness = |field: &str| strsim::jaro_winkler(name, field);
-    let nearest = fields.iter().max_by(|a, b| likeness(a).total_cmp(&likeness(b)));
-    match nearest.filter(|field| likeness(field) >= SUGGESTION_LIKENESS) {
+    let similarity = |field: &str| strsim::jaro_winkler(name, field);
+    let nearest = fields.iter().max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
+    match nearest.filter(|field| similarity(field) >= SUGGESTION_SIMILARITY_MIN) {
         Some(field) => format!("unknown field; did you mean {field}?"),
         None => format!("unknown field; known are {}", fields.join(", ")),
     }
@@ -211,7 +212,7 @@
             None => false,
             Some(Node::Bool(value)) => *value,
             Some(_) => {
-                self.note("must be true or false");
+                self.reject("must be true or false");
                 false
             }
         };
@@ -250,12 +251,12 @@
     }
 
     fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, DecodeError> {
-        let access = Items::new(self.items(), &self.path, self.sink);
+        let access = Items::new(self.items(), &self.path, self.state);
         visitor.visit_seq(access).map_err(|error| error.at(&self.path))
     }
 
     fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, DecodeError> {
-        let access = self.access(&[], self.distinct());
+        let access = self.map_access(&[], self.distinct_entries());
         visitor.visit_map(access).map_err(|error| error.at(&self.path))
     }
 
@@ -265,7 +266,7 @@
         fields: &'static [&'static str],
         visitor: V,
     ) -> Result<V::Value, DecodeError> {
-        let access = self.access(fields, self.known(fields));
+        let access = self.map_access(fields, self.known_entries(fields));
         visitor.visit_map(access).map_err(|error| error.at(&self.path))
     }
 
@@ -278,7 +279,7 @@
         let text = self.text();
         let known = variants.iter().find(|variant| **variant == text);
         if known.is_none() {
-            self.note(format!("must be one of {}", variants.join(", ")));
+            self.reject(format!("must be one of {}", variants.join(", ")));
         }
         let variant = known.or(variants.first()).copied().unwrap_or_default();
         let variant: StrDeserializer<'_, DecodeError> = variant.into_deserializer();
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -31,7 +31,7 @@
     pub waves: BTreeMap<WaveId, Wave>,
     /// Who made this version and how, where known.
     pub change: Option<RawChange>,
-    keys: HashMap<KeyPrefix, Vec<(KeyHash, TeamId)>>,
+    key_index: HashMap<KeyPrefix, Vec<(KeyHash, TeamId)>>,
 }
 
 /// An availability zone.
@@ -138,7 +138,7 @@
     /// Returns the team whose key a caller presented.
     pub fn team_for_key(&self, key: &str) -> Option<&TeamId> {
         let hash = KeyHash::of(key);
-        let candidates = self.keys.get(&hash.prefix())?;
+        let candidates = self.key_index.get(&hash.prefix())?;
         candidates.iter().find(|(known, _)| *known == hash).map(|(_, team)| team)
     }
 
@@ -165,11 +165,12 @@
         let zones = raw.zones.into_iter().map(|(id, zone)| (id, Zone::from(zone))).collect();
         let services = check_services(raw.services, &mut faults);
         let pools = check_pools(raw.pools, &services, &mut faults);
-        let (teams, keys) = check_teams(raw.teams, &mut faults);
+        let (teams, key_index) = check_teams(raw.teams, &mut faults);
         let waves = check_waves(raw.waves, &zones, &pools, &mut faults);
         let (version, write_id) = (raw.version, raw.write_id);
         let change = raw.change;
-        let config = Self { version, write_id, zones, services, pools, teams, waves, change, keys };
+        let config =
+            Self { version, write_id, zones, services, pools, teams, waves, change, key_index };
         faults.into_result(config)
     }
 }
@@ -279,7 +280,7 @@
     faults: &mut Faults,
 ) -> (BTreeMap<TeamId, Team>, KeyIndex) {
     let mut teams = BTreeMap::new();
-    let mut keys = KeyIndex::new();
+    let mut key_index = KeyIndex::new();
     for (id, team) in raw {
         let path = format!("teams.{id}");
         if &*id == ANONYMOUS_TEAM {
@@ -295,7 +296,7 @@
                 faults.push(key_path, "must be 64 hexadecimal digits");
                 continue;
             };
-            let known = keys.entry(hash.prefix()).or_default();
+            let known = key_index.entry(hash.prefix()).or_default();
             if known.iter().any(|(other, _)| *other == hash) {
                 faults.push(key_path, "is granted twice");
             }
@@ -305,7 +306,7 @@
         let (share, upper_limit) = (team.share, team.upper_limit);
         teams.insert(id, Team { share, upper_limit, key_hashes });
     }
-    (teams, keys)
+    (teams, key_index)
 }
 
 fn check_waves(
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -135,15 +135,15 @@
 }
 
 /// Gives each fault the line of its path, or of the nearest value around it.
-pub fn locate(faults: &mut Faults, lines: &BTreeMap<String, usize>) {
+pub fn assign_lines(faults: &mut Faults, lines: &BTreeMap<String, usize>) {
     for fault in faults.list.iter_mut().filter(|fault| fault.line.is_none()) {
         let mut path = Some(fault.path.as_str());
-        while let Some(place) = path {
-            if let Some(line) = lines.get(place) {
+        while let Some(ancestor) = path {
+            if let Some(line) = lines.get(ancestor) {
                 fault.line = Some(*line);
                 break;
             }
-            path = parent_path(place);
+            path = parent_path(ancestor);
         }
     }
     faults.list.sort_by_key(|fault| fault.line);
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -15,7 +15,7 @@
 pub const JSON_PATCH: &str = "application/json-patch+json";
 
 /// Longest patch in bytes that is kept with the change it made.
-pub const KEPT_PATCH_BYTES_MAX: usize = 8 << 10;
+pub const STORED_PATCH_BYTES_MAX: usize = 8 << 10;
 
 /// Most operations of one patch.
 pub const OPERATIONS_MAX: usize = 1_000;
@@ -24,7 +24,7 @@
 const DOCUMENT_BYTES_MAX: usize = 4 << 20;
 
 /// Fields that the operators' interface sets itself.
-const OWN_FIELDS: [&str; 2] = ["write_id", "change"];
+const SERVER_SET_FIELDS: [&str; 2] = ["write_id", "change"];
 
 /// A change to the configuration.
 #[derive(Debug, Clone, PartialEq)]
@@ -76,13 +76,13 @@
         let Value::Object(mut fields) = document else {
             return Err(Faults::one("", "must be a mapping"));
         };
-        check_own_fields(&fields, base_version, origin.version)?;
+        check_server_set_fields(&fields, base_version, origin.version)?;
         let change = RawChange {
             operator: origin.operator.clone(),
             unix_s: origin.unix_s,
             base_version,
             media_type: self.media_type().into(),
-            patch: self.kept(),
+            patch: self.stored_patch(),
         };
         fields.insert("version".to_owned(), origin.version.into());
         let mut config = from_json::<RawConfig, Config>(&Value::Object(fields))?;
@@ -104,12 +104,12 @@
         Ok(())
     }
 
-    fn kept(&self) -> Option<Value> {
+    fn stored_patch(&self) -> Option<Value> {
         let value = match self {
             Self::Merge(patch) => patch.clone(),
             Self::Operations(patch) => serde_json::to_value(patch).ok()?,
         };
-        (value.to_string().len() <= KEPT_PATCH_BYTES_MAX).then_some(value)
+        (value.to_string().len() <= STORED_PATCH_BYTES_MAX).then_some(value)
     }
 }
 
@@ -133,18 +133,18 @@
     let mut document =
         serde_json::to_value(raw).map_err(|error| Faults::one("", error.to_string()))?;
     if let Value::Object(fields) = &mut document {
-        OWN_FIELDS.iter().for_each(|field| drop(fields.remove(*field)));
+        SERVER_SET_FIELDS.iter().for_each(|field| drop(fields.remove(*field)));
     }
     Ok(document)
 }
 
-fn check_own_fields(
+fn check_server_set_fields(
     fields: &Map<String, Value>,
     base: Version,
     next: Version,
 ) -> Result<(), Faults> {
     let mut faults = Faults::default();
-    for field in OWN_FIELDS.iter().filter(|field| fields.contains_key(**field)) {
+    for field in SERVER_SET_FIELDS.iter().filter(|field| fields.contains_key(**field)) {
         faults.push(*field, "is set by the operators' interface; leave it out");
     }
     let version = fields.get("version").map(Value::as_u64);
--- a/crates/config/src/wire.rs
+++ b/crates/config/src/wire.rs
@@ -11,20 +11,20 @@
         Self {
             version: config.version,
             write_id: config.write_id.clone(),
-            zones: map(&config.zones, |zone| RawZone {
+            zones: map_values(&config.zones, |zone| RawZone {
                 region: zone.region.clone(),
                 out: zone.out,
             }),
-            services: map(&config.services, |service| RawService::from(service)),
-            pools: map(&config.pools, |pool| RawPool { service: pool.service.clone() }),
-            teams: map(&config.teams, |team| RawTeam::from(team)),
-            waves: map(&config.waves, |wave| RawWave::from(wave)),
+            services: map_values(&config.services, |service| RawService::from(service)),
+            pools: map_values(&config.pools, |pool| RawPool { service: pool.service.clone() }),
+            teams: map_values(&config.teams, |team| RawTeam::from(team)),
+            waves: map_values(&config.waves, |wave| RawWave::from(wave)),
             change: config.change.clone(),
         }
     }
 }
 
-fn map<K: Ord + Clone, V, W>(from: &BTreeMap<K, V>, f: impl Fn(&V) -> W) -> BTreeMap<K, W> {
+fn map_values<K: Ord + Clone, V, W>(from: &BTreeMap<K, V>, f: impl Fn(&V) -> W) -> BTreeMap<K, W> {
     from.iter().map(|(key, value)| (key.clone(), f(value))).collect()
 }
 
--- a/crates/dispatch/tests/storm.rs
+++ b/crates/dispatch/tests/storm.rs
@@ -27,7 +27,7 @@
     Fault::CutBody,
     Fault::CutChunked,
     Fault::Slow(Duration::from_millis(500)),
-    Fault::CrossedId,
+    Fault::WrongRequestId,
     Fault::Unframed,
     Fault::RefuseNotRun,
     Fault::ServerError,
--- a/crates/dispatch/tests/support/faults.rs
+++ b/crates/dispatch/tests/support/faults.rs
@@ -95,7 +95,7 @@
     case("late", Strike::First(Fault::Slow(LATE)), (1, TIMEOUT), (2, WHOLE)),
     case(
         "crossed id",
-        Strike::First(Fault::CrossedId),
+        Strike::First(Fault::WrongRequestId),
         (1, "502, code 315, outcome unknown"),
         (2, WHOLE),
     ),
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -28,7 +28,7 @@
 
 impl BackendCounts {
     /// Notes one run of `request_id`.
-    pub fn note(&self, request_id: &str) {
+    pub fn record_run(&self, request_id: &str) {
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         *runs.entry(request_id.to_owned()).or_default() += 1;
     }
@@ -72,7 +72,7 @@
     /// Faults that it commits.
     pub faults: FaultPlan,
     load: Arc<Load>,
-    upset: watch::Sender<Upset>,
+    interruption: watch::Sender<Interruption>,
     server: JoinHandle<()>,
 }
 
@@ -88,8 +88,8 @@
 impl Load {
     /// Takes a slot for a run, if one of `slots` is free.
     fn start_run(&self, slots: u32) -> bool {
-        let raise = |running| (running < slots).then_some(running + 1);
-        let Ok(before) = self.running.fetch_update(Ordering::SeqCst, Ordering::SeqCst, raise)
+        let increment = |running| (running < slots).then_some(running + 1);
+        let Ok(before) = self.running.fetch_update(Ordering::SeqCst, Ordering::SeqCst, increment)
         else {
             return false;
         };
@@ -111,12 +111,12 @@
     options: BackendOptions,
     load: Arc<Load>,
     /// Notifies of what befalls the connections open now.
-    upset: watch::Receiver<Upset>,
+    interruption: watch::Receiver<Interruption>,
 }
 
 /// What befalls all connections that are open at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Upset {
+enum Interruption {
     Silence,
     Reset,
 }
@@ -136,21 +136,26 @@
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let (faults, load) = (options.faults.clone(), Arc::new(Load::default()));
-        let (upset, receiver) = watch::channel(Upset::Silence);
-        let shared =
-            Shared { id, counts: counts.clone(), options, load: load.clone(), upset: receiver };
+        let (interruption, receiver) = watch::channel(Interruption::Silence);
+        let shared = Shared {
+            id,
+            counts: counts.clone(),
+            options,
+            load: load.clone(),
+            interruption: receiver,
+        };
         let server = tokio::spawn(accept(listener, shared));
-        Ok(Self { address, counts, faults, load, upset, server })
+        Ok(Self { address, counts, faults, load, interruption, server })
     }
 
     /// Makes all connections open now go silent for good; new ones work.
     pub fn silence_connections(&self) {
-        self.upset.send_replace(Upset::Silence);
+        self.interruption.send_replace(Interruption::Silence);
     }
 
     /// Resets all connections open now; new ones work.
     pub fn reset_connections(&self) {
-        self.upset.send_replace(Upset::Reset);
+        self.interruption.send_replace(Interruption::Reset);
     }
 
     /// Requests that run now.
--- a/crates/standin/src/backend/connection.rs
+++ b/crates/standin/src/backend/connection.rs
@@ -8,38 +8,38 @@
 use tokio::net::TcpStream;
 
 use super::fault::Fault;
-use super::http::{Reader, Request};
-use super::{REQUEST_ID_HEADER, Shared, Upset};
+use super::http::{Request, RequestReader};
+use super::{Interruption, REQUEST_ID_HEADER, Shared};
 
 /// What becomes of a connection after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Next {
-    Keep,
+enum ConnectionAction {
+    KeepOpen,
     Close,
     Reset,
-    Silent,
+    Hang,
 }
 
 /// Serves requests until the connection ends.
 pub async fn serve(mut stream: TcpStream, shared: &Shared) {
-    let mut upset = shared.upset.clone();
-    upset.mark_unchanged();
+    let mut interruption = shared.interruption.clone();
+    interruption.mark_unchanged();
     let _ = stream.set_nodelay(true);
     if shared.options.faults.on_accept() {
         reset(&stream);
         return;
     }
-    let next = tokio::select! {
-        next = serve_requests(&mut stream, shared) => next.unwrap_or(Next::Close),
-        Ok(()) = upset.changed() => match *upset.borrow() {
-            Upset::Silence => Next::Silent,
-            Upset::Reset => Next::Reset,
+    let action = tokio::select! {
+        action = serve_requests(&mut stream, shared) => action.unwrap_or(ConnectionAction::Close),
+        Ok(()) = interruption.changed() => match *interruption.borrow() {
+            Interruption::Silence => ConnectionAction::Hang,
+            Interruption::Reset => ConnectionAction::Reset,
         },
     };
-    match next {
-        Next::Reset => reset(&stream),
-        Next::Silent => std::future::pending().await,
-        Next::Keep | Next::Close => {}
+    match action {
+        ConnectionAction::Reset => reset(&stream),
+        ConnectionAction::Hang => std::future::pending().await,
+        ConnectionAction::KeepOpen | ConnectionAction::Close => {}
     }
 }
 
@@ -48,95 +48,99 @@
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn serve_requests(stream: &mut TcpStream, shared: &Shared) -> io::Result<Next> {
+async fn serve_requests(stream: &mut TcpStream, shared: &Shared) -> io::Result<ConnectionAction> {
     let (read, mut write) = stream.split();
-    let mut reader = Reader::new(read);
-    while reader.wait().await? {
+    let mut reader = RequestReader::new(read);
+    while reader.wait_for_data().await? {
         let fault = shared.options.faults.on_request();
         if fault == Some(Fault::ResetDuringWrite) {
-            return Ok(Next::Reset);
+            return Ok(ConnectionAction::Reset);
         }
-        let request = reader.request().await?;
-        let next = answer(&mut write, shared, &request, fault).await?;
-        if next != Next::Keep {
-            return Ok(next);
+        let request = reader.read_request().await?;
+        let action = handle_request(&mut write, shared, &request, fault).await?;
+        if action != ConnectionAction::KeepOpen {
+            return Ok(action);
         }
     }
-    Ok(Next::Close)
+    Ok(ConnectionAction::Close)
 }
 
-async fn answer(
+async fn handle_request(
     write: &mut (impl AsyncWrite + Unpin),
     shared: &Shared,
     request: &Request,
     fault: Option<Fault>,
-) -> io::Result<Next> {
+) -> io::Result<ConnectionAction> {
     if fault == Some(Fault::Silence) {
-        return Ok(Next::Silent);
+        return Ok(ConnectionAction::Hang);
     }
     if fault == Some(Fault::RefuseNotRun) || !shared.load.start_run(shared.options.slots) {
         let head = head(503, &request.request_id, "content-length: 0\r\nx-run-state: not run\r\n");
         write.write_all(head.as_bytes()).await?;
-        return Ok(Next::Keep);
+        return Ok(ConnectionAction::KeepOpen);
     }
-    shared.counts.note(&request.request_id);
+    shared.counts.record_run(&request.request_id);
     let run_time = match fault {
         Some(Fault::Slow(run_time)) => run_time,
         _ => shared.options.run_time,
     };
     tokio::time::sleep(run_time).await;
     shared.load.running.fetch_sub(1, Ordering::SeqCst);
-    write_answer(write, shared, request, fault).await
+    write_response(write, shared, request, fault).await
 }
 
-async fn write_answer(
+async fn write_response(
     write: &mut (impl AsyncWrite + Unpin),
     shared: &Shared,
     request: &Request,
     fault: Option<Fault>,
-) -> io::Result<Next> {
+) -> io::Result<ConnectionAction> {
     let id = request.request_id.as_str();
-    let body = content(shared, request);
+    let body = response_body(shared, request);
     let length = format!("content-length: {}\r\n", body.len());
     let half = &body[..body.len() / 2];
-    let (head, body, next) = match fault {
-        Some(Fault::ResetAfterRun) => return Ok(Next::Reset),
-        Some(Fault::SilenceAfterRun) => return Ok(Next::Silent),
-        Some(Fault::CutHead) => ("HTTP/1.1 200 OK\r\nconte".to_owned(), &body[..0], Next::Close),
-        Some(Fault::CutBody) => (head(200, id, &length), half, Next::Close),
+    let (head, body, action) = match fault {
+        Some(Fault::ResetAfterRun) => return Ok(ConnectionAction::Reset),
+        Some(Fault::SilenceAfterRun) => return Ok(ConnectionAction::Hang),
+        Some(Fault::CutHead) => {
+            ("HTTP/1.1 200 OK\r\nconte".to_owned(), &body[..0], ConnectionAction::Close)
+        }
+        Some(Fault::CutBody) => (head(200, id, &length), half, ConnectionAction::Close),
         Some(Fault::CutChunked) => {
             let head = head(200, id, "transfer-encoding: chunked\r\n");
-            (format!("{head}{:x}\r\n", body.len()), half, Next::Close)
+            (format!("{head}{:x}\r\n", body.len()), half, ConnectionAction::Close)
+        }
+        Some(Fault::WrongRequestId) => {
+            (head(200, "of-another", &length), &body[..], ConnectionAction::KeepOpen)
         }
-        Some(Fault::CrossedId) => (head(200, "of-another", &length), &body[..], Next::Keep),
-        Some(Fault::Unframed) => (head(200, id, ""), &body[..], Next::Close),
-        Some(Fault::ServerError) => (head(500, id, &length), &body[..], Next::Keep),
+        Some(Fault::Unframed) => (head(200, id, ""), &body[..], ConnectionAction::Close),
+        Some(Fault::ServerError) => (head(500, id, &length), &body[..], ConnectionAction::KeepOpen),
         _ if request.path == "/trailers" => return write_trailers(write, id, &body).await,
-        _ => (head(200, id, &length), &body[..], Next::Keep),
+        _ => (head(200, id, &length), &body[..], ConnectionAction::KeepOpen),
     };
     write.write_all(head.as_bytes()).await?;
     if request.method != "HEAD" {
         write.write_all(body).await?;
     }
-    Ok(next)
+    Ok(action)
 }
 
 async fn write_trailers(
     write: &mut (impl AsyncWrite + Unpin),
     id: &str,
     body: &[u8],
-) -> io::Result<Next> {
+) -> io::Result<ConnectionAction> {
     let head = head(200, id, "transfer-encoding: chunked\r\ntrailer: x-checksum\r\n");
     write.write_all(head.as_bytes()).await?;
     write.write_all(format!("{:x}\r\n", body.len()).as_bytes()).await?;
     write.write_all(body).await?;
     write.write_all(b"\r\n0\r\nx-checksum: 7\r\n\r\n").await?;
-    Ok(Next::Keep)
+    Ok(ConnectionAction::KeepOpen)
 }
 
 /// Content of the answer: what came for `/echo`, names of the headers for `/headers`, so many
 /// bytes for `/bytes/{count}`, and who served for all else.
-fn content(shared: &Shared, request: &Request) -> Vec<u8> {
+fn response_body(shared: &Shared, request: &Request) -> Vec<u8> {
     if request.path == "/echo" {
         return request.body.clone();
     }
--- a/crates/standin/src/backend/fault.rs
+++ b/crates/standin/src/backend/fault.rs
@@ -26,7 +26,7 @@
     /// Runs the request for so long, whether the caller waits or not, then answers.
     Slow(Duration),
     /// Runs the request and answers with the id of another one.
-    CrossedId,
+    WrongRequestId,
     /// Runs the request and answers with a body whose end is marked by the close only.
     Unframed,
     /// Refuses the request without running it, and says so.
--- a/crates/standin/src/backend/http.rs
+++ b/crates/standin/src/backend/http.rs
@@ -31,77 +31,77 @@
 }
 
 /// Reads requests from a byte stream.
-pub struct Reader<R> {
+pub struct RequestReader<R> {
     stream: R,
     buffer: BytesMut,
 }
 
-impl<R: AsyncRead + Unpin> Reader<R> {
+impl<R: AsyncRead + Unpin> RequestReader<R> {
     pub fn new(stream: R) -> Self {
         Self { stream, buffer: BytesMut::new() }
     }
 
     /// Waits for the first bytes of a request. Returns whether any came.
-    pub async fn wait(&mut self) -> io::Result<bool> {
-        Ok(!self.buffer.is_empty() || self.more().await?)
+    pub async fn wait_for_data(&mut self) -> io::Result<bool> {
+        Ok(!self.buffer.is_empty() || self.fill_buffer().await?)
     }
 
-    async fn more(&mut self) -> io::Result<bool> {
+    async fn fill_buffer(&mut self) -> io::Result<bool> {
         self.buffer.reserve(READ_BYTES);
         Ok(self.stream.read_buf(&mut self.buffer).await? > 0)
     }
 
     /// Reads one whole request.
-    pub async fn request(&mut self) -> io::Result<Request> {
+    pub async fn read_request(&mut self) -> io::Result<Request> {
         let mut request = loop {
             if let Some((request, length)) = parse_head(&self.buffer)? {
                 self.buffer.advance(length);
                 break request;
             }
-            self.need_more().await?;
+            self.require_more_data().await?;
         };
         match request.length {
             Length::None => {}
-            Length::Bytes(length) => request.body = self.take(length).await?,
-            Length::Chunked => request.body = self.chunks().await?,
+            Length::Bytes(length) => request.body = self.read_bytes(length).await?,
+            Length::Chunked => request.body = self.read_chunked_body().await?,
         }
         Ok(request)
     }
 
-    async fn need_more(&mut self) -> io::Result<()> {
-        if self.more().await? { Ok(()) } else { Err(io::ErrorKind::UnexpectedEof.into()) }
+    async fn require_more_data(&mut self) -> io::Result<()> {
+        if self.fill_buffer().await? { Ok(()) } else { Err(io::ErrorKind::UnexpectedEof.into()) }
     }
 
-    async fn take(&mut self, length: usize) -> io::Result<Vec<u8>> {
+    async fn read_bytes(&mut self, length: usize) -> io::Result<Vec<u8>> {
         while self.buffer.len() < length {
-            self.need_more().await?;
+            self.require_more_data().await?;
         }
         Ok(self.buffer.split_to(length).to_vec())
     }
 
-    async fn line(&mut self) -> io::Result<String> {
+    async fn read_line(&mut self) -> io::Result<String> {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\r\n") {
                 let line = self.buffer.split_to(end);
                 self.buffer.advance(2);
                 return Ok(String::from_utf8_lossy(&line).into_owned());
             }
-            self.need_more().await?;
+            self.require_more_data().await?;
         }
     }
 
-    async fn chunks(&mut self) -> io::Result<Vec<u8>> {
+    async fn read_chunked_body(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
-            let line = self.line().await?;
+            let line = self.read_line().await?;
             let length = usize::from_str_radix(line.trim(), 16)
                 .map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
             if length == 0 {
-                while !self.line().await?.is_empty() {}
+                while !self.read_line().await?.is_empty() {}
                 return Ok(body);
             }
-            body.extend(self.take(length).await?);
-            self.line().await?;
+            body.extend(self.read_bytes(length).await?);
+            self.read_line().await?;
         }
     }
 }
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -189,13 +189,13 @@
         Ok(()) => StatusCode::NO_CONTENT.into_response(),
         Err(ControlError::Unavailable(_)) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
         Err(ControlError::OutcomeUnknown(reason)) => {
-            broken(std::io::Error::other(reason.to_string()))
+            truncated_response(std::io::Error::other(reason.to_string()))
         }
     }
 }
 
 /// An answer whose connection breaks before its end.
-fn broken(error: std::io::Error) -> Response {
+fn truncated_response(error: std::io::Error) -> Response {
     Body::from_stream(stream::once(async move { Err::<Vec<u8>, _>(error) })).into_response()
 }
 
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -39,8 +39,8 @@
     pub(crate) stale_revision: Option<Revision>,
     pub(crate) silent_watches: bool,
     partitions: BTreeMap<ClientId, Partition>,
-    planned: VecDeque<Option<WriteFault>>,
-    periodic: Option<(u64, WriteFault)>,
+    planned_faults: VecDeque<Option<WriteFault>>,
+    periodic_fault: Option<(u64, WriteFault)>,
     writes: u64,
 }
 
@@ -48,10 +48,10 @@
     /// The fault of the next write.
     pub(crate) fn next_write(&mut self) -> Option<WriteFault> {
         self.writes += 1;
-        if let Some(planned) = self.planned.pop_front() {
-            return planned;
+        if let Some(planned_faults) = self.planned_faults.pop_front() {
+            return planned_faults;
         }
-        let (interval, fault) = self.periodic?;
+        let (interval, fault) = self.periodic_fault?;
         self.writes.is_multiple_of(interval).then_some(fault)
     }
 
@@ -75,7 +75,7 @@
 
     fn set(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.lock().faults);
-        self.shared.publish();
+        self.shared.notify_watches();
     }
 
     /// Starts or ends an outage: calls fail as unavailable and open watches end.
@@ -86,7 +86,7 @@
             state.end_watches();
         }
         drop(state);
-        self.shared.publish();
+        self.shared.notify_watches();
     }
 
     /// Delays each call, half of it before and half of it after the effect.
@@ -101,12 +101,12 @@
 
     /// Plans the faults of the next writes, one for each; `None` is a write without a fault.
     pub fn plan_writes(&self, plan: impl IntoIterator<Item = Option<WriteFault>>) {
-        self.set(|faults| faults.planned.extend(plan));
+        self.set(|faults| faults.planned_faults.extend(plan));
     }
 
     /// Lets each write whose number is a multiple of `interval` fail; 0 ends it.
     pub fn fail_every(&self, interval: u64, fault: WriteFault) {
-        self.set(|faults| faults.periodic = (interval > 0).then_some((interval, fault)));
+        self.set(|faults| faults.periodic_fault = (interval > 0).then_some((interval, fault)));
     }
 
     /// Answers reads as of an older revision; `None` ends it.
@@ -122,13 +122,13 @@
     /// Silences the watches that are open now for good; new watches work.
     pub fn silence_open_watches(&self) {
         self.shared.lock().silence_watches();
-        self.shared.publish();
+        self.shared.notify_watches();
     }
 
     /// Forgets the history of changes, so that older watch positions are compacted.
     pub fn compact(&self) {
         self.shared.lock().keys.compact();
-        self.shared.publish();
+        self.shared.notify_watches();
     }
 
     /// Sets how many changes the history keeps.
@@ -142,7 +142,7 @@
         let mut state = self.shared.lock();
         let restored = state.roll_back(revision);
         drop(state);
-        self.shared.publish();
+        self.shared.notify_watches();
         restored
     }
 
--- a/crates/standin/src/gateway.rs
+++ b/crates/standin/src/gateway.rs
@@ -75,9 +75,9 @@
 }
 
 /// The store as seen by the client of a request.
-struct Client(MemoryStore);
+struct ClientStore(MemoryStore);
 
-impl axum::extract::FromRequestParts<MemoryStore> for Client {
+impl axum::extract::FromRequestParts<MemoryStore> for ClientStore {
     type Rejection = std::convert::Infallible;
 
     async fn from_request_parts(
@@ -90,28 +90,28 @@
     }
 }
 
-impl Client {
+impl ClientStore {
     fn header(&self) -> Option<Header> {
         Some(Header { revision: self.0.faults().revision().into() })
     }
 }
 
 /// An error in the form of the gateway.
-struct Refusal(StoreError);
+struct GatewayError(StoreError);
 
-impl From<StoreError> for Refusal {
+impl From<StoreError> for GatewayError {
     fn from(error: StoreError) -> Self {
         Self(error)
     }
 }
 
-impl From<MessageError> for Refusal {
+impl From<MessageError> for GatewayError {
     fn from(error: MessageError) -> Self {
         Self(error.into())
     }
 }
 
-impl IntoResponse for Refusal {
+impl IntoResponse for GatewayError {
     fn into_response(self) -> Response {
         let (status, code, message) = match self.0 {
             StoreError::Unavailable(_) => {
@@ -138,7 +138,7 @@
     }
 }
 
-type Answer<T> = Result<Json<T>, Refusal>;
+type ApiResult<T> = Result<Json<T>, GatewayError>;
 
 /// Completes a call even if its client leaves.
 async fn complete<T: Send + 'static>(
@@ -148,7 +148,7 @@
     tokio::spawn(call).await.unwrap_or_else(lost)
 }
 
-async fn range(client: Client, Json(request): Json<RangeRequest>) -> Answer<RangeResponse> {
+async fn range(client: ClientStore, Json(request): Json<RangeRequest>) -> ApiResult<RangeResponse> {
     let store = client.0.clone();
     if request.range_end.0.is_empty() {
         let key: std::sync::Arc<str> = (&request.key).try_into()?;
@@ -174,7 +174,7 @@
     *range_end == prefix_end("") || key < &range_end.0[..]
 }
 
-async fn txn(client: Client, Json(request): Json<TxnRequest>) -> Answer<TxnResponse> {
+async fn txn(client: ClientStore, Json(request): Json<TxnRequest>) -> ApiResult<TxnResponse> {
     let write = Write::try_from(request)?;
     let store = client.0.clone();
     let outcome = complete(async move { store.write(write).await }).await?;
@@ -186,7 +186,10 @@
     }))
 }
 
-async fn grant(client: Client, Json(request): Json<LeaseGrantRequest>) -> Answer<LeaseResponse> {
+async fn grant(
+    client: ClientStore,
+    Json(request): Json<LeaseGrantRequest>,
+) -> ApiResult<LeaseResponse> {
     let ttl_s = u64::try_from(request.ttl_s.0).map_err(|_| MessageError::TimeToLive)?;
     let store = client.0.clone();
     let granting = async move { store.grant_lease(Duration::from_secs(ttl_s)).await };
@@ -195,9 +198,9 @@
 }
 
 async fn keep_alive(
-    client: Client,
+    client: ClientStore,
     Json(request): Json<LeaseRequest>,
-) -> Answer<StreamMessage<LeaseResponse>> {
+) -> ApiResult<StreamMessage<LeaseResponse>> {
     let store = client.0.clone();
     let ttl = match complete(async move { store.keep_alive(request.id.0).await }).await {
         Err(StoreError::LeaseExpired) => Duration::ZERO,
@@ -207,13 +210,19 @@
     Ok(Json(StreamMessage::Result(LeaseResponse { header, id: request.id, ttl_s })))
 }
 
-async fn revoke(client: Client, Json(request): Json<LeaseRequest>) -> Answer<LeaseResponse> {
+async fn revoke(
+    client: ClientStore,
+    Json(request): Json<LeaseRequest>,
+) -> ApiResult<LeaseResponse> {
     let store = client.0.clone();
     complete(async move { store.revoke_lease(request.id.0).await }).await?;
     Ok(Json(LeaseResponse { header: client.header(), ..LeaseResponse::default() }))
 }
 
-async fn watch(client: Client, Json(request): Json<WatchRequest>) -> Result<Response, Refusal> {
+async fn watch(
+    client: ClientStore,
+    Json(request): Json<WatchRequest>,
+) -> Result<Response, GatewayError> {
     let request = request.create_request;
     let prefix: std::sync::Arc<str> = match request.key == prefix_start("") {
         true => "".into(),
@@ -229,7 +238,7 @@
     let created = WatchResponse { header, created: true, ..WatchResponse::default() };
     let body = match opened {
         Ok(watch) => {
-            let stream = stream::unfold(Delivery::Created(created, watch), deliver);
+            let stream = stream::unfold(WatchStreamState::Created(created, watch), next_line);
             Body::from_stream(stream)
         }
         Err(StoreError::Compacted) => {
@@ -241,7 +250,7 @@
                 compact_revision,
                 ..WatchResponse::default()
             };
-            Body::from([line(created), line(canceled)].concat())
+            Body::from([encode_line(created), encode_line(canceled)].concat())
         }
         Err(error) => return Err(error.into()),
     };
@@ -249,7 +258,7 @@
 }
 
 /// What a watch delivers next.
-enum Delivery {
+enum WatchStreamState {
     Created(WatchResponse, MemoryWatch),
     Changes(MemoryWatch),
     End,
@@ -257,16 +266,16 @@
 
 type Line = Result<Vec<u8>, std::io::Error>;
 
-async fn deliver(delivery: Delivery) -> Option<(Line, Delivery)> {
-    let mut watch = match delivery {
-        Delivery::Created(created, watch) => {
-            return Some((Ok(line(created)), Delivery::Changes(watch)));
+async fn next_line(stream_state: WatchStreamState) -> Option<(Line, WatchStreamState)> {
+    let mut watch = match stream_state {
+        WatchStreamState::Created(created, watch) => {
+            return Some((Ok(encode_line(created)), WatchStreamState::Changes(watch)));
         }
-        Delivery::Changes(watch) => watch,
-        Delivery::End => return None,
+        WatchStreamState::Changes(watch) => watch,
+        WatchStreamState::End => return None,
     };
     loop {
-        let changes = match watch.next_before(Instant::now() + PROGRESS_INTERVAL).await {
+        let changes = match watch.next_until(Instant::now() + PROGRESS_INTERVAL).await {
             Ok(changes) => changes,
             Err(StoreError::Compacted) => {
                 let canceled = WatchResponse {
@@ -275,25 +284,25 @@
                     compact_revision: Int64(1),
                     ..WatchResponse::default()
                 };
-                return Some((Ok(line(canceled)), Delivery::End));
+                return Some((Ok(encode_line(canceled)), WatchStreamState::End));
             }
-            Err(error) => return Some((Err(std::io::Error::other(error)), Delivery::End)),
+            Err(error) => return Some((Err(std::io::Error::other(error)), WatchStreamState::End)),
         };
         let progress = watch.progress();
         if progress.is_some() || !changes.is_empty() {
-            let line = line(message(changes, progress.unwrap_or_default()));
-            return Some((Ok(line), Delivery::Changes(watch)));
+            let line = encode_line(changes_response(changes, progress.unwrap_or_default()));
+            return Some((Ok(line), WatchStreamState::Changes(watch)));
         }
     }
 }
 
-fn message(changes: Vec<Change>, progress: Revision) -> WatchResponse {
+fn changes_response(changes: Vec<Change>, progress: Revision) -> WatchResponse {
     let header = Some(Header { revision: progress.into() });
     let events = changes.into_iter().map(Into::into).collect();
     WatchResponse { header, events, ..WatchResponse::default() }
 }
 
-fn line(response: WatchResponse) -> Vec<u8> {
+fn encode_line(response: WatchResponse) -> Vec<u8> {
     let mut line = serde_json::to_vec(&StreamMessage::Result(response)).unwrap_or_default();
     line.push(b'\n');
     line
--- a/crates/standin/src/instances.rs
+++ b/crates/standin/src/instances.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 /// Number of former lists that are kept for the lag.
-const FORMER_LISTS_MAX: usize = 1_000;
+const PREVIOUS_LISTS_MAX: usize = 1_000;
 
 type Instances = Arc<BTreeMap<InstanceId, ListedInstance>>;
 
@@ -42,19 +42,19 @@
 #[derive(Debug, Default)]
 struct State {
     instances: Instances,
-    former: VecDeque<Former>,
+    previous: VecDeque<PreviousList>,
     lag: Duration,
     list_outage: bool,
     control_outage: bool,
     reboots: Vec<Reboot>,
-    planned: VecDeque<RebootFault>,
+    planned_faults: VecDeque<RebootFault>,
 }
 
 /// A list that was replaced.
 #[derive(Debug)]
-struct Former {
+struct PreviousList {
     instances: Instances,
-    replaced: Instant,
+    replaced_at: Instant,
 }
 
 impl State {
@@ -62,16 +62,16 @@
         let mut next = BTreeMap::clone(&self.instances);
         change(&mut next);
         let instances = std::mem::replace(&mut self.instances, Arc::new(next));
-        self.former.push_back(Former { instances, replaced: Instant::now() });
-        while self.former.len() > FORMER_LISTS_MAX {
-            self.former.pop_front();
+        self.previous.push_back(PreviousList { instances, replaced_at: Instant::now() });
+        while self.previous.len() > PREVIOUS_LISTS_MAX {
+            self.previous.pop_front();
         }
     }
 
     /// The list as it was before the lag.
-    fn lagging(&self) -> Instances {
-        let seen = self.former.iter().find(|former| former.replaced.elapsed() < self.lag);
-        seen.map_or_else(|| self.instances.clone(), |former| former.instances.clone())
+    fn lagged_list(&self) -> Instances {
+        let seen = self.previous.iter().find(|previous| previous.replaced_at.elapsed() < self.lag);
+        seen.map_or_else(|| self.instances.clone(), |previous| previous.instances.clone())
     }
 
     fn reboot(&mut self, instance: &str, request_id: &str) {
@@ -128,7 +128,7 @@
 
     /// Lets the next `count` reboots fail with `fault`.
     pub fn fail_reboots(&self, count: usize, fault: RebootFault) {
-        self.lock().planned.extend(std::iter::repeat_n(fault, count));
+        self.lock().planned_faults.extend(std::iter::repeat_n(fault, count));
     }
 
     /// Reboots carried out so far, each request id once.
@@ -148,7 +148,7 @@
         if state.list_outage {
             return Err(ListError::Unavailable("outage".into()));
         }
-        Ok(state.lagging().values().cloned().collect())
+        Ok(state.lagged_list().values().cloned().collect())
     }
 }
 
@@ -158,7 +158,7 @@
         if state.control_outage {
             return Err(ControlError::Unavailable("outage".into()));
         }
-        match state.planned.pop_front() {
+        match state.planned_faults.pop_front() {
             Some(RebootFault::Refused) => return Err(ControlError::Unavailable("refused".into())),
             Some(RebootFault::LostRequest) => {}
             Some(RebootFault::LostAnswer) => state.reboot(instance, request_id),
--- a/crates/standin/src/keyspace.rs
+++ b/crates/standin/src/keyspace.rs
@@ -11,22 +11,22 @@
 /// Sum of the sizes of the values that the history keeps.
 const HISTORY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-type Values = BTreeMap<Arc<str>, Stored>;
+type Values = BTreeMap<Arc<str>, StoredValue>;
 
 #[derive(Debug, Clone)]
-struct Stored {
+struct StoredValue {
     value: Bytes,
     revision: Revision,
     lease: Option<LeaseId>,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct HistoryEntry {
     change: Change,
     lease: Option<LeaseId>,
 }
 
-impl Entry {
+impl HistoryEntry {
     fn size(&self) -> usize {
         self.change.record.as_ref().map_or(0, |record| record.value.len())
     }
@@ -39,7 +39,7 @@
     values: Values,
     base: Values,
     base_revision: Revision,
-    history: VecDeque<Entry>,
+    history: VecDeque<HistoryEntry>,
     history_bytes: usize,
     history_limit: usize,
 }
@@ -91,7 +91,7 @@
         }
         self.revision = revision;
         let record = value.map(|value| Record { key: key.clone(), value, revision });
-        let entry = Entry { change: Change { key: key.clone(), record, revision }, lease };
+        let entry = HistoryEntry { change: Change { key: key.clone(), record, revision }, lease };
         apply_to(&mut self.values, &entry);
         self.history_bytes += entry.size();
         self.history.push_back(entry);
@@ -99,11 +99,11 @@
 
     fn trim(&mut self) {
         while self.history.len() > self.history_limit || self.history_bytes > HISTORY_BYTES_MAX {
-            self.fold_oldest();
+            self.fold_oldest_into_base();
         }
     }
 
-    fn fold_oldest(&mut self) {
+    fn fold_oldest_into_base(&mut self) {
         if let Some(entry) = self.history.pop_front() {
             self.history_bytes -= entry.size();
             self.base_revision = entry.change.revision;
@@ -120,7 +120,7 @@
     /// Forgets the history up to now.
     pub(crate) fn compact(&mut self) {
         while !self.history.is_empty() {
-            self.fold_oldest();
+            self.fold_oldest_into_base();
         }
     }
 
@@ -132,7 +132,7 @@
         self.values = self.values_at(revision);
         self.revision = revision;
         self.history.retain(|entry| entry.change.revision <= revision);
-        self.history_bytes = self.history.iter().map(Entry::size).sum();
+        self.history_bytes = self.history.iter().map(HistoryEntry::size).sum();
         true
     }
 
@@ -183,18 +183,18 @@
     }
 
     /// Keys bound to a lease that `ended` holds for.
-    pub(crate) fn bound(&self, ended: impl Fn(LeaseId) -> bool) -> Vec<Arc<str>> {
-        let bound = self.values.iter().filter(|(_, stored)| stored.lease.is_some_and(&ended));
+    pub(crate) fn keys_bound_to(&self, matches: impl Fn(LeaseId) -> bool) -> Vec<Arc<str>> {
+        let bound = self.values.iter().filter(|(_, stored)| stored.lease.is_some_and(&matches));
         bound.map(|(key, _)| key.clone()).collect()
     }
 }
 
-fn apply_to(values: &mut Values, entry: &Entry) {
+fn apply_to(values: &mut Values, entry: &HistoryEntry) {
     let key = entry.change.key.clone();
     match &entry.change.record {
         Some(record) => {
             let (value, revision) = (record.value.clone(), record.revision);
-            values.insert(key, Stored { value, revision, lease: entry.lease });
+            values.insert(key, StoredValue { value, revision, lease: entry.lease });
         }
         None => {
             values.remove(&key);
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
-    accepting: AbortOnDropHandle<()>,
+    accept_task: AbortOnDropHandle<()>,
 }
 
 impl Server {
@@ -22,8 +22,8 @@
     pub async fn start(address: SocketAddr, router: Router) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let accepting = AbortOnDropHandle::new(tokio::spawn(accept(listener, router)));
-        Ok(Self { address, accepting })
+        let accept_task = AbortOnDropHandle::new(tokio::spawn(accept(listener, router)));
+        Ok(Self { address, accept_task })
     }
 
     /// Address at which it listens.
@@ -33,8 +33,8 @@
 
     /// Stops listening and closes all connections.
     pub async fn close(self) {
-        self.accepting.abort();
-        let _ = self.accepting.await;
+        self.accept_task.abort();
+        let _ = self.accept_task.await;
     }
 }
 
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -35,16 +35,16 @@
 
 impl State {
     /// Ends the leases whose time to live has passed.
-    pub(crate) fn expire(&mut self) {
+    pub(crate) fn remove_expired_leases(&mut self) {
         let now = Instant::now();
         let ended = self.leases.extract_if(.., |_, lease| lease.expires <= now).count();
         if ended > 0 {
-            self.remove_unbound();
+            self.delete_keys_without_lease();
         }
     }
 
-    fn remove_unbound(&mut self) {
-        for key in self.keys.bound(|lease| !self.leases.contains_key(&lease)) {
+    fn delete_keys_without_lease(&mut self) {
+        for key in self.keys.keys_bound_to(|lease| !self.leases.contains_key(&lease)) {
             self.keys.apply(&key, Operation::Delete);
         }
     }
@@ -90,7 +90,7 @@
 
     pub(crate) fn revoke(&mut self, lease: LeaseId) -> Result<(), StoreError> {
         self.leases.remove(&lease).ok_or(StoreError::LeaseExpired)?;
-        self.remove_unbound();
+        self.delete_keys_without_lease();
         Ok(())
     }
 
@@ -98,7 +98,7 @@
     pub(crate) fn roll_back(&mut self, revision: Revision) -> bool {
         let restored = self.keys.roll_back(revision);
         if restored {
-            self.remove_unbound();
+            self.delete_keys_without_lease();
             self.end_watches();
         }
         restored
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -39,17 +39,17 @@
 impl Shared {
     pub(crate) fn lock(&self) -> MutexGuard<'_, State> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.expire();
+        state.remove_expired_leases();
         state
     }
 
-    pub(crate) fn publish(&self) {
+    pub(crate) fn notify_watches(&self) {
         self.changed.send_replace(());
     }
 
     fn change<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let result = change(&mut self.lock());
-        self.publish();
+        self.notify_watches();
         result
     }
 }
@@ -62,15 +62,15 @@
 }
 
 /// How far a call got.
-enum Passage {
+enum ResponseDelivery {
     /// The request arrived and its answer will.
-    Open,
+    Expected,
     /// The request arrived and its answer is lost.
-    AnswerLost,
+    Lost,
 }
 
 /// Why a call fails before its effect.
-enum Refusal {
+enum CallFailure {
     Outage,
     RequestLost,
 }
@@ -92,7 +92,7 @@
     }
 
     /// Counts a call and carries its request to the store.
-    async fn request(&self, kind: CallKind) -> Result<Passage, Refusal> {
+    async fn send_request(&self, kind: CallKind) -> Result<ResponseDelivery, CallFailure> {
         let delay = {
             let mut state = self.shared.lock();
             state.counts.entry(self.client.clone()).or_default().add(kind);
@@ -100,9 +100,9 @@
         };
         if delay >= self.timeout {
             sleep(self.timeout).await;
-            return Err(Refusal::RequestLost);
+            return Err(CallFailure::RequestLost);
         }
-        sleep_some(delay).await;
+        sleep_if_nonzero(delay).await;
         let (outage, partition) = {
             let state = self.shared.lock();
             (state.faults.outage, state.faults.partition(&self.client))
@@ -110,26 +110,26 @@
         match partition {
             Some(Partition::Requests) => {
                 sleep(self.timeout - delay).await;
-                Err(Refusal::RequestLost)
+                Err(CallFailure::RequestLost)
             }
-            _ if outage => Err(Refusal::Outage),
-            Some(Partition::Answers) => Ok(Passage::AnswerLost),
-            None => Ok(Passage::Open),
+            _ if outage => Err(CallFailure::Outage),
+            Some(Partition::Answers) => Ok(ResponseDelivery::Lost),
+            None => Ok(ResponseDelivery::Expected),
         }
     }
 
     /// Carries an answer back. Returns false where it is lost.
-    async fn answer(&self, passage: Passage) -> bool {
+    async fn deliver_response(&self, delivery: ResponseDelivery) -> bool {
         let (delay, cut_off) = {
             let faults = &self.shared.lock().faults;
             (faults.delay / 2, faults.partition(&self.client) == Some(Partition::Answers))
         };
-        let lost = cut_off || matches!(passage, Passage::AnswerLost);
+        let lost = cut_off || matches!(delivery, ResponseDelivery::Lost);
         if lost || delay * 2 >= self.timeout {
             sleep(self.timeout.saturating_sub(delay)).await;
             return false;
         }
-        sleep_some(delay).await;
+        sleep_if_nonzero(delay).await;
         true
     }
 
@@ -138,22 +138,22 @@
         kind: CallKind,
         read: impl FnOnce(&State) -> T + Send,
     ) -> Result<T, StoreError> {
-        let passage = self.request(kind).await.map_err(Refusal::of_read)?;
+        let delivery = self.send_request(kind).await.map_err(CallFailure::into_read_error)?;
         let result = read(&self.shared.lock());
-        match self.answer(passage).await {
+        match self.deliver_response(delivery).await {
             true => Ok(result),
             false => Err(StoreError::Unavailable("no answer before the timeout".into())),
         }
     }
 
-    async fn call<T: Send>(
+    async fn update<T: Send>(
         &self,
         kind: CallKind,
         change: impl FnOnce(&mut State) -> Result<T, StoreError> + Send,
     ) -> Result<T, StoreError> {
-        let passage = self.request(kind).await.map_err(Refusal::of_write)?;
+        let delivery = self.send_request(kind).await.map_err(CallFailure::into_write_error)?;
         let result = self.shared.change(change);
-        match self.answer(passage).await {
+        match self.deliver_response(delivery).await {
             true => result,
             false => Err(StoreError::OutcomeUnknown("no answer before the timeout".into())),
         }
@@ -182,15 +182,15 @@
     }
 }
 
-impl Refusal {
-    fn of_read(self) -> StoreError {
+impl CallFailure {
+    fn into_read_error(self) -> StoreError {
         match self {
             Self::Outage => StoreError::Unavailable("outage".into()),
             Self::RequestLost => StoreError::Unavailable("no answer before the timeout".into()),
         }
     }
 
-    fn of_write(self) -> StoreError {
+    fn into_write_error(self) -> StoreError {
         match self {
             Self::Outage => StoreError::Unavailable("outage".into()),
             Self::RequestLost => StoreError::OutcomeUnknown("no answer before the timeout".into()),
@@ -198,7 +198,7 @@
     }
 }
 
-async fn sleep_some(delay: Duration) {
+async fn sleep_if_nonzero(delay: Duration) {
     if !delay.is_zero() {
         sleep(delay).await;
     }
@@ -235,26 +235,27 @@
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
-        self.call(CallKind::GrantLease, |state| Ok(state.grant(ttl))).await
+        self.update(CallKind::GrantLease, |state| Ok(state.grant(ttl))).await
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<Duration, StoreError> {
-        self.call(CallKind::KeepAlive, |state| state.keep_alive(lease)).await
+        self.update(CallKind::KeepAlive, |state| state.keep_alive(lease)).await
     }
 
     async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
-        self.call(CallKind::RevokeLease, |state| state.revoke(lease)).await
+        self.update(CallKind::RevokeLease, |state| state.revoke(lease)).await
     }
 
     async fn watch(&self, prefix: &str, after: Revision) -> Result<MemoryWatch, StoreError> {
-        let passage = self.request(CallKind::Watch).await.map_err(Refusal::of_read)?;
+        let delivery =
+            self.send_request(CallKind::Watch).await.map_err(CallFailure::into_read_error)?;
         let changed = self.shared.changed.subscribe();
         let number = {
             let mut state = self.shared.lock();
             state.keys.changes(prefix, after).ok_or(StoreError::Compacted)?;
             state.start_watch()
         };
-        if !self.answer(passage).await {
+        if !self.deliver_response(delivery).await {
             return Err(StoreError::Unavailable("no answer before the timeout".into()));
         }
         Ok(MemoryWatch { store: self.clone(), prefix: prefix.into(), after, number, changed })
@@ -266,7 +267,8 @@
         for effect in &transaction.effects {
             check_size(&effect.operation)?;
         }
-        let passage = self.request(CallKind::Write).await.map_err(Refusal::of_write)?;
+        let delivery =
+            self.send_request(CallKind::Write).await.map_err(CallFailure::into_write_error)?;
         let fault = self.shared.lock().faults.next_write();
         let unknown = Err(StoreError::OutcomeUnknown("answer lost".into()));
         match fault {
@@ -282,7 +284,7 @@
             }
         }
         let result = self.shared.change(|state| state.commit(transaction));
-        match self.answer(passage).await {
+        match self.deliver_response(delivery).await {
             true => result,
             false => Err(StoreError::OutcomeUnknown("no answer before the timeout".into())),
         }
@@ -303,28 +305,31 @@
     /// Takes the changes that can be delivered now, and when to look again.
     fn changes(&mut self) -> Result<(Vec<Change>, Instant), StoreError> {
         let state = self.store.shared.lock();
-        let latest = Instant::now() + WATCH_WAIT_MAX;
-        let wake = state.next_expiry().unwrap_or(latest).min(latest);
+        let deadline = Instant::now() + WATCH_WAIT_MAX;
+        let wake_at = state.next_expiry().unwrap_or(deadline).min(deadline);
         if state.is_silent(self.number) || state.faults.partition(&self.store.client).is_some() {
-            return Ok((Vec::new(), wake));
+            return Ok((Vec::new(), wake_at));
         }
         if state.is_ended(self.number) {
             return Err(StoreError::Unavailable("watch ended".into()));
         }
         let changes = state.keys.changes(&self.prefix, self.after);
         self.after = state.keys.revision();
-        Ok((changes.ok_or(StoreError::Compacted)?, wake))
+        Ok((changes.ok_or(StoreError::Compacted)?, wake_at))
     }
 
-    /// Waits until there may be something to deliver or `latest` has come.
-    pub(crate) async fn next_before(&mut self, latest: Instant) -> Result<Vec<Change>, StoreError> {
+    /// Waits until there may be something to deliver or `deadline` has come.
+    pub(crate) async fn next_until(
+        &mut self,
+        deadline: Instant,
+    ) -> Result<Vec<Change>, StoreError> {
         loop {
             self.changed.mark_unchanged();
-            let (changes, wake) = self.changes()?;
-            if !changes.is_empty() || Instant::now() >= latest {
+            let (changes, wake_at) = self.changes()?;
+            if !changes.is_empty() || Instant::now() >= deadline {
                 return Ok(changes);
             }
-            let _ = timeout_at(wake.min(latest), self.changed.changed()).await;
+            let _ = timeout_at(wake_at.min(deadline), self.changed.changed()).await;
         }
     }
 
@@ -340,8 +345,8 @@
 impl Watch for MemoryWatch {
     async fn next(&mut self) -> Result<Vec<Change>, StoreError> {
         loop {
-            let latest = Instant::now() + WATCH_WAIT_MAX;
-            let changes = self.next_before(latest).await?;
+            let deadline = Instant::now() + WATCH_WAIT_MAX;
+            let changes = self.next_until(deadline).await?;
             if !changes.is_empty() {
                 return Ok(changes);
             }
