--- a/crates/config/src/active.rs
+++ b/crates/config/src/active.rs
@@ -14,14 +14,14 @@
     Adopted,
     /// The offered version is already in force.
     Known,
-    /// The offered version is lower than the one in force and was refused.
+    /// The offered version is lower than the one in force and was rejected.
     Stale {
         /// Version in force.
         in_force: Version,
     },
 }
 
-/// Holds the highest configuration seen. Cheap to clone; all clones share one value.
+/// Holds the configuration with the highest version received. Clones share one value.
 #[derive(Debug, Clone)]
 pub struct ActiveConfig {
     sender: Arc<watch::Sender<Option<Arc<Config>>>>,
@@ -34,17 +34,17 @@
 }
 
 impl ActiveConfig {
-    /// Returns the configuration in force, or `None` before the first one is known.
+    /// Returns the configuration in force, or `None` before the first one was adopted.
     pub fn load(&self) -> Option<Arc<Config>> {
         self.sender.borrow().clone()
     }
 
-    /// Version in force; zero before the first configuration is known.
+    /// Returns the version in force, or zero before the first configuration was adopted.
     pub fn version(&self) -> Version {
         self.sender.borrow().as_ref().map_or(0, |config| config.version)
     }
 
-    /// Puts `config` in force when its version is higher than the one in force.
+    /// Adopts `config` if its version is higher than the one in force.
     pub fn offer(&self, config: Arc<Config>) -> Offer {
         let mut result = Offer::Known;
         self.sender.send_if_modified(|current| {
@@ -62,7 +62,7 @@
         result
     }
 
-    /// Returns a receiver that sees each configuration put in force from now on.
+    /// Returns a receiver that is notified of each configuration adopted from now on.
     pub fn subscribe(&self) -> watch::Receiver<Option<Arc<Config>>> {
         self.sender.subscribe()
     }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of settings files and configuration files, with every fault at its line.
+//! Validation of settings files and configuration files; reports each fault with its line.
 
 use serde::de::DeserializeOwned;
 
@@ -18,12 +18,12 @@
     Config,
 }
 
-/// Fields that only a configuration has.
+/// Fields that occur only in a configuration.
 const CONFIG_FIELDS: [&str; 5] = ["version", "zones", "services", "pools", "teams"];
 
-/// Checks the text of a settings file or a configuration file and says which it is.
+/// Validates the text of a settings file or a configuration file and returns its kind.
 ///
-/// The kind is the one whose fields stand in the file.
+/// The kind is determined from the top-level fields of the file.
 pub fn check_file(text: &str) -> (FileKind, Result<(), Faults>) {
     let item = match Item::from_yaml(text) {
         Ok(item) => item,
@@ -44,7 +44,7 @@
     if count == 0 && !entries.is_empty() { FileKind::Settings } else { FileKind::Config }
 }
 
-/// Reads a checked value from YAML text and reports every fault with its line.
+/// Deserializes and validates a value from YAML text. Reports each fault with its line.
 pub fn from_yaml<R, T>(text: &str) -> Result<T, Faults>
 where
     R: DeserializeOwned,
@@ -53,7 +53,7 @@
     check_item::<R, T>(&Item::from_yaml(text)?)
 }
 
-/// Reads a checked value from a JSON document and reports every fault with its path.
+/// Deserializes and validates a value from a JSON document. Reports each fault with its path.
 pub fn from_json<R, T>(value: &serde_json::Value) -> Result<T, Faults>
 where
     R: DeserializeOwned,
@@ -89,14 +89,14 @@
 }
 
 impl Config {
-    /// Reads a configuration from YAML text.
+    /// Deserializes and validates a configuration from YAML text.
     pub fn from_yaml(text: &str) -> Result<Self, Faults> {
         from_yaml::<RawConfig, Self>(text)
     }
 }
 
 impl Settings {
-    /// Reads settings from YAML text.
+    /// Deserializes and validates settings from YAML text.
     pub fn from_yaml(text: &str) -> Result<Self, Faults> {
         from_yaml::<RawSettings, Self>(text)
     }
--- a/crates/config/src/check/tests.rs
+++ b/crates/config/src/check/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{FileKind, check_file};
 
-const SOUND: &str = "\
+const VALID_CONFIG: &str = "\
 version: 1
 zones:
   a: {region: north}
@@ -41,7 +41,7 @@
 }
 
 cases! {
-    a_sound_configuration_has_no_faults: SOUND => expect![""];
+    a_valid_configuration_has_no_faults: VALID_CONFIG => expect![""];
     every_fault_is_reported_with_its_line: "\
 version: 0
 zones:
@@ -109,9 +109,9 @@
         "p".repeat(64)
     ) => expect!["line 4: pools.ppppppppppppppppppppppppppppppppppppppppppppppppppppppppppppppppx: an id has 1 to 64 characters out of letters, digits, - and _"];
     broken_yaml_is_reported_at_its_line: "version: 1\nzones: {a: [\n" => expect!["line 2: unclosed bracket '[' at line 2, column 12"];
-    an_empty_file_lacks_every_field: "" => expect!["line 1: must be a mapping"];
-    a_list_is_no_configuration: "- 1\n" => expect!["line 1: must be a mapping"];
-    settings_report_addresses_and_units: "\
+    an_empty_file_is_not_a_mapping: "" => expect!["line 1: must be a mapping"];
+    a_list_is_not_a_configuration: "- 1\n" => expect!["line 1: must be a mapping"];
+    faults_of_settings_are_reported_with_their_lines: "\
 instance_id: entry 1
 zone: a
 region: north
@@ -135,15 +135,15 @@
 }
 
 #[test]
-fn the_kind_of_a_file_is_read_from_its_fields() {
-    assert_eq!(check_file(SOUND).0, FileKind::Config);
+fn the_kind_of_a_file_is_determined_from_its_fields() {
+    assert_eq!(check_file(VALID_CONFIG).0, FileKind::Config);
     assert_eq!(check_file("instance_id: a").0, FileKind::Settings);
 }
 
 fn edits() -> impl Strategy<Value = String> {
-    let edit = (0..SOUND.len(), 0..8_usize, "[ -~\\n\\t&*!|>é]{0,6}");
+    let edit = (0..VALID_CONFIG.len(), 0..8_usize, "[ -~\\n\\t&*!|>é]{0,6}");
     proptest::collection::vec(edit, 0..6).prop_map(|edits| {
-        let mut text = SOUND.to_owned();
+        let mut text = VALID_CONFIG.to_owned();
         for (start, length, insert) in edits {
             let start = start.min(text.len());
             let end = (start + length).min(text.len());
@@ -155,30 +155,30 @@
     })
 }
 
-fn runner(cases: u32) -> ProptestConfig {
+fn proptest_config(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(7);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(runner(2_000))]
+    #![proptest_config(proptest_config(2_000))]
 
     #[test]
-    fn arbitrary_text_gets_a_verdict(text in any::<String>()) {
+    fn arbitrary_text_does_not_panic(text in any::<String>()) {
         let _ = check_file(&text);
     }
 
     #[test]
-    fn an_edited_configuration_gets_the_verdict_of_a_strict_reader(text in edits()) {
-        let verdict = check_file(&text).1;
-        if let Err(faults) = &verdict {
+    fn the_check_agrees_with_strict_deserialization(text in edits()) {
+        let result = check_file(&text).1;
+        if let Err(faults) = &result {
             prop_assert!(!faults.is_empty());
         }
         let strict = serde_saphyr::from_str::<crate::raw::RawConfig>(&text)
             .ok()
             .and_then(|raw| crate::Config::try_from(raw).ok());
         if check_file(&text).0 == FileKind::Config {
-            prop_assert_eq!(verdict.is_ok(), strict.is_some(), "{}", text);
+            prop_assert_eq!(result.is_ok(), strict.is_some(), "{}", text);
         }
     }
 }
--- a/crates/config/src/decode.rs
+++ b/crates/config/src/decode.rs
@@ -1,8 +1,8 @@
-//! Reads typed values from an untyped tree and notes every fault on the way.
+//! Deserializes typed values from an untyped tree and collects all faults.
 //!
-//! A value of the wrong type is noted and a stand-in of the right type takes its place, so that
-//! reading goes on. Faults that serde itself finds (a missing field, text that a type refuses) end
-//! a pass; the next pass puts a stand-in at that path.
+//! A value of the wrong type is recorded as a fault and replaced by a placeholder of the expected
+//! type, so that deserialization continues. An error that serde reports itself (a missing field,
+//! text that a type rejects) ends the pass; the next pass uses a placeholder at that path.
 
 mod access;
 mod reader;
@@ -17,21 +17,21 @@
 use crate::error::Faults;
 use crate::node::{Item, key_path, parent_path};
 
-/// Passes after which the remaining faults are not looked for.
+/// Maximum number of passes over one document, and so of faults that each end a pass.
 const PASSES_MAX: usize = 1_000;
 
-/// A value read from a tree, with the faults found in the tree.
+/// A deserialized value and the faults found in its tree.
 #[derive(Debug)]
 pub struct Decoded<T> {
-    /// The value; faulty parts of it are stand-ins. `None` when nothing could be read.
+    /// The value, with placeholders for its faulty parts. `None` if deserialization failed.
     pub value: Option<T>,
-    /// Every fault found.
+    /// All faults found.
     pub faults: Faults,
-    /// Paths of the stand-ins.
+    /// Paths of the placeholders.
     pub placeholder_paths: BTreeSet<String>,
 }
 
-/// Reads a value from `item`.
+/// Deserializes a value from `item`.
 pub fn decode<T: DeserializeOwned>(item: &Item) -> Decoded<T> {
     let mut serde_faults = Faults::default();
     let mut failed_paths = BTreeSet::new();
@@ -60,7 +60,8 @@
     Decoded { value: None, faults: serde_faults, placeholder_paths: failed_paths }
 }
 
-/// Adds the faults that `checked` found, less those that follow from stand-ins.
+/// Adds the validation faults in `checked`, except those at or related to placeholders, which
+/// follow from a fault that is already reported.
 pub fn merge_validation_faults(
     read: &mut Faults,
     placeholder_paths: &BTreeSet<String>,
@@ -74,6 +75,7 @@
     read.list.extend(independent);
 }
 
+/// Returns whether `path` is `outer` or below it.
 fn is_within(path: &str, outer: &str) -> bool {
     let mut ancestor = Some(path);
     while let Some(path) = ancestor {
@@ -85,9 +87,11 @@
     false
 }
 
+/// State of one pass over a document.
 struct PassState<'a> {
     faults: RefCell<Faults>,
     placeholder_paths: RefCell<BTreeSet<String>>,
+    /// Paths at which an earlier pass ended; this pass uses placeholders there.
     failed_paths: &'a BTreeSet<String>,
 }
 
--- a/crates/config/src/decode/access.rs
+++ b/crates/config/src/decode/access.rs
@@ -1,4 +1,4 @@
-//! Elements of lists and entries of mappings.
+//! Access to the elements of lists and the entries of mappings.
 
 use serde::de::value::StrDeserializer;
 use serde::de::{DeserializeSeed, IntoDeserializer, MapAccess, SeqAccess};
@@ -15,7 +15,7 @@
 }
 
 impl<'a, 'p> Items<'a, 'p> {
-    /// The elements of the list at `path`.
+    /// Returns access to the elements of the list at `path`.
     pub(super) fn new(items: &'a [Item], path: &'p str, state: &'a PassState<'a>) -> Self {
         Self { items: items.iter().enumerate(), path, state }
     }
@@ -34,7 +34,8 @@
     }
 }
 
-/// Entries of a mapping, then stand-ins of the missing fields that an earlier pass found.
+/// Entries of a mapping, followed by placeholders for the missing fields at which an earlier pass
+/// ended.
 pub(super) struct Entries<'a> {
     entries: std::vec::IntoIter<&'a Entry>,
     missing: std::vec::IntoIter<&'static str>,
@@ -44,7 +45,8 @@
 }
 
 impl<'a> Entries<'a> {
-    /// The entries of the mapping at `path`, and the known fields that it lacks.
+    /// Returns access to the entries of the mapping at `path`; `missing` lists the fields that it
+    /// lacks.
     pub(super) fn new(
         entries: Vec<&'a Entry>,
         missing: Vec<&'static str>,
--- a/crates/config/src/decode/reader.rs
+++ b/crates/config/src/decode/reader.rs
@@ -9,24 +9,24 @@
 use super::{DecodeError, PassState};
 use crate::node::{Entry, Item, Node, key_path};
 
-/// Text that stands in for a faulty one; it also reads as a socket address.
+/// Placeholder for a faulty text. It also parses as a socket address.
 const TEXT_PLACEHOLDER: &str = "127.0.0.1:1";
 
-/// Likeness above which a known field is suggested for an unknown one.
+/// Minimum Jaro-Winkler similarity at which a known field is suggested for an unknown one.
 const SUGGESTION_SIMILARITY_MIN: f64 = 0.8;
 
-/// Deserializer of one value; without an item it yields a stand-in.
+/// Deserializer of one value; without an item it yields a placeholder.
 pub(super) struct Reader<'a> {
-    /// The value to read.
+    /// The value to deserialize.
     pub(super) item: Option<&'a Item>,
     /// Path of the value.
     pub(super) path: String,
-    /// Where faults are noted.
+    /// State of the pass, which collects the faults.
     pub(super) state: &'a PassState<'a>,
 }
 
 impl<'a> Reader<'a> {
-    /// The value, or `None` where a stand-in must be yielded.
+    /// Returns the value, or `None` if a placeholder must be used.
     fn node(&self) -> Option<&'a Node> {
         if self.state.failed_paths.contains(&self.path) {
             return None;
@@ -34,7 +34,7 @@
         self.item.map(|item| &item.node)
     }
 
-    /// Notes that a stand-in takes the place of this value.
+    /// Records a fault of this value, which the caller replaces by a placeholder.
     fn reject(&self, message: impl Into<String>) {
         self.state.placeholder_paths.borrow_mut().insert(self.path.clone());
         self.state.push_fault(&self.path, message);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The last entry of each key; earlier ones are noted as faults.
+    /// Returns the last entry of each key and records earlier ones as faults.
     fn distinct_entries(&self) -> Vec<&'a Entry> {
         let entries = self.entries();
         let mut seen = BTreeSet::new();
@@ -132,6 +132,7 @@
         distinct
     }
 
+    /// Returns the entries whose keys are in `fields` and records the others as faults.
     fn known_entries(&self, fields: &'static [&'static str]) -> Vec<&'a Entry> {
         let (known, unknown): (Vec<_>, Vec<_>) =
             self.distinct_entries().into_iter().partition(|entry| fields.contains(&&*entry.key));
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! The operators' numbered configuration, checked.
+//! Validated form of the operators' versioned configuration.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -15,7 +15,7 @@
 /// One version of the operators' configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Number of this version.
+    /// Version number.
     pub version: Version,
     /// Identifies the write that stored this version.
     pub write_id: String,
@@ -29,8 +29,9 @@
     pub teams: BTreeMap<TeamId, Team>,
     /// Maintenance waves by id.
     pub waves: BTreeMap<WaveId, Wave>,
-    /// Who made this version and how, where known.
+    /// Author, time and patch of this version, if recorded.
     pub change: Option<RawChange>,
+    /// Key hashes with their teams, indexed by hash prefix.
     key_index: HashMap<KeyPrefix, Vec<(KeyHash, TeamId)>>,
 }
 
@@ -39,21 +40,21 @@
 pub struct Zone {
     /// Region of the zone.
     pub region: RegionId,
-    /// Whether operators have taken the zone out.
+    /// Whether operators have taken the zone out of service.
     pub out: bool,
 }
 
-/// Lowest number of available instances of a service.
+/// Minimum number of available instances of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Floor {
     /// A number of instances.
     Count(u32),
-    /// A share of the pool's instances, from 0 to 1, rounded up.
+    /// A fraction of the pool's instances, from 0 to 1; the resulting number is rounded up.
     Share(f64),
 }
 
 impl Floor {
-    /// Number of instances out of `total` that must stay available.
+    /// Returns how many of `total` instances must stay available.
     pub fn instances(self, total: usize) -> usize {
         match self {
             Self::Count(count) => count as usize,
@@ -65,37 +66,37 @@
 /// A service and its queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Whether the queue takes work without a key.
+    /// Whether the queue accepts requests without a key.
     pub open: bool,
-    /// Lowest number of available instances.
+    /// Minimum number of available instances.
     pub floor: Floor,
-    /// Requests that one instance runs at once.
+    /// Maximum number of requests that one instance runs concurrently.
     pub slots_per_instance: u32,
-    /// Connections that one instance takes.
+    /// Maximum number of connections to one instance.
     pub connections_per_instance: u32,
-    /// Requests of one team that may wait at one entry instance.
+    /// Maximum number of queued requests of one team at one entry instance.
     pub queue_length_max: u32,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that does not set one.
     pub deadline_default: Duration,
-    /// Longest deadline a caller may ask for.
+    /// Longest deadline that a caller may request.
     pub deadline_max: Duration,
-    /// Longest request body.
+    /// Maximum size of a request body, in bytes.
     pub body_max_bytes: u64,
 }
 
 /// A pool of instances.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pool {
-    /// Service that the pool serves; a spare pool serves none.
+    /// Service that the pool serves; `None` for a spare pool.
     pub service: Option<ServiceId>,
 }
 
 /// A team.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Team {
-    /// Weight of the team when all is full.
+    /// Weight of the team when all capacity is in use.
     pub share: u32,
-    /// Most requests and tasks of the team that run at once across the fleet.
+    /// Maximum number of the team's requests and tasks that run concurrently across the fleet.
     pub upper_limit: u32,
     /// Hashes of the team's keys.
     pub key_hashes: Vec<KeyHash>,
@@ -104,30 +105,30 @@
 /// A maintenance wave over availability zones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wave {
-    /// Zones in the order in which they are maintained.
+    /// Zones, in the order of their maintenance.
     pub zones: Vec<ZoneId>,
-    /// Pools to maintain; empty means all.
+    /// Pools to maintain; an empty list selects all pools.
     pub pools: Vec<PoolId>,
     /// Whether operators have paused the wave.
     pub paused: bool,
-    /// When the wave may start.
+    /// Earliest start of the wave.
     pub start: SystemTime,
-    /// When the wave should have ended.
+    /// Time by which the wave should be complete.
     pub deadline: SystemTime,
-    /// Longest wait for a drain.
+    /// Maximum time to wait for a drain.
     pub drain_max: Duration,
-    /// Hours in which no step starts.
+    /// Weekly periods in which no maintenance step starts.
     pub blackouts: Vec<Blackout>,
 }
 
 /// Hours of one weekday in which no maintenance step starts, in UTC.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Blackout {
-    /// Day of the week, Monday is 0.
+    /// Day of the week; 0 is Monday.
     pub weekday: u8,
     /// First hour, from 0 to 23.
     pub from_hour: u8,
-    /// Hour at which steps may start again, from 1 to 24.
+    /// Hour at which the blackout ends, from 1 to 24.
     pub to_hour: u8,
 }
 
@@ -135,19 +136,19 @@
 pub(crate) const WEEKDAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
 impl Config {
-    /// Returns the team whose key a caller presented.
+    /// Returns the team that owns `key`.
     pub fn team_for_key(&self, key: &str) -> Option<&TeamId> {
         let hash = KeyHash::of(key);
         let candidates = self.key_index.get(&hash.prefix())?;
         candidates.iter().find(|(known, _)| *known == hash).map(|(_, team)| team)
     }
 
-    /// Whether work may start in `zone`: it is known and not taken out.
+    /// Returns whether work may start in `zone`: it is configured and not out of service.
     pub fn zone_open(&self, zone: &ZoneId) -> bool {
         self.zones.get(zone).is_some_and(|zone| !zone.out)
     }
 
-    /// Service that the pool serves.
+    /// Returns the service that `pool` serves.
     pub fn service_of_pool(&self, pool: &PoolId) -> Option<&ServiceId> {
         self.pools.get(pool)?.service.as_ref()
     }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,20 +1,20 @@
-//! Faults found in settings and configurations.
+//! Validation faults of settings and configurations.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One fault with the place at which it was found.
+/// A validation fault and its location.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
     /// Path of the field, for example `teams.cutting.share`.
     pub path: String,
-    /// What is wrong, in a user's words.
+    /// Description of the fault, for people.
     pub message: String,
-    /// Line of the file, counted from 1, where one is known.
+    /// Line of the file, counted from 1, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub line: Option<usize>,
-    /// Path of another field that the fault depends on.
+    /// Path of another field whose value contributes to the fault.
     #[serde(skip)]
     pub related: Option<String>,
 }
@@ -31,23 +31,23 @@
     }
 }
 
-/// All faults found in one document; never empty when returned as an error.
+/// All faults found in one document. Not empty when returned as an error.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{}", self.joined())]
 #[serde(transparent)]
 pub struct Faults {
-    /// The faults in the order found.
+    /// The faults: in the order found, or by line once lines are assigned.
     pub list: Vec<Fault>,
 }
 
 impl Faults {
-    /// Notes a fault at `path`.
+    /// Adds a fault at `path`.
     pub fn push(&mut self, path: impl Into<String>, message: impl Into<String>) {
         let (path, message) = (path.into(), message.into());
         self.list.push(Fault { path, message, line: None, related: None });
     }
 
-    /// Notes a fault at `path` that also depends on the field at `related`.
+    /// Adds a fault at `path` that also depends on the field at `related`.
     pub fn push_related(
         &mut self,
         path: impl Into<String>,
@@ -58,19 +58,19 @@
         self.list.push(Fault { path, message, line: None, related });
     }
 
-    /// A single fault.
+    /// Returns a list with a single fault.
     pub fn one(path: impl Into<String>, message: impl Into<String>) -> Self {
         let mut faults = Self::default();
         faults.push(path, message);
         faults
     }
 
-    /// Whether no fault was noted.
+    /// Returns whether the list has no faults.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Returns `value` when no fault was noted, and the faults otherwise.
+    /// Returns `value` if there are no faults, and the faults otherwise.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.list.is_empty() { Ok(value) } else { Err(self) }
     }
--- a/crates/config/src/id.rs
+++ b/crates/config/src/id.rs
@@ -1,4 +1,4 @@
-//! Type aliases for identifiers, and what an identifier may be.
+//! Type aliases for identifiers, and validation of identifiers.
 
 use std::sync::Arc;
 
@@ -20,22 +20,24 @@
 pub type TeamId = Arc<str>;
 /// Identifies a maintenance wave.
 pub type WaveId = Arc<str>;
-/// Number of a configuration; each accepted patch raises it by one.
+/// Version number of the configuration; each accepted patch increases it by one.
 pub type Version = u64;
 
-/// Longest identifier in bytes, so that store keys and metric labels stay short.
+/// Maximum length of an identifier in bytes. Keeps store keys and metric labels short.
 pub const ID_MAX_BYTES: usize = 64;
 
-/// Team of work that came without a key to a queue open to all. No team may take this id.
+/// Team to which work without a key is assigned, on queues that accept such work. Reserved: no
+/// configured team may have this id.
 pub const ANONYMOUS_TEAM: &str = "anonymous";
 
-/// Whether `id` is made of ASCII letters, digits, `-` and `_` only, and not too long.
+/// Returns whether `id` has 1 to [`ID_MAX_BYTES`] characters, each an ASCII letter, a digit, `-` or
+/// `_`.
 pub fn is_valid_id(id: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     !id.is_empty() && id.len() <= ID_MAX_BYTES && id.bytes().all(allowed)
 }
 
-/// Notes a fault at `path` when `id` cannot be an identifier.
+/// Adds a fault at `path` if `id` is not a valid identifier.
 pub(crate) fn check_id(path: &str, id: &str, faults: &mut Faults) {
     if !is_valid_id(id) {
         let message =
--- a/crates/config/src/instance.rs
+++ b/crates/config/src/instance.rs
@@ -1,31 +1,31 @@
-//! Instances as the request path and the fleet see them.
+//! Backend server instances, as used by request dispatch and fleet management.
 
 use std::net::SocketAddr;
 
 use crate::id::{InstanceId, PoolId, RackId, ZoneId};
 
-/// Life cycle of an instance as last known.
+/// Last known life-cycle state of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum InstanceState {
-    /// Takes new work.
+    /// Accepts new work.
     Live,
-    /// Finishes what it has and takes no new work.
+    /// Completes its current work and accepts no new work.
     Leaving,
 }
 
-/// One backend server instance with its place in the fleet.
+/// A backend server instance and its location in the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
     /// Identifier of the instance.
     pub id: InstanceId,
-    /// Address at which it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Availability zone in which it stands.
+    /// Availability zone of the instance.
     pub zone: ZoneId,
     /// Declared rack.
     pub rack: RackId,
     /// Pool to which it belongs.
     pub pool: PoolId,
-    /// Life cycle as last known.
+    /// Last known life-cycle state.
     pub state: InstanceState,
 }
--- a/crates/config/src/key.rs
+++ b/crates/config/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys of teams, kept as hashes only.
+//! API keys of teams, stored only as hashes.
 
 use std::fmt;
 
@@ -12,10 +12,10 @@
 /// Leading bytes of a key's hash.
 pub type KeyPrefix = [u8; PREFIX_BYTES];
 
-/// Length in bytes of a new key.
+/// Length in bytes of a generated key.
 pub const KEY_BYTES: usize = 32;
 
-/// Makes a random key of [`KEY_BYTES`] bytes in hexadecimal digits.
+/// Generates a random key of [`KEY_BYTES`] bytes, written as hexadecimal digits.
 pub fn new_key() -> String {
     hex(&rand::random::<[u8; KEY_BYTES]>())
 }
@@ -23,7 +23,7 @@
 /// Length in bytes of a write id.
 const WRITE_ID_BYTES: usize = 16;
 
-/// Makes a random id that tells one write to the store from all others.
+/// Generates a random id that identifies one write to the store.
 pub fn new_write_id() -> String {
     hex(&rand::random::<[u8; WRITE_ID_BYTES]>())
 }
@@ -33,7 +33,7 @@
 }
 
 impl KeyHash {
-    /// Hashes a key as presented by a caller.
+    /// Hashes a key presented by a caller.
     pub fn of(key: &str) -> Self {
         Self(blake3::hash(key.as_bytes()))
     }
@@ -43,12 +43,12 @@
         blake3::Hash::from_hex(text).ok().map(Self)
     }
 
-    /// Hexadecimal form used in configuration documents.
+    /// Returns the hexadecimal form used in configuration documents.
     pub fn to_hex(self) -> String {
         self.0.to_hex().to_string()
     }
 
-    /// Leading bytes of the hash, safe to use as a look-up key.
+    /// Returns the leading bytes of the hash, which are safe to use as a lookup key.
     pub fn prefix(self) -> KeyPrefix {
         let mut prefix = [0; PREFIX_BYTES];
         prefix.copy_from_slice(&self.0.as_bytes()[..PREFIX_BYTES]);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
-//! Settings of a process and the operators' numbered configuration.
+//! Settings of a process and the operators' versioned configuration.
 //!
-//! - [`settings`]: what one process is told at start, from a YAML file.
-//! - [`check`]: both, with every fault at its line.
-//! - [`document`]: the operators' configuration, shared by the whole fleet.
-//! - [`active`]: the configuration in force in this process, which never reverts.
-//! - [`patch`]: patches that make the next version of the configuration.
-//! - [`key`]: keys of teams, kept as hashes only.
+//! - [`settings`]: settings of one process, read from a YAML file at start.
+//! - [`check`]: validation of settings and configuration files; reports each fault with its line.
+//! - [`document`]: the validated configuration, shared by the whole fleet.
+//! - [`active`]: the configuration in force in this process; its version never decreases.
+//! - [`patch`]: patches that produce the next version of the configuration.
+//! - [`key`]: API keys of teams, stored only as hashes.
 
 pub mod active;
 pub mod check;
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -9,12 +9,12 @@
 
 use crate::error::{Fault, Faults};
 
-/// A value and the place at which it stands.
+/// A value and its location in the file.
 #[derive(Debug)]
 pub struct Item {
-    /// Line of the file, counted from 1; `None` for a document that came as JSON.
+    /// Line of the file, counted from 1; `None` for a JSON document.
     pub line: Option<usize>,
-    /// Source text of an unquoted number or truth value.
+    /// Source text of an unquoted scalar in a YAML document.
     pub plain: Option<Arc<str>>,
     /// The value.
     pub node: Node,
@@ -25,7 +25,7 @@
 pub enum Node {
     /// No value.
     Null,
-    /// A truth value.
+    /// A boolean.
     Bool(bool),
     /// A whole number.
     Unsigned(u64),
@@ -37,7 +37,7 @@
     Text(Arc<str>),
     /// A list.
     List(Vec<Item>),
-    /// A mapping in the order of the file; a key may stand more than once.
+    /// A mapping in the order of the file; keys may be duplicated.
     Map(Vec<Entry>),
 }
 
@@ -85,7 +85,7 @@
         Self { line, plain, node }
     }
 
-    /// Lines of all values by path.
+    /// Returns the lines of all values by path.
     pub fn lines(&self) -> BTreeMap<String, usize> {
         let mut lines = BTreeMap::new();
         self.collect_lines("", &mut lines);
@@ -116,17 +116,17 @@
     }
 }
 
-/// Path of an entry of the mapping at `path`.
+/// Returns the path of an entry of the mapping at `path`.
 pub fn key_path(path: &str, key: &str) -> String {
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
 
-/// Path of an element of the list at `path`.
+/// Returns the path of an element of the list at `path`.
 pub fn index_path(path: &str, index: usize) -> String {
     format!("{path}[{index}]")
 }
 
-/// Path of the value that holds the one at `path`.
+/// Returns the path of the value that contains the one at `path`.
 pub fn parent_path(path: &str) -> Option<&str> {
     if path.is_empty() {
         return None;
@@ -134,7 +134,8 @@
     Some(path.rfind(['.', '[']).map_or("", |end| &path[..end]))
 }
 
-/// Gives each fault the line of its path, or of the nearest value around it.
+/// Sets the line of each fault without one to that of its path or of the nearest containing value,
+/// and sorts the faults by line.
 pub fn assign_lines(faults: &mut Faults, lines: &BTreeMap<String, usize>) {
     for fault in faults.list.iter_mut().filter(|fault| fault.line.is_none()) {
         let mut path = Some(fault.path.as_str());
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -1,4 +1,4 @@
-//! Patches that make the next version of the configuration.
+//! Patches that produce the next version of the configuration.
 
 use json_patch::PatchOperation;
 use serde_json::{Map, Value};
@@ -14,16 +14,17 @@
 /// Media type of a list of patch operations (RFC 6902).
 pub const JSON_PATCH: &str = "application/json-patch+json";
 
-/// Longest patch in bytes that is kept with the change it made.
+/// Maximum size in bytes of a patch that is stored with its change record.
 pub const STORED_PATCH_BYTES_MAX: usize = 8 << 10;
 
-/// Most operations of one patch.
+/// Maximum number of operations in one patch.
 pub const OPERATIONS_MAX: usize = 1_000;
 
-/// Longest document in bytes while operations are applied, so that repeated copies end early.
+/// Maximum size in bytes of the document while operations are applied. Rejects repeated `copy`
+/// operations before the document grows exponentially.
 const DOCUMENT_BYTES_MAX: usize = 4 << 20;
 
-/// Fields that the operators' interface sets itself.
+/// Fields that the operators' interface sets and a patch must not contain.
 const SERVER_SET_FIELDS: [&str; 2] = ["write_id", "change"];
 
 /// A change to the configuration.
@@ -31,25 +32,25 @@
 pub enum Patch {
     /// Merge patch (RFC 7396): fields replace fields, `null` removes them.
     Merge(Value),
-    /// Operations (RFC 6902), applied in order; all or none take effect.
+    /// Operations (RFC 6902), applied in order and atomically.
     Operations(json_patch::Patch),
 }
 
-/// Where a version of the configuration comes from.
+/// Origin of a version of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Origin {
     /// Number of the new version.
     pub version: Version,
-    /// Identifies the write that stores it.
+    /// Identifies the write that stores the version.
     pub write_id: String,
-    /// Who makes it.
+    /// Operator who made the change.
     pub operator: std::sync::Arc<str>,
-    /// When it is made, in seconds since the Unix epoch.
+    /// Time of the change, in seconds since the Unix epoch.
     pub unix_s: u64,
 }
 
 impl Patch {
-    /// Reads operations from a JSON document.
+    /// Parses operations from a JSON document.
     pub fn from_operations(value: Value) -> Result<Self, Faults> {
         let patch: json_patch::Patch =
             serde_json::from_value(value).map_err(|error| Faults::one("", error.to_string()))?;
@@ -59,7 +60,7 @@
         Ok(Self::Operations(patch))
     }
 
-    /// Media type of the patch.
+    /// Returns the media type of the patch.
     pub fn media_type(&self) -> &'static str {
         match self {
             Self::Merge(_) => MERGE_PATCH,
@@ -67,8 +68,8 @@
         }
     }
 
-    /// The configuration that this patch makes from `base`, checked. `None` is the empty document
-    /// before the first version.
+    /// Applies this patch to `base` and validates the result. A `base` of `None` is an empty
+    /// document, to which the first version is applied.
     pub fn next_config(&self, base: Option<&Config>, origin: &Origin) -> Result<Config, Faults> {
         let base_version = base.map_or(0, |config| config.version);
         let mut document = base_document(base)?;
@@ -91,7 +92,7 @@
         Ok(config)
     }
 
-    /// Applies the patch to a document, which is spoiled when the patch fails.
+    /// Applies the patch to `document`. On an error, `document` may be partly modified.
     fn apply(&self, document: &mut Value) -> Result<(), Faults> {
         match self {
             Self::Merge(patch) => json_patch::merge(document, patch),
@@ -104,6 +105,7 @@
         Ok(())
     }
 
+    /// Returns the patch to store with its change record, or `None` if it is too large.
     fn stored_patch(&self) -> Option<Value> {
         let value = match self {
             Self::Merge(patch) => patch.clone(),
--- a/crates/config/src/patch/tests.rs
+++ b/crates/config/src/patch/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_merge_patch_makes_the_next_version() {
+fn a_merge_patch_produces_the_next_version() {
     let patch = Patch::Merge(json!({"zones": {"a": {"out": true}, "b": null}}));
     let next = patch.next_config(Some(&base()), &origin(4)).unwrap();
     assert_eq!((next.version, next.write_id.as_str()), (4, "w"));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn operations_take_effect_all_or_none() {
+fn operations_are_applied_atomically() {
     let operations = json!([
         {"op": "test", "path": "/version", "value": 3},
         {"op": "replace", "path": "/teams/parishes/share", "value": 9},
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn fields_of_the_interface_cannot_be_patched() {
+fn server_set_fields_cannot_be_patched() {
     let patch = Patch::Merge(json!({"version": 9, "write_id": "x", "change": {}}));
     expect_test::expect![[r#"
         write_id: is set by the operators' interface; leave it out
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn copies_cannot_make_a_configuration_of_any_length() {
+fn copy_operations_cannot_exceed_the_document_size() {
     let copy =
         |index: u32| json!({"op": "copy", "from": "/zones", "path": format!("/zones/x{index}")});
     let patch = Patch::from_operations((0..40).map(copy).collect()).unwrap();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_first_version_is_made_from_an_empty_document() {
+fn the_first_version_is_a_patch_of_an_empty_document() {
     let raw = crate::raw::RawConfig::from(&base());
     let mut patch = serde_json::to_value(raw).unwrap();
     patch["version"] = 1.into();
@@ -102,8 +102,8 @@
     })
 }
 
-/// Merge patch as RFC 7396 words it, on all fields of both sides at once.
-fn naive_merge(target: &Value, patch: &Value) -> Value {
+/// Applies a merge patch as RFC 7396 defines it, field by field into a new object.
+fn reference_merge(target: &Value, patch: &Value) -> Value {
     let Value::Object(patch) = patch else { return patch.clone() };
     let empty = Map::new();
     let target = target.as_object().unwrap_or(&empty);
@@ -112,7 +112,7 @@
         kept.map(|(key, value)| (key.clone(), value.clone())).collect();
     for (key, value) in patch.iter().filter(|(_, value)| !value.is_null()) {
         let old = target.get(key).unwrap_or(&Value::Null);
-        merged.insert(key.clone(), naive_merge(old, value));
+        merged.insert(key.clone(), reference_merge(old, value));
     }
     Value::Object(merged)
 }
@@ -126,14 +126,14 @@
     })]
 
     #[test]
-    fn a_merge_agrees_with_the_naive_twin(target in json_value(), patch in json_value()) {
+    fn a_merge_agrees_with_the_reference_implementation(target in json_value(), patch in json_value()) {
         let mut merged = target.clone();
         Patch::Merge(patch.clone()).apply(&mut merged).unwrap();
-        prop_assert_eq!(merged, naive_merge(&target, &patch));
+        prop_assert_eq!(merged, reference_merge(&target, &patch));
     }
 
     #[test]
-    fn an_arbitrary_patch_gets_a_verdict(patch in json_value()) {
+    fn an_arbitrary_patch_does_not_panic(patch in json_value()) {
         let _ = Patch::Merge(patch.clone()).next_config(Some(&base()), &origin(4));
         if let Ok(patch) = Patch::from_operations(patch) {
             let _ = patch.next_config(None, &origin(1));
@@ -141,7 +141,7 @@
     }
 
     #[test]
-    fn a_configuration_survives_its_wire_form(share in 1..9_u32, floor in 0.0..1.0_f64) {
+    fn a_configuration_round_trips_through_its_serialized_form(share in 1..9_u32, floor in 0.0..1.0_f64) {
         let patch = Patch::Merge(json!({
             "teams": {"t": {"share": share, "upper_limit": 1, "key_hashes": ["0".repeat(64)]}},
             "services": {"portal": {"floor_share": floor}},
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one entry instance, from its YAML file.
+//! Settings of one entry instance, read from its YAML file.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::id::{InstanceId, RegionId, ZoneId, check_id};
 use crate::key::KeyHash;
 
-/// Settings as written in the file.
+/// Settings as written in the file, before validation.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawSettings {
@@ -19,11 +19,11 @@
     pub zone: ZoneId,
     /// Region of this entry instance.
     pub region: RegionId,
-    /// Address for callers.
+    /// Listen address for callers.
     pub callers_address: SocketAddr,
-    /// Address for operators and metrics.
+    /// Listen address for operators and metrics.
     pub operators_address: SocketAddr,
-    /// Address for the other entry instances.
+    /// Listen address for the other entry instances.
     pub peers_address: SocketAddr,
     /// Addresses of the platform's key-value service.
     pub store_addresses: Vec<SocketAddr>,
@@ -31,7 +31,8 @@
     pub instance_list_address: SocketAddr,
     /// Address of the platform's instance control.
     pub instance_control_address: SocketAddr,
-    /// Addresses of entry instances to ask for the others while the key-value service is down.
+    /// Addresses of entry instances that are asked for the list of entry instances while the
+    /// key-value service is unavailable.
     #[serde(default)]
     pub seed_addresses: Vec<SocketAddr>,
     /// Hash of the operators' credential, in hexadecimal.
@@ -42,21 +43,22 @@
     /// Time to live of this entry instance's lease, in milliseconds.
     #[serde(default = "default_lease_ttl_ms")]
     pub lease_ttl_ms: u64,
-    /// Wait between readiness off and the refusal of new requests at a stop, in milliseconds.
+    /// Delay at shutdown between reporting not ready and rejecting new requests, in milliseconds.
     #[serde(default = "default_stop_wait_ms")]
     pub stop_wait_ms: u64,
-    /// Longest wait for entry instances to confirm an accepted patch, in milliseconds.
+    /// Maximum time to wait for entry instances to confirm an accepted patch, in milliseconds.
     #[serde(default = "default_confirm_wait_ms")]
     pub confirm_wait_ms: u64,
-    /// Longest time that one request of an operator may take, in milliseconds.
+    /// Timeout of one request of an operator, in milliseconds.
     #[serde(default = "default_operators_timeout_ms")]
     pub operators_timeout_ms: u64,
-    /// Longest time for which keyed work goes on while this entry instance may have missed the
-    /// withdrawal of a key, because it is cut off, in milliseconds.
+    /// Maximum time, in milliseconds, for which work with a key is accepted while this entry
+    /// instance is disconnected and so may have missed the revocation of a key.
     #[serde(default = "default_isolated_keys_max_ms")]
     pub isolated_keys_max_ms: u64,
-    /// Time for which slices of upper limits may be used without the key-value service, in
-    /// milliseconds. The slices of a lost entry instance return to the others after it.
+    /// Time, in milliseconds, for which this entry instance may use its slices of the teams' upper
+    /// limits without the key-value service. Afterwards the slices of a lost entry instance
+    /// return to the others.
     #[serde(default = "default_limits_hold_ms")]
     pub limits_hold_ms: u64,
 }
@@ -89,7 +91,7 @@
     10_000
 }
 
-/// Checked settings of one entry instance.
+/// Validated settings of one entry instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Identifier of this entry instance.
@@ -98,11 +100,11 @@
     pub zone: ZoneId,
     /// Region of this entry instance.
     pub region: RegionId,
-    /// Address for callers.
+    /// Listen address for callers.
     pub callers_address: SocketAddr,
-    /// Address for operators and metrics.
+    /// Listen address for operators and metrics.
     pub operators_address: SocketAddr,
-    /// Address for the other entry instances.
+    /// Listen address for the other entry instances.
     pub peers_address: SocketAddr,
     /// Addresses of the platform's key-value service.
     pub store_addresses: Vec<SocketAddr>,
@@ -110,7 +112,8 @@
     pub instance_list_address: SocketAddr,
     /// Address of the platform's instance control.
     pub instance_control_address: SocketAddr,
-    /// Addresses of entry instances to ask for the others while the key-value service is down.
+    /// Addresses of entry instances that are asked for the list of entry instances while the
+    /// key-value service is unavailable.
     pub seed_addresses: Vec<SocketAddr>,
     /// Hash of the operators' credential.
     pub operators_key_hash: KeyHash,
@@ -118,16 +121,17 @@
     pub store_timeout: Duration,
     /// Time to live of this entry instance's lease.
     pub lease_ttl: Duration,
-    /// Wait between readiness off and the refusal of new requests at a stop.
+    /// Delay at shutdown between reporting not ready and rejecting new requests.
     pub stop_wait: Duration,
-    /// Longest wait for entry instances to confirm an accepted patch.
+    /// Maximum time to wait for entry instances to confirm an accepted patch.
     pub confirm_wait: Duration,
-    /// Longest time that one request of an operator may take.
+    /// Timeout of one request of an operator.
     pub operators_timeout: Duration,
-    /// Longest time for which keyed work goes on while this entry instance may have missed the
-    /// withdrawal of a key.
+    /// Maximum time for which work with a key is accepted while this entry instance is
+    /// disconnected and so may have missed the revocation of a key.
     pub isolated_keys_max: Duration,
-    /// Time for which slices of upper limits may be used without the key-value service.
+    /// Time for which this entry instance may use its slices of the teams' upper limits without
+    /// the key-value service.
     pub limits_hold: Duration,
 }
 
--- a/crates/config/src/wire.rs
+++ b/crates/config/src/wire.rs
@@ -1,4 +1,4 @@
-//! Conversion of a checked configuration to its wire form.
+//! Conversion of a validated configuration to its serialized form.
 
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
