--- a/crates/config/benches/patch.rs
+++ b/crates/config/benches/patch.rs
@@ -17,7 +17,7 @@
     Origin { version, write_id: "w".to_owned(), operator: "ana".into(), unix_s: 1 }
 }
 
-fn numbered_entries(prefix: &str, count: u32, value: impl Fn(u32) -> Value) -> Map<String, Value> {
+fn entries(prefix: &str, count: u32, value: impl Fn(u32) -> Value) -> Map<String, Value> {
     (0..count).map(|number| (format!("{prefix}-{number}"), value(number))).collect()
 }
 
@@ -28,10 +28,10 @@
         json!({"share": 2, "upper_limit": 40, "key_hashes": hashes})
     };
     let document = json!({
-        "zones": numbered_entries("zone", ZONES, |zone| json!({"region": format!("region-{}", zone / 4)})),
-        "services": numbered_entries("service", POOLS, |_| json!({"floor_share": 0.7})),
-        "pools": numbered_entries("pool", POOLS, |pool| json!({"service": format!("service-{pool}")})),
-        "teams": numbered_entries("team", teams, team),
+        "zones": entries("zone", ZONES, |zone| json!({"region": format!("region-{}", zone / 4)})),
+        "services": entries("service", POOLS, |_| json!({"floor_share": 0.7})),
+        "pools": entries("pool", POOLS, |pool| json!({"service": format!("service-{pool}")})),
+        "teams": entries("team", teams, team),
     });
     Patch::Merge(document).next_config(None, &origin(1)).expect("no faults")
 }
--- a/crates/config/src/check/tests.rs
+++ b/crates/config/src/check/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{FileKind, check_file};
 
-const VALID_CONFIG: &str = "\
+const SOUND: &str = "\
 version: 1
 zones:
   a: {region: north}
@@ -41,7 +41,7 @@
 }
 
 cases! {
-    a_valid_configuration_has_no_faults: VALID_CONFIG => expect![""];
+    a_valid_configuration_has_no_faults: SOUND => expect![""];
     every_fault_is_reported_with_its_line: "\
 version: 0
 zones:
@@ -136,14 +136,14 @@
 
 #[test]
 fn the_kind_of_a_file_is_determined_from_its_fields() {
-    assert_eq!(check_file(VALID_CONFIG).0, FileKind::Config);
+    assert_eq!(check_file(SOUND).0, FileKind::Config);
     assert_eq!(check_file("instance_id: a").0, FileKind::Settings);
 }
 
 fn edits() -> impl Strategy<Value = String> {
-    let edit = (0..VALID_CONFIG.len(), 0..8_usize, "[ -~\\n\\t&*!|>é]{0,6}");
+    let edit = (0..SOUND.len(), 0..8_usize, "[ -~\\n\\t&*!|>é]{0,6}");
     proptest::collection::vec(edit, 0..6).prop_map(|edits| {
-        let mut text = VALID_CONFIG.to_owned();
+        let mut text = SOUND.to_owned();
         for (start, length, insert) in edits {
             let start = start.min(text.len());
             let end = (start + length).min(text.len());
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a backend server, which counts what it runs and fails on command.
+//! Stand-in of a backend server, which counts the requests it runs and injects faults.
 
 mod connection;
 mod fault;
@@ -20,39 +20,39 @@
 /// Header that carries the id of a request in both directions.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// How often each request id was run. Clones share one state.
+/// Number of runs of each request id. Clones share one state.
 #[derive(Debug, Clone, Default)]
 pub struct BackendCounts {
     runs: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
 impl BackendCounts {
-    /// Notes one run of `request_id`.
+    /// Counts one run of `request_id`.
     pub fn record_run(&self, request_id: &str) {
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         *runs.entry(request_id.to_owned()).or_default() += 1;
     }
 
-    /// How often `request_id` was run.
+    /// Returns the number of runs of `request_id`.
     pub fn runs(&self, request_id: &str) -> u32 {
         let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.get(request_id).copied().unwrap_or(0)
     }
 
-    /// Number of runs of all requests.
+    /// Returns the number of runs of all requests.
     pub fn total(&self) -> u32 {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).values().sum()
     }
 }
 
-/// How a stand-in backend server behaves when no fault is commanded.
+/// Options of a stand-in backend server.
 #[derive(Debug, Clone)]
 pub struct BackendOptions {
-    /// Requests that it runs at once; more are refused as not run.
+    /// Maximum number of concurrent runs; further requests are rejected as not run.
     pub slots: u32,
-    /// Time that a run takes.
+    /// Duration of a run.
     pub run_time: Duration,
-    /// Faults that it commits; several backend servers can share one plan.
+    /// Faults to inject; several backend servers can share one plan.
     pub faults: FaultPlan,
 }
 
@@ -65,18 +65,18 @@
 /// A running stand-in backend server.
 #[derive(Debug)]
 pub struct Backend {
-    /// Address at which it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// What it has run.
+    /// Counts of its runs.
     pub counts: BackendCounts,
-    /// Faults that it commits.
+    /// Faults that it injects.
     pub faults: FaultPlan,
     load: Arc<Load>,
     interruption: watch::Sender<Interruption>,
     server: JoinHandle<()>,
 }
 
-/// What a stand-in backend server runs now and has run at most.
+/// Current and maximum numbers of concurrent runs and connections.
 #[derive(Debug, Default)]
 struct Load {
     running: AtomicU32,
@@ -86,7 +86,7 @@
 }
 
 impl Load {
-    /// Takes a slot for a run, if one of `slots` is free.
+    /// Acquires a slot for a run. Returns false if all `slots` are in use.
     fn start_run(&self, slots: u32) -> bool {
         let increment = |running| (running < slots).then_some(running + 1);
         let Ok(before) = self.running.fetch_update(Ordering::SeqCst, Ordering::SeqCst, increment)
@@ -103,18 +103,18 @@
     }
 }
 
-/// What the connections of one stand-in backend server share.
+/// State that the connections of one stand-in backend server share.
 #[derive(Debug, Clone)]
 struct Shared {
     id: InstanceId,
     counts: BackendCounts,
     options: BackendOptions,
     load: Arc<Load>,
-    /// Notifies of what befalls the connections open now.
+    /// Receives the interruptions of the connections that are open at the time.
     interruption: watch::Receiver<Interruption>,
 }
 
-/// What befalls all connections that are open at a time.
+/// Interruption of all open connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Interruption {
     Silence,
@@ -148,32 +148,32 @@
         Ok(Self { address, counts, faults, load, interruption, server })
     }
 
-    /// Makes all connections open now go silent for good; new ones work.
+    /// Makes all connections that are open now unresponsive permanently; new ones work.
     pub fn silence_connections(&self) {
         self.interruption.send_replace(Interruption::Silence);
     }
 
-    /// Resets all connections open now; new ones work.
+    /// Resets all connections that are open now; new ones work.
     pub fn reset_connections(&self) {
         self.interruption.send_replace(Interruption::Reset);
     }
 
-    /// Requests that run now.
+    /// Returns the number of requests that run now.
     pub fn running(&self) -> u32 {
         self.load.running.load(Ordering::SeqCst)
     }
 
-    /// Most requests that ever ran at once.
+    /// Returns the maximum number of requests that ran concurrently.
     pub fn running_max(&self) -> u32 {
         self.load.running_max.load(Ordering::SeqCst)
     }
 
-    /// Most connections that were ever open at once.
+    /// Returns the maximum number of connections that were open concurrently.
     pub fn connections_max(&self) -> u32 {
         self.load.connections_max.load(Ordering::SeqCst)
     }
 
-    /// Stops the server at once; connections to it are refused from then on.
+    /// Stops the server immediately; further connection attempts are refused.
     pub fn close(self) {
         self.server.abort();
     }
--- a/crates/standin/src/backend/connection.rs
+++ b/crates/standin/src/backend/connection.rs
@@ -11,7 +11,7 @@
 use super::http::{Request, RequestReader};
 use super::{Interruption, REQUEST_ID_HEADER, Shared};
 
-/// What becomes of a connection after a request.
+/// What is done with a connection after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConnectionAction {
     KeepOpen,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Makes the end of the connection a reset.
+/// Sets the connection to be reset when it is closed.
 fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
@@ -138,8 +138,8 @@
     Ok(ConnectionAction::KeepOpen)
 }
 
-/// Content of the answer: what came for `/echo`, names of the headers for `/headers`, so many
-/// bytes for `/bytes/{count}`, and who served for all else.
+/// Returns the response body: the request body for `/echo`, the header names for `/headers`,
+/// `count` bytes for `/bytes/{count}`, and the id of the backend server for any other path.
 fn response_body(shared: &Shared, request: &Request) -> Vec<u8> {
     if request.path == "/echo" {
         return request.body.clone();
--- a/crates/standin/src/backend/fault.rs
+++ b/crates/standin/src/backend/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in backend server commits on command.
+//! Fault injection for a stand-in backend server.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,36 +7,36 @@
 /// A fault at one point of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Resets a connection as soon as it was made.
+    /// Resets a connection as soon as it is accepted.
     ResetOnAccept,
-    /// Resets the connection when the first bytes of the request have come.
+    /// Resets the connection when the first bytes of the request have arrived.
     ResetDuringWrite,
     /// Reads the whole request, runs it and resets the connection.
     ResetAfterRun,
-    /// Runs the request and closes the connection within the head of the answer.
+    /// Runs the request and closes the connection within the head of the response.
     CutHead,
-    /// Runs the request and closes the connection within a body of declared length.
+    /// Runs the request and closes the connection within a body with a content length.
     CutBody,
     /// Runs the request and closes the connection within a chunked body.
     CutChunked,
-    /// Reads the request, does not run it, and never answers.
+    /// Reads the request, does not run it, and never responds.
     Silence,
-    /// Runs the request and never answers.
+    /// Runs the request and never responds.
     SilenceAfterRun,
-    /// Runs the request for so long, whether the caller waits or not, then answers.
+    /// Runs the request for this time, whether or not the client still waits, then responds.
     Slow(Duration),
-    /// Runs the request and answers with the id of another one.
+    /// Runs the request and responds with the id of another request.
     WrongRequestId,
-    /// Runs the request and answers with a body whose end is marked by the close only.
+    /// Runs the request and responds with a body that is delimited only by closing the connection.
     Unframed,
-    /// Refuses the request without running it, and says so.
+    /// Rejects the request and reports that it was not run.
     RefuseNotRun,
-    /// Runs the request and answers with status 500 at once.
+    /// Runs the request and responds with status 500.
     ServerError,
 }
 
-/// Faults to commit: first those queued, one a request, then the lasting one. Clones share one
-/// state.
+/// Faults to inject: first the queued faults, one per request, then the continuous one. Clones
+/// share one state.
 #[derive(Debug, Clone, Default)]
 pub struct FaultPlan {
     state: Arc<Mutex<Plan>>,
@@ -45,34 +45,35 @@
 #[derive(Debug, Default)]
 struct Plan {
     queued: VecDeque<Fault>,
-    lasting: Option<Fault>,
+    continuous: Option<Fault>,
 }
 
 impl FaultPlan {
-    /// Commits `fault` at the next request that has none yet.
+    /// Queues `fault` for the next request without a queued fault.
     pub fn queue(&self, fault: Fault) {
         self.state.lock().unwrap_or_else(PoisonError::into_inner).queued.push_back(fault);
     }
 
-    /// Commits `fault` at every request without a queued fault; `None` ends this.
+    /// Injects `fault` into every request without a queued fault; `None` ends the fault.
     pub fn set(&self, fault: Option<Fault>) {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner).lasting = fault;
+        self.state.lock().unwrap_or_else(PoisonError::into_inner).continuous = fault;
     }
 
-    /// Takes the fault for a new connection, if the next one is [`Fault::ResetOnAccept`].
+    /// Returns whether to reset a new connection: whether its fault is [`Fault::ResetOnAccept`].
+    /// Removes that fault if it is queued.
     pub(super) fn on_accept(&self) -> bool {
         let mut plan = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if plan.queued.front() == Some(&Fault::ResetOnAccept) {
             plan.queued.pop_front();
             return true;
         }
-        plan.queued.is_empty() && plan.lasting == Some(Fault::ResetOnAccept)
+        plan.queued.is_empty() && plan.continuous == Some(Fault::ResetOnAccept)
     }
 
-    /// Takes the fault for a request.
+    /// Returns the fault of a request, if any, and removes it if it is queued.
     pub(super) fn on_request(&self) -> Option<Fault> {
         let mut plan = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let lasting = plan.lasting;
-        plan.queued.pop_front().or(lasting)
+        let continuous = plan.continuous;
+        plan.queued.pop_front().or(continuous)
     }
 }
--- a/crates/standin/src/backend/http.rs
+++ b/crates/standin/src/backend/http.rs
@@ -1,4 +1,4 @@
-//! Just enough of HTTP/1.1 to read a request from a byte stream and to fail at any byte.
+//! Minimal HTTP/1.1 request reader on a byte stream, which lets the server fail at any byte.
 
 use std::io;
 
@@ -10,7 +10,7 @@
 const HEADERS_MAX: usize = 100;
 const READ_BYTES: usize = 16 << 10;
 
-/// A request as read.
+/// A received request.
 #[derive(Debug, Default)]
 pub struct Request {
     pub method: String,
@@ -41,7 +41,7 @@
         Self { stream, buffer: BytesMut::new() }
     }
 
-    /// Waits for the first bytes of a request. Returns whether any came.
+    /// Waits for the first bytes of a request. Returns false at the end of the stream.
     pub async fn wait_for_data(&mut self) -> io::Result<bool> {
         Ok(!self.buffer.is_empty() || self.fill_buffer().await?)
     }
--- a/crates/standin/src/calls.rs
+++ b/crates/standin/src/calls.rs
@@ -1,4 +1,4 @@
-//! Counts of calls to the stand-in store.
+//! Call counts of the stand-in store.
 
 use std::iter::Sum;
 
@@ -9,17 +9,17 @@
 pub enum CallKind {
     /// Read of one key.
     Get,
-    /// Read of the keys below a prefix.
+    /// Read of all keys with a prefix.
     List,
-    /// Compare-and-swap of one key.
+    /// Conditional write.
     Write,
     /// Grant of a lease.
     GrantLease,
     /// Renewal of a lease.
     KeepAlive,
-    /// End of a lease.
+    /// Revocation of a lease.
     RevokeLease,
-    /// Watch, counted once however long it waits.
+    /// Start of a watch; deliveries are not counted.
     Watch,
 }
 
@@ -28,17 +28,17 @@
 pub struct CallCounts {
     /// Reads of one key.
     pub gets: u64,
-    /// Reads of the keys below a prefix.
+    /// Reads of all keys with a prefix.
     pub lists: u64,
-    /// Compare-and-swaps.
+    /// Conditional writes.
     pub writes: u64,
     /// Grants of leases.
     pub grants: u64,
     /// Renewals of leases.
     pub keep_alives: u64,
-    /// Ends of leases.
+    /// Revocations of leases.
     pub revokes: u64,
-    /// Watches, each counted once however long it waits.
+    /// Starts of watches; deliveries are not counted.
     pub watches: u64,
 }
 
@@ -56,7 +56,7 @@
         *count += 1;
     }
 
-    /// Number of calls of all kinds.
+    /// Returns the number of calls of all kinds.
     pub fn total(&self) -> u64 {
         self.gets
             + self.lists
--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands that set faults of the stand-in store over HTTP.
+//! Commands that inject faults into the stand-in store over HTTP.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 
 use crate::faults::{ClientId, Partition, StoreFaults, WriteFault};
 
-/// What goes wrong with one write.
+/// Fault of one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WriteFaultCommand {
-    /// The write takes effect and its answer is lost.
+    /// The write takes effect and its response is lost.
     LostAnswer,
-    /// The write is lost and has no effect.
+    /// The request is lost and the write has no effect.
     LostRequest,
-    /// The answer is lost and the write takes effect after this many milliseconds.
+    /// The response is lost and the write takes effect after this many milliseconds.
     LateMs(u64),
 }
 
@@ -35,7 +35,7 @@
 pub enum PartitionCommand {
     /// Requests do not reach the store.
     Requests,
-    /// Requests take effect and their answers are lost.
+    /// Requests take effect and their responses are lost.
     Answers,
 }
 
@@ -56,45 +56,45 @@
     Outage(bool),
     /// Delays each call by this many milliseconds.
     DelayMs(u64),
-    /// Lets the next writes fail.
+    /// Makes the next writes fail.
     FailWrites {
         /// Number of writes.
         count: usize,
-        /// What goes wrong.
+        /// Fault of each such write.
         fault: WriteFaultCommand,
     },
-    /// Lets writes fail at an interval.
+    /// Makes every n-th write fail.
     FailEvery {
-        /// Number of writes from one failure to the next; 0 ends it.
+        /// Number of writes from one failure to the next; 0 ends the fault.
         interval: u64,
-        /// What goes wrong.
+        /// Fault of each such write.
         fault: WriteFaultCommand,
     },
-    /// Answers reads as of an older revision.
+    /// Serves reads from an older revision; `None` ends the fault.
     StaleReads(Option<Revision>),
-    /// Keeps all watches from delivering, until it is ended.
+    /// Starts or ends a fault under which no watch delivers changes.
     SilentWatches(bool),
-    /// Silences the watches that are open now for good.
+    /// Permanently stops deliveries of the watches that are open now.
     SilenceOpenWatches,
-    /// Forgets the history.
+    /// Compacts the history.
     Compact,
-    /// Restores an older revision.
+    /// Rolls the store back to an older revision.
     RollBack(Revision),
-    /// Cuts one client off.
+    /// Partitions one client from the store.
     CutOff {
-        /// The client, known by its user agent.
+        /// The client, identified by its user agent.
         client: ClientId,
-        /// Direction that is cut off.
+        /// Direction in which messages are dropped.
         partition: PartitionCommand,
     },
     /// Ends the partition of one client.
     Reconnect(ClientId),
-    /// Ends all faults that last.
+    /// Ends outage, delay, stale reads, silent watches, partitions and write faults.
     Clear,
 }
 
 impl FaultCommand {
-    /// Carries the command out. Returns false where it cannot be.
+    /// Applies the command. Returns false for a rollback to a revision that is not in the history.
     pub fn apply(self, faults: &StoreFaults) -> bool {
         match self {
             Self::Outage(outage) => faults.set_outage(outage),
--- a/crates/standin/src/command/tests.rs
+++ b/crates/standin/src/command/tests.rs
@@ -7,7 +7,7 @@
     serde_json::from_str(text).unwrap()
 }
 
-macro_rules! readable {
+macro_rules! round_trips {
     ($($name:ident: $text:literal;)+) => {$(
         #[test]
         fn $name() {
@@ -17,7 +17,7 @@
     )+};
 }
 
-readable! {
+round_trips! {
     outage: r#"{"outage":true}"#;
     delay: r#"{"delay_ms":20}"#;
     next_writes: r#"{"fail_writes":{"count":2,"fault":"lost_answer"}}"#;
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,7 +1,7 @@
-//! The stand-in list of instances and the stand-in instance control over HTTP.
+//! HTTP servers of the stand-in instance list and the stand-in instance control.
 //!
-//! Both take an [`InstanceCommand`] at `POST /fault`. The control returns the reboots that were
-//! carried out at `GET /reboots`.
+//! Both accept an [`InstanceCommand`] at `POST /fault`. The control returns the reboots that took
+//! place at `GET /reboots`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,13 +24,13 @@
 use crate::instances::{MemoryInstances, Reboot, RebootFault};
 use crate::server::Server;
 
-/// What goes wrong with one reboot.
+/// Fault of one reboot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RebootFaultCommand {
-    /// The request is refused and has no effect.
+    /// The request is rejected and has no effect.
     Refused,
-    /// The instance is rebooted and the answer is lost.
+    /// The instance is rebooted and the response is lost.
     LostAnswer,
     /// The request is lost and has no effect.
     LostRequest,
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum InstanceCommand {
-    /// Lists an instance as leaving or as live.
+    /// Sets the listed state of an instance to leaving or live.
     SetLeaving {
         /// The instance.
         instance: InstanceId,
@@ -59,23 +59,23 @@
     },
     /// Removes an instance from the list.
     Remove(InstanceId),
-    /// Shows changes in the list only after this many milliseconds.
+    /// Delays the appearance of changes in the list by this many milliseconds.
     LagMs(u64),
-    /// Starts or ends an outage of the list.
+    /// Starts or ends an outage of the instance list.
     ListOutage(bool),
-    /// Starts or ends an outage of the control.
+    /// Starts or ends an outage of the instance control.
     ControlOutage(bool),
-    /// Lets the next reboots fail.
+    /// Makes the next reboots fail.
     FailReboots {
         /// Number of reboots.
         count: usize,
-        /// What goes wrong.
+        /// Fault of each such reboot.
         fault: RebootFaultCommand,
     },
 }
 
 impl InstanceCommand {
-    /// Carries the command out.
+    /// Applies the command.
     pub fn apply(self, instances: &MemoryInstances) {
         match self {
             Self::SetLeaving { instance, leaving } => {
@@ -106,14 +106,14 @@
     }
 }
 
-/// A running server of the list of instances.
+/// A running server of the instance list.
 #[derive(Debug)]
 pub struct ListServer {
     server: Server,
 }
 
 impl ListServer {
-    /// Serves the list at an address.
+    /// Starts serving the list at `address`.
     pub async fn start(address: SocketAddr, instances: MemoryInstances) -> std::io::Result<Self> {
         let router = Router::new()
             .route(LIST_PATH, get(list))
@@ -122,7 +122,7 @@
         Ok(Self { server: Server::start(address, router).await? })
     }
 
-    /// Address at which it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -140,7 +140,7 @@
 }
 
 impl ControlServer {
-    /// Serves the control at an address.
+    /// Starts serving the control at `address`.
     pub async fn start(address: SocketAddr, instances: MemoryInstances) -> std::io::Result<Self> {
         let path = "/redfish/v1/Systems/{instance}/Actions/ComputerSystem.Reset";
         let router = Router::new()
@@ -151,7 +151,7 @@
         Ok(Self { server: Server::start(address, router).await? })
     }
 
-    /// Address at which it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -194,7 +194,7 @@
     }
 }
 
-/// An answer whose connection breaks before its end.
+/// Returns a response whose connection is closed before its end.
 fn truncated_response(error: std::io::Error) -> Response {
     Body::from_stream(stream::once(async move { Err::<Vec<u8>, _>(error) })).into_response()
 }
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the stand-in store, set on command.
+//! Fault injection for the stand-in store.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 /// Identifies a client of the stand-in store.
 pub type ClientId = Arc<str>;
 
-/// What goes wrong with one write. The caller is told that the outcome is unknown.
+/// Fault of one write, whose outcome is reported to the client as unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteFault {
-    /// The write takes effect and its answer is lost.
+    /// The write takes effect and its response is lost.
     LostAnswer,
-    /// The write is lost and has no effect.
+    /// The request is lost and the write has no effect.
     LostRequest,
-    /// The answer is lost and the write takes effect after this time.
+    /// The response is lost and the write takes effect after this time.
     Late(Duration),
 }
 
@@ -28,7 +28,7 @@
 pub enum Partition {
     /// Requests do not reach the store.
     Requests,
-    /// Requests take effect and their answers are lost.
+    /// Requests take effect and their responses are lost.
     Answers,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Faults {
-    /// The fault of the next write.
+    /// Counts a write and returns its fault, if any.
     pub(crate) fn next_write(&mut self) -> Option<WriteFault> {
         self.writes += 1;
         if let Some(planned_faults) = self.planned_faults.pop_front() {
@@ -60,9 +60,9 @@
     }
 }
 
-/// Handle that sets the faults of a [`MemoryStore`](crate::MemoryStore) and reads its counts.
+/// Handle that injects faults into a [`MemoryStore`](crate::MemoryStore) and reads its call counts.
 ///
-/// Leases go on expiring during an outage.
+/// Leases continue to expire during an outage.
 #[derive(Debug, Clone)]
 pub struct StoreFaults {
     shared: Arc<Shared>,
@@ -94,50 +94,50 @@
         self.set(|faults| faults.delay = delay);
     }
 
-    /// Lets the next `count` writes fail with `fault`.
+    /// Makes the next `count` writes fail with `fault`.
     pub fn fail_writes(&self, count: usize, fault: WriteFault) {
         self.plan_writes(vec![Some(fault); count]);
     }
 
-    /// Plans the faults of the next writes, one for each; `None` is a write without a fault.
+    /// Queues the faults of the next writes, one per write; `None` is a write without a fault.
     pub fn plan_writes(&self, plan: impl IntoIterator<Item = Option<WriteFault>>) {
         self.set(|faults| faults.planned_faults.extend(plan));
     }
 
-    /// Lets each write whose number is a multiple of `interval` fail; 0 ends it.
+    /// Makes each write fail whose number is a multiple of `interval`; 0 ends the fault.
     pub fn fail_every(&self, interval: u64, fault: WriteFault) {
         self.set(|faults| faults.periodic_fault = (interval > 0).then_some((interval, fault)));
     }
 
-    /// Answers reads as of an older revision; `None` ends it.
+    /// Serves reads from an older revision; `None` ends the fault.
     pub fn set_stale_reads(&self, revision: Option<Revision>) {
         self.set(|faults| faults.stale_revision = revision);
     }
 
-    /// Keeps all watches, present and new, open without a delivery until it is ended.
+    /// Starts or ends a fault under which watches, open and new, stay open without deliveries.
     pub fn set_silent_watches(&self, silent: bool) {
         self.set(|faults| faults.silent_watches = silent);
     }
 
-    /// Silences the watches that are open now for good; new watches work.
+    /// Permanently stops deliveries of the watches that are open now; new watches work.
     pub fn silence_open_watches(&self) {
         self.shared.lock().silence_watches();
         self.shared.notify_watches();
     }
 
-    /// Forgets the history of changes, so that older watch positions are compacted.
+    /// Compacts the history, so that a watch from an older revision fails as compacted.
     pub fn compact(&self) {
         self.shared.lock().keys.compact();
         self.shared.notify_watches();
     }
 
-    /// Sets how many changes the history keeps.
+    /// Sets the maximum number of changes in the history.
     pub fn limit_history(&self, changes: usize) {
         self.shared.lock().keys.limit_history(changes);
     }
 
-    /// Restores the store from its snapshot of `revision` and ends open watches. Returns false,
-    /// without effect, where the history does not reach back that far.
+    /// Rolls the store back to `revision` and ends open watches. Returns false, without effect, if
+    /// the history does not contain `revision`.
     pub fn roll_back(&self, revision: Revision) -> bool {
         let mut state = self.shared.lock();
         let restored = state.roll_back(revision);
@@ -146,7 +146,7 @@
         restored
     }
 
-    /// Cuts one client off in a direction.
+    /// Partitions one client from the store in one direction.
     pub fn cut_off(&self, client: impl Into<ClientId>, partition: Partition) {
         self.set(|faults| {
             faults.partitions.insert(client.into(), partition);
@@ -160,32 +160,32 @@
         });
     }
 
-    /// Ends all faults that last.
+    /// Ends outage, delay, stale reads, silent watches, partitions and write faults.
     pub fn clear(&self) {
         self.set(|faults| *faults = Faults { writes: faults.writes, ..Faults::default() });
     }
 
-    /// Reads one key, whatever the faults, without a count.
+    /// Returns one key, unaffected by faults and not counted as a call.
     pub fn peek(&self, key: &str) -> Option<Record> {
         self.shared.lock().keys.get(key, None)
     }
 
-    /// Revision of the store, whatever its faults.
+    /// Returns the revision of the store, unaffected by faults.
     pub fn revision(&self) -> Revision {
         self.shared.lock().keys.revision()
     }
 
-    /// Calls made by one client.
+    /// Returns the call counts of one client.
     pub fn counts(&self, client: &str) -> CallCounts {
         self.shared.lock().counts.get(client).copied().unwrap_or_default()
     }
 
-    /// Calls made by each client.
+    /// Returns the call counts of each client.
     pub fn all_counts(&self) -> BTreeMap<ClientId, CallCounts> {
         self.shared.lock().counts.clone()
     }
 
-    /// Calls made by all clients.
+    /// Returns the sum of the call counts of all clients.
     pub fn total_counts(&self) -> CallCounts {
         self.shared.lock().counts.values().copied().sum()
     }
--- a/crates/standin/src/faults/tests.rs
+++ b/crates/standin/src/faults/tests.rs
@@ -8,8 +8,8 @@
 use super::{Partition, WriteFault};
 use crate::MemoryStore;
 
-const LONG: Duration = Duration::from_secs(3600);
-const LATE: Duration = Duration::from_secs(5);
+const LONG_WAIT: Duration = Duration::from_secs(3600);
+const WRITE_DELAY: Duration = Duration::from_secs(5);
 
 async fn put(store: &MemoryStore, key: &str, compare: Compare) -> Result<WriteOutcome, StoreError> {
     store.write(Write::put(key, compare, "value")).await
@@ -36,10 +36,10 @@
 }
 
 write_faults! {
-    a_lost_answer_takes_effect: WriteFault::LostAnswer, after Duration::ZERO => applied: true;
-    a_lost_request_has_no_effect: WriteFault::LostRequest, after LONG => applied: false;
-    a_late_write_has_no_effect_yet: WriteFault::Late(LATE), after LATE / 2 => applied: false;
-    a_late_write_takes_effect_later: WriteFault::Late(LATE), after LATE * 2 => applied: true;
+    a_write_with_a_lost_response_takes_effect: WriteFault::LostAnswer, after Duration::ZERO => applied: true;
+    a_write_with_a_lost_request_has_no_effect: WriteFault::LostRequest, after LONG_WAIT => applied: false;
+    a_late_write_has_no_effect_yet: WriteFault::Late(WRITE_DELAY), after WRITE_DELAY / 2 => applied: false;
+    a_late_write_takes_effect_later: WriteFault::Late(WRITE_DELAY), after WRITE_DELAY * 2 => applied: true;
 }
 
 #[tokio::test(start_paused = true)]
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_delay_within_the_timeout_passes() {
+async fn a_call_with_a_delay_within_the_timeout_succeeds() {
     let store = MemoryStore::default();
     store.faults().set_delay(Duration::from_millis(400));
     let before = Instant::now();
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_delay_beyond_the_timeout_loses_the_answer() {
+async fn a_delay_beyond_the_timeout_loses_the_response() {
     let store = MemoryStore::default();
     store.faults().set_delay(Duration::from_millis(1500));
     let before = Instant::now();
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn stale_reads_show_an_older_revision() {
+async fn stale_reads_return_an_older_revision() {
     let store = MemoryStore::default();
     put(&store, "a", Compare::Absent).await.unwrap();
     put(&store, "b", Compare::Absent).await.unwrap();
@@ -106,23 +106,23 @@
     let mut watch = store.watch("", 0).await.unwrap();
     store.faults().set_silent_watches(true);
     put(&store, "a", Compare::Absent).await.unwrap();
-    assert!(timeout(LONG, watch.next()).await.is_err());
+    assert!(timeout(LONG_WAIT, watch.next()).await.is_err());
     store.faults().set_silent_watches(false);
     assert_eq!(watch.next().await.unwrap().len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn silenced_watches_leave_new_ones_alone() {
+async fn silenced_watches_do_not_affect_new_ones() {
     let store = MemoryStore::default();
     let mut silent = store.watch("", 0).await.unwrap();
     store.faults().silence_open_watches();
     put(&store, "a", Compare::Absent).await.unwrap();
-    assert!(timeout(LONG, silent.next()).await.is_err());
+    assert!(timeout(LONG_WAIT, silent.next()).await.is_err());
     assert_eq!(store.watch("", 0).await.unwrap().next().await.unwrap().len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn compaction_refuses_old_positions_only() {
+async fn compaction_rejects_only_older_watch_revisions() {
     let store = MemoryStore::default();
     put(&store, "a", Compare::Absent).await.unwrap();
     put(&store, "b", Compare::Absent).await.unwrap();
@@ -173,7 +173,7 @@
             assert!(matches!(far.get("a").await, Err(StoreError::Unavailable(_))));
             assert_eq!(exists(&near, "a").await, $applied);
             put(&near, "b", Compare::Absent).await.unwrap();
-            assert!(timeout(LONG, watch.next()).await.is_err());
+            assert!(timeout(LONG_WAIT, watch.next()).await.is_err());
             store.faults().reconnect("far");
             assert_eq!(watch.next().await.unwrap().len(), 1 + usize::from($applied));
         }
@@ -181,8 +181,8 @@
 }
 
 partitions! {
-    lost_requests_of_one_client_have_no_effect: Partition::Requests => applied: false;
-    lost_answers_of_one_client_take_effect: Partition::Answers => applied: true;
+    writes_with_lost_requests_of_one_client_have_no_effect: Partition::Requests => applied: false;
+    writes_with_lost_responses_of_one_client_take_effect: Partition::Answers => applied: true;
 }
 
 #[tokio::test(start_paused = true)]
@@ -196,7 +196,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn values_above_the_limit_are_refused() {
+async fn values_above_the_size_limit_are_rejected() {
     let store = MemoryStore::default();
     let largest = vec![0; VALUE_BYTES_MAX];
     let larger = vec![0; VALUE_BYTES_MAX + 1];
@@ -206,7 +206,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn calls_are_counted_by_client_and_a_waiting_watch_once() {
+async fn calls_are_counted_per_client_and_each_watch_once() {
     let store = MemoryStore::default();
     let one = store.client("one");
     let mut watch = one.watch("", 0).await.unwrap();
--- a/crates/standin/src/gateway.rs
+++ b/crates/standin/src/gateway.rs
@@ -1,7 +1,8 @@
-//! The stand-in store behind the JSON gateway of etcd v3, for use by separate processes.
+//! JSON gateway of etcd v3 in front of the stand-in store, for use by other processes.
 //!
-//! Clients are told apart by their user agent. `POST /fault` takes a [`FaultCommand`], and
-//! `GET /counts` returns the calls of each client. A call goes on when its client has left.
+//! Clients are identified by their user agent. `POST /fault` accepts a [`FaultCommand`], and
+//! `GET /counts` returns the call counts of each client. A call is completed even if its client
+//! disconnects.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -29,11 +30,11 @@
 use crate::server::Server;
 use crate::store::{MemoryStore, MemoryWatch};
 
-/// How long the gateway works on a call at most.
+/// Timeout of the gateway for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often a waiting watch reports its revision.
+/// Interval at which an idle watch reports its revision.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
-/// Size of the largest request, in bytes.
+/// Maximum size of a request, in bytes.
 const REQUEST_BYTES_MAX: usize = 2 * 1024 * 1024;
 
 /// A running gateway.
@@ -43,13 +44,13 @@
 }
 
 impl Gateway {
-    /// Serves a store at an address.
+    /// Starts serving `store` at `address`.
     pub async fn start(address: SocketAddr, store: MemoryStore) -> std::io::Result<Self> {
         let router = router(store.with_timeout(CALL_TIMEOUT));
         Ok(Self { server: Server::start(address, router).await? })
     }
 
-    /// Address at which it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -74,7 +75,7 @@
         .with_state(store)
 }
 
-/// The store as seen by the client of a request.
+/// Store handle of the client that sent a request.
 struct ClientStore(MemoryStore);
 
 impl axum::extract::FromRequestParts<MemoryStore> for ClientStore {
@@ -96,7 +97,7 @@
     }
 }
 
-/// An error in the form of the gateway.
+/// A store error, returned as an etcd gateway error response.
 struct GatewayError(StoreError);
 
 impl From<StoreError> for GatewayError {
@@ -140,12 +141,12 @@
 
 type ApiResult<T> = Result<Json<T>, GatewayError>;
 
-/// Completes a call even if its client leaves.
+/// Completes a call even if its client disconnects.
 async fn complete<T: Send + 'static>(
     call: impl Future<Output = Result<T, StoreError>> + Send + 'static,
 ) -> Result<T, StoreError> {
-    let lost = |_| Err(StoreError::OutcomeUnknown("call failed".into()));
-    tokio::spawn(call).await.unwrap_or_else(lost)
+    let task_failed = |_| Err(StoreError::OutcomeUnknown("call failed".into()));
+    tokio::spawn(call).await.unwrap_or_else(task_failed)
 }
 
 async fn range(client: ClientStore, Json(request): Json<RangeRequest>) -> ApiResult<RangeResponse> {
@@ -257,7 +258,7 @@
     Ok(([(header::CONTENT_TYPE, "application/json")], body).into_response())
 }
 
-/// What a watch delivers next.
+/// State of a watch response stream: what is written next.
 enum WatchStreamState {
     Created(WatchResponse, MemoryWatch),
     Changes(MemoryWatch),
--- a/crates/standin/src/instances.rs
+++ b/crates/standin/src/instances.rs
@@ -1,4 +1,4 @@
-//! In-memory stand-in of the instance list and of the instance control.
+//! In-memory stand-in of the instance list and the instance control.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,29 +8,29 @@
 use cassiafold_platform::{ControlError, InstanceControl, InstanceList, ListError, ListedInstance};
 use tokio::time::Instant;
 
-/// Number of former lists that are kept for the lag.
+/// Maximum number of previous lists that are kept to serve a lagging list.
 const PREVIOUS_LISTS_MAX: usize = 1_000;
 
 type Instances = Arc<BTreeMap<InstanceId, ListedInstance>>;
 
-/// In-memory list of instances. Clones share one state.
+/// In-memory instance list and instance control. Clones share one state.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryInstances {
     state: Arc<Mutex<State>>,
 }
 
-/// What goes wrong with one reboot.
+/// Fault of one reboot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RebootFault {
-    /// The request is refused and has no effect.
+    /// The request is rejected and has no effect.
     Refused,
-    /// The instance is rebooted and the answer is lost.
+    /// The instance is rebooted and the response is lost.
     LostAnswer,
-    /// The request is lost and has no effect; the caller is not told.
+    /// The request is lost and has no effect; its outcome is reported as unknown.
     LostRequest,
 }
 
-/// A reboot that was carried out.
+/// A reboot that took place.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reboot {
     /// The instance.
@@ -50,7 +50,7 @@
     planned_faults: VecDeque<RebootFault>,
 }
 
-/// A list that was replaced.
+/// A previous list and the time of its replacement.
 #[derive(Debug)]
 struct PreviousList {
     instances: Instances,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The list as it was before the lag.
+    /// Returns the list as it was `lag` ago.
     fn lagged_list(&self) -> Instances {
         let seen = self.previous.iter().find(|previous| previous.replaced_at.elapsed() < self.lag);
         seen.map_or_else(|| self.instances.clone(), |previous| previous.instances.clone())
@@ -111,32 +111,32 @@
         });
     }
 
-    /// Shows changes in the list only after this time.
+    /// Delays the appearance of changes in the list by `lag`.
     pub fn set_lag(&self, lag: Duration) {
         self.lock().lag = lag;
     }
 
-    /// Starts or ends an outage of the list.
+    /// Starts or ends an outage of the instance list.
     pub fn set_list_outage(&self, outage: bool) {
         self.lock().list_outage = outage;
     }
 
-    /// Starts or ends an outage of the control.
+    /// Starts or ends an outage of the instance control.
     pub fn set_control_outage(&self, outage: bool) {
         self.lock().control_outage = outage;
     }
 
-    /// Lets the next `count` reboots fail with `fault`.
+    /// Makes the next `count` reboots fail with `fault`.
     pub fn fail_reboots(&self, count: usize, fault: RebootFault) {
         self.lock().planned_faults.extend(std::iter::repeat_n(fault, count));
     }
 
-    /// Reboots carried out so far, each request id once.
+    /// Returns the reboots that took place, one per request id.
     pub fn reboots(&self) -> Vec<Reboot> {
         self.lock().reboots.clone()
     }
 
-    /// Number of reboots of one instance.
+    /// Returns the number of reboots of one instance.
     pub fn reboot_count(&self, id: &str) -> usize {
         self.lock().reboots.iter().filter(|reboot| &*reboot.instance == id).count()
     }
@@ -167,7 +167,7 @@
                 return Ok(());
             }
         }
-        Err(ControlError::OutcomeUnknown("answer lost".into()))
+        Err(ControlError::OutcomeUnknown("response lost".into()))
     }
 }
 
--- a/crates/standin/src/instances/tests.rs
+++ b/crates/standin/src/instances/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn changes_show_after_the_lag() {
+async fn changes_appear_after_the_lag() {
     let instances = MemoryInstances::default();
     instances.set_lag(LAG);
     instances.put(instance("one"));
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_lag_changes_show_at_once() {
+async fn without_a_lag_changes_appear_immediately() {
     let instances = MemoryInstances::default();
     instances.put(instance("one"));
     instances.set_state(&"one".into(), InstanceState::Leaving);
@@ -61,10 +61,10 @@
 }
 
 reboot_faults! {
-    a_refused_reboot_has_no_effect:
+    a_rejected_reboot_has_no_effect:
         RebootFault::Refused => ControlError::Unavailable(_), reboots: 0;
-    a_reboot_with_a_lost_answer_took_effect:
+    a_reboot_with_a_lost_response_takes_effect:
         RebootFault::LostAnswer => ControlError::OutcomeUnknown(_), reboots: 1;
-    a_lost_reboot_had_no_effect:
+    a_reboot_with_a_lost_request_has_no_effect:
         RebootFault::LostRequest => ControlError::OutcomeUnknown(_), reboots: 0;
 }
--- a/crates/standin/src/keyspace.rs
+++ b/crates/standin/src/keyspace.rs
@@ -1,4 +1,4 @@
-//! Keys and values of the stand-in store, with the bounded history of their changes.
+//! Keys and values of the stand-in store, with a bounded history of changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use cassiafold_platform::{Change, Compare, LeaseId, Operation, Record, Revision, Snapshot};
 
-/// Number of changes that are kept by default.
+/// Default maximum number of changes in the history.
 const HISTORY_CHANGES_MAX: usize = 10_000;
-/// Sum of the sizes of the values that the history keeps.
+/// Maximum total size of the values in the history, in bytes.
 const HISTORY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
 type Values = BTreeMap<Arc<str>, StoredValue>;
@@ -32,7 +32,7 @@
     }
 }
 
-/// Values now, values at the start of the history, and the changes in between.
+/// Current values, values at the start of the history (`base`), and the changes in between.
 #[derive(Debug)]
 pub(crate) struct Keyspace {
     revision: Revision,
@@ -63,12 +63,12 @@
         self.revision
     }
 
-    /// Carries out `operation` and returns the revision after it.
+    /// Applies `operation` and returns the resulting revision.
     pub(crate) fn apply(&mut self, key: &Arc<str>, operation: Operation) -> Revision {
         self.apply_all([(key.clone(), operation)])
     }
 
-    /// Carries out several operations at one revision, and returns it.
+    /// Applies several operations at one revision and returns the resulting revision.
     pub(crate) fn apply_all(
         &mut self,
         operations: impl IntoIterator<Item = (Arc<str>, Operation)>,
@@ -97,6 +97,7 @@
         self.history.push_back(entry);
     }
 
+    /// Moves the oldest changes into the base until the history is within its limits.
     fn trim(&mut self) {
         while self.history.len() > self.history_limit || self.history_bytes > HISTORY_BYTES_MAX {
             self.fold_oldest_into_base();
@@ -111,20 +112,20 @@
         }
     }
 
-    /// Sets how many changes are kept.
+    /// Sets the maximum number of changes in the history.
     pub(crate) fn limit_history(&mut self, changes: usize) {
         self.history_limit = changes;
         self.trim();
     }
 
-    /// Forgets the history up to now.
+    /// Removes all changes from the history.
     pub(crate) fn compact(&mut self) {
         while !self.history.is_empty() {
             self.fold_oldest_into_base();
         }
     }
 
-    /// Restores the values of `revision`. Returns false where the history does not reach back.
+    /// Restores the values of `revision`. Returns false if the history does not contain it.
     pub(crate) fn roll_back(&mut self, revision: Revision) -> bool {
         if revision < self.base_revision || revision > self.revision {
             return false;
@@ -144,7 +145,7 @@
         values
     }
 
-    /// Reads one key, as of `at` where given.
+    /// Returns one key at revision `at`, or at the current revision if `None`.
     pub(crate) fn get(&self, key: &str, at: Option<Revision>) -> Option<Record> {
         match at {
             Some(revision) if revision < self.revision => record(&self.values_at(revision), key),
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Reads the keys below `prefix`, as of `at` where given.
+    /// Returns the keys with `prefix` at revision `at`, or at the current revision if `None`.
     pub(crate) fn list(&self, prefix: &str, at: Option<Revision>) -> Snapshot {
         match at {
             Some(revision) if revision < self.revision => {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Whether the condition of a write is met.
+    /// Returns whether the condition of a write is met.
     pub(crate) fn meets(&self, key: &str, compare: Compare) -> bool {
         let revision = self.values.get(key).map(|stored| stored.revision);
         match compare {
@@ -172,7 +173,8 @@
         }
     }
 
-    /// Changes below `prefix` after a revision; `None` where the history does not hold them.
+    /// Returns the changes of keys with `prefix` after a revision, or `None` if the history does
+    /// not contain them all.
     pub(crate) fn changes(&self, prefix: &str, after: Revision) -> Option<Vec<Change>> {
         if after < self.base_revision || after > self.revision {
             return None;
@@ -182,7 +184,7 @@
         Some(unseen.filter(|change| change.key.starts_with(prefix)).cloned().collect())
     }
 
-    /// Keys bound to a lease that `ended` holds for.
+    /// Returns the keys bound to a lease for which `matches` returns true.
     pub(crate) fn keys_bound_to(&self, matches: impl Fn(LeaseId) -> bool) -> Vec<Arc<str>> {
         let bound = self.values.iter().filter(|(_, stored)| stored.lease.is_some_and(&matches));
         bound.map(|(key, _)| key.clone()).collect()
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,4 +1,5 @@
-//! Small stand-ins of the platform for tests, the demo and the load tool.
+//! Stand-ins of the platform and of backend servers, with fault injection, for tests, the demo and
+//! the load tool.
 
 pub mod backend;
 pub mod calls;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The whole stand-in platform as servers.
+//! The complete stand-in platform, run as HTTP servers.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -9,10 +9,10 @@
 use crate::instances::MemoryInstances;
 use crate::store::MemoryStore;
 
-/// Address of a free port of the loopback interface.
+/// Loopback address with port 0, so that the system assigns a free port.
 pub const FREE_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Addresses at which the platform listens.
+/// Listen addresses of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformAddresses {
     /// Address of the key-value service.
@@ -24,7 +24,7 @@
 }
 
 impl Default for PlatformAddresses {
-    /// Free ports of the loopback interface.
+    /// Returns free ports of the loopback interface.
     fn default() -> Self {
         Self { store: FREE_PORT, instance_list: FREE_PORT, instance_control: FREE_PORT }
     }
@@ -33,9 +33,9 @@
 /// A running stand-in platform.
 #[derive(Debug)]
 pub struct Platform {
-    /// Store behind the gateway.
+    /// Store that the gateway serves.
     pub store: MemoryStore,
-    /// Instances behind the list and the control.
+    /// Instances that the list and the control serve.
     pub instances: MemoryInstances,
     gateway: Gateway,
     list: ListServer,
@@ -43,12 +43,12 @@
 }
 
 impl Platform {
-    /// Starts all servers over an empty store and an empty list.
+    /// Starts all servers with an empty store and an empty instance list.
     pub async fn start(addresses: PlatformAddresses) -> std::io::Result<Self> {
         Self::start_with(addresses, MemoryStore::default(), MemoryInstances::default()).await
     }
 
-    /// Starts all servers over a given store and list.
+    /// Starts all servers with the given store and instances.
     pub async fn start_with(
         addresses: PlatformAddresses,
         store: MemoryStore,
@@ -60,7 +60,7 @@
         Ok(Self { store, instances, gateway, list, control })
     }
 
-    /// Addresses at which it listens.
+    /// Returns the listen addresses.
     pub fn addresses(&self) -> PlatformAddresses {
         PlatformAddresses {
             store: self.gateway.address(),
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP server whose connections end with it.
+//! HTTP server that closes its connections when it stops.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
 }
 
 impl Server {
-    /// Serves `router` at an address.
+    /// Starts serving `router` at `address`.
     pub async fn start(address: SocketAddr, router: Router) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -26,7 +26,7 @@
         Ok(Self { address, accept_task })
     }
 
-    /// Address at which it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -1,4 +1,4 @@
-//! State of the stand-in store: keys, leases, faults and counts.
+//! State of the stand-in store: keys, leases, faults and call counts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     expires: Instant,
 }
 
-/// Number of an open watch, in order of its start.
+/// Sequence number of a watch, assigned at its start.
 pub(crate) type WatchNumber = u64;
 
 #[derive(Debug, Default)]
@@ -34,7 +34,7 @@
 }
 
 impl State {
-    /// Ends the leases whose time to live has passed.
+    /// Removes the leases whose time to live has passed, and the keys bound to them.
     pub(crate) fn remove_expired_leases(&mut self) {
         let now = Instant::now();
         let ended = self.leases.extract_if(.., |_, lease| lease.expires <= now).count();
@@ -43,13 +43,14 @@
         }
     }
 
+    /// Deletes the keys whose lease no longer exists.
     fn delete_keys_without_lease(&mut self) {
         for key in self.keys.keys_bound_to(|lease| !self.leases.contains_key(&lease)) {
             self.keys.apply(&key, Operation::Delete);
         }
     }
 
-    /// When the next lease expires.
+    /// Returns the expiry time of the lease that expires first.
     pub(crate) fn next_expiry(&self) -> Option<Instant> {
         self.leases.values().map(|lease| lease.expires).min()
     }
@@ -58,9 +59,10 @@
         &mut self,
         transaction: Transaction,
     ) -> Result<TransactionOutcome, StoreError> {
-        let is_met = |one: &Expectation| self.keys.meets(&one.key, one.compare);
+        let is_met =
+            |expectation: &Expectation| self.keys.meets(&expectation.key, expectation.compare);
         if !transaction.expectations.iter().all(is_met) {
-            let keys = transaction.expectations.iter().map(|one| &one.key);
+            let keys = transaction.expectations.iter().map(|expectation| &expectation.key);
             return Ok(TransactionOutcome::Conflict(
                 keys.filter_map(|key| self.keys.get(key, None)).collect(),
             ));
@@ -72,7 +74,8 @@
         if !transaction.effects.iter().all(is_bound) {
             return Err(StoreError::LeaseExpired);
         }
-        let operations = transaction.effects.into_iter().map(|one| (one.key, one.operation));
+        let operations =
+            transaction.effects.into_iter().map(|effect| (effect.key, effect.operation));
         Ok(TransactionOutcome::Written(self.keys.apply_all(operations)))
     }
 
@@ -94,7 +97,8 @@
         Ok(())
     }
 
-    /// Restores the keys of `revision`; keys whose lease has ended since are removed.
+    /// Restores the keys of `revision`, except keys whose lease has ended since. Returns false if
+    /// the history does not contain `revision`.
     pub(crate) fn roll_back(&mut self, revision: Revision) -> bool {
         let restored = self.keys.roll_back(revision);
         if restored {
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -15,14 +15,14 @@
 use crate::faults::{ClientId, Partition, StoreFaults, WriteFault};
 use crate::state::{State, WatchNumber};
 
-/// Client of a store that was not given a name.
+/// Client id of a store handle that was given none.
 const DEFAULT_CLIENT: &str = "default";
-/// Timeout of a call by default.
+/// Default timeout of a call.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a waiting watch sleeps at most.
+/// Maximum time for which a watch waits before it checks for changes again.
 const WATCH_WAIT_MAX: Duration = Duration::from_secs(60);
 
-/// In-memory key-value service. Clones share one state; each belongs to one client.
+/// Handle of one client to an in-memory key-value service. Clones share one state.
 #[derive(Debug, Clone)]
 pub struct MemoryStore {
     shared: Arc<Shared>,
@@ -61,11 +61,11 @@
     }
 }
 
-/// How far a call got.
+/// Whether the response to a request that arrived is delivered.
 enum ResponseDelivery {
-    /// The request arrived and its answer will.
+    /// The response is expected to be delivered.
     Expected,
-    /// The request arrived and its answer is lost.
+    /// The response is lost.
     Lost,
 }
 
@@ -76,22 +76,23 @@
 }
 
 impl MemoryStore {
-    /// The same store as seen by another client, which is counted and cut off alone.
+    /// Returns a handle of another client to the same store. Each client has its own call counts
+    /// and partition.
     pub fn client(&self, client: impl Into<ClientId>) -> Self {
         Self { client: client.into(), ..self.clone() }
     }
 
-    /// The same store with another timeout of its calls.
+    /// Returns a handle to the same store with another call timeout.
     pub fn with_timeout(&self, timeout: Duration) -> Self {
         Self { timeout, ..self.clone() }
     }
 
-    /// Sets faults and reads counts.
+    /// Returns the handle that injects faults and reads call counts.
     pub fn faults(&self) -> StoreFaults {
         StoreFaults::new(self.shared.clone())
     }
 
-    /// Counts a call and carries its request to the store.
+    /// Counts a call and simulates the delivery of its request to the store.
     async fn send_request(&self, kind: CallKind) -> Result<ResponseDelivery, CallFailure> {
         let delay = {
             let mut state = self.shared.lock();
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Carries an answer back. Returns false where it is lost.
+    /// Simulates the delivery of a response. Returns false if it is lost.
     async fn deliver_response(&self, delivery: ResponseDelivery) -> bool {
         let (delay, cut_off) = {
             let faults = &self.shared.lock().faults;
@@ -142,7 +143,7 @@
         let result = read(&self.shared.lock());
         match self.deliver_response(delivery).await {
             true => Ok(result),
-            false => Err(StoreError::Unavailable("no answer before the timeout".into())),
+            false => Err(StoreError::Unavailable("no response before the timeout".into())),
         }
     }
 
@@ -155,11 +156,12 @@
         let result = self.shared.change(change);
         match self.deliver_response(delivery).await {
             true => result,
-            false => Err(StoreError::OutcomeUnknown("no answer before the timeout".into())),
+            false => Err(StoreError::OutcomeUnknown("no response before the timeout".into())),
         }
     }
 
-    /// Reads the keys below `prefix`, as of a revision where given.
+    /// Reads the keys with `prefix` at revision `at`. `None` reads the current revision, or the
+    /// older one that stale reads serve.
     pub(crate) async fn list_at(
         &self,
         prefix: &str,
@@ -173,6 +175,7 @@
         }
     }
 
+    /// Commits `transaction` after `delay`, in the background.
     fn commit_late(&self, transaction: Transaction, delay: Duration) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
@@ -186,14 +189,16 @@
     fn into_read_error(self) -> StoreError {
         match self {
             Self::Outage => StoreError::Unavailable("outage".into()),
-            Self::RequestLost => StoreError::Unavailable("no answer before the timeout".into()),
+            Self::RequestLost => StoreError::Unavailable("no response before the timeout".into()),
         }
     }
 
     fn into_write_error(self) -> StoreError {
         match self {
             Self::Outage => StoreError::Unavailable("outage".into()),
-            Self::RequestLost => StoreError::OutcomeUnknown("no answer before the timeout".into()),
+            Self::RequestLost => {
+                StoreError::OutcomeUnknown("no response before the timeout".into())
+            }
         }
     }
 }
@@ -256,7 +261,7 @@
             state.start_watch()
         };
         if !self.deliver_response(delivery).await {
-            return Err(StoreError::Unavailable("no answer before the timeout".into()));
+            return Err(StoreError::Unavailable("no response before the timeout".into()));
         }
         Ok(MemoryWatch { store: self.clone(), prefix: prefix.into(), after, number, changed })
     }
@@ -270,7 +275,7 @@
         let delivery =
             self.send_request(CallKind::Write).await.map_err(CallFailure::into_write_error)?;
         let fault = self.shared.lock().faults.next_write();
-        let unknown = Err(StoreError::OutcomeUnknown("answer lost".into()));
+        let unknown = Err(StoreError::OutcomeUnknown("response lost".into()));
         match fault {
             None => {}
             Some(WriteFault::LostRequest) => return unknown,
@@ -286,7 +291,7 @@
         let result = self.shared.change(|state| state.commit(transaction));
         match self.deliver_response(delivery).await {
             true => result,
-            false => Err(StoreError::OutcomeUnknown("no answer before the timeout".into())),
+            false => Err(StoreError::OutcomeUnknown("no response before the timeout".into())),
         }
     }
 }
@@ -302,7 +307,7 @@
 }
 
 impl MemoryWatch {
-    /// Takes the changes that can be delivered now, and when to look again.
+    /// Takes the changes that can be delivered now. Also returns the time of the next check.
     fn changes(&mut self) -> Result<(Vec<Change>, Instant), StoreError> {
         let state = self.store.shared.lock();
         let deadline = Instant::now() + WATCH_WAIT_MAX;
@@ -318,7 +323,7 @@
         Ok((changes.ok_or(StoreError::Compacted)?, wake_at))
     }
 
-    /// Waits until there may be something to deliver or `deadline` has come.
+    /// Waits for changes until `deadline`, and returns an empty list if there are none.
     pub(crate) async fn next_until(
         &mut self,
         deadline: Instant,
@@ -333,8 +338,8 @@
         }
     }
 
-    /// Revision up to which all changes were delivered; `None` where a fault keeps this watch
-    /// from delivering.
+    /// Returns the revision up to which all changes were delivered, or `None` while a fault
+    /// prevents deliveries.
     pub(crate) fn progress(&self) -> Option<Revision> {
         let state = self.store.shared.lock();
         let cut_off = state.faults.partition(&self.store.client).is_some();
--- a/crates/standin/src/store/tests.rs
+++ b/crates/standin/src/store/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_watch_sees_the_end_of_a_lease() {
+async fn a_watch_reports_the_expiry_of_a_lease() {
     let store = MemoryStore::default();
     let lease = store.grant_lease(Duration::from_secs(5)).await.unwrap();
     let operation = Operation::Put { value: "x".into(), lease: Some(lease) };
