--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -20,8 +20,8 @@
 /// Maximum number of operations in one patch.
 pub const OPERATIONS_MAX: usize = 1_000;
 
-/// Maximum size in bytes of the document while operations are applied. Rejects repeated `copy`
-/// operations before the document grows exponentially.
+/// Maximum size in bytes of the document while operations are applied. Checked after each `copy`
+/// operation, so that repeated copies are rejected early.
 const DOCUMENT_BYTES_MAX: usize = 4 << 20;
 
 /// Fields that the operators' interface sets and a patch must not contain.
