--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,11 +1,11 @@
-//! Checks of settings files and configuration files, with every fault at its line.
+//! Validation of settings files and configuration files; reports each fault with its line.
 
 use serde::de::DeserializeOwned;
 
-use crate::decode::{Decoded, decode, merge_checked};
+use crate::decode::{Decoded, decode, merge_validation_faults};
 use crate::document::Config;
 use crate::error::Faults;
-use crate::node::{Item, Node, locate};
+use crate::node::{Item, Node, assign_lines};
 use crate::raw::RawConfig;
 use crate::settings::{RawSettings, Settings};
 
@@ -18,12 +18,12 @@
     Config,
 }
 
-/// Fields that only a configuration has.
+/// Fields that occur only in a configuration.
 const CONFIG_FIELDS: [&str; 5] = ["version", "zones", "services", "pools", "teams"];
 
-/// Checks the text of a settings file or a configuration file and says which it is.
+/// Validates the text of a settings file or a configuration file and returns its kind.
 ///
-/// The kind is the one whose fields stand in the file.
+/// The kind is determined from the top-level fields of the file.
 pub fn check_file(text: &str) -> (FileKind, Result<(), Faults>) {
     let item = match Item::from_yaml(text) {
         Ok(item) => item,
@@ -44,7 +44,7 @@
     if count == 0 && !entries.is_empty() { FileKind::Settings } else { FileKind::Config }
 }
 
-/// Reads a checked value from YAML text and reports every fault with its line.
+/// Deserializes and validates a value from YAML text. Reports each fault with its line.
 pub fn from_yaml<R, T>(text: &str) -> Result<T, Faults>
 where
     R: DeserializeOwned,
@@ -53,7 +53,7 @@
     check_item::<R, T>(&Item::from_yaml(text)?)
 }
 
-/// Reads a checked value from a JSON document and reports every fault with its path.
+/// Deserializes and validates a value from a JSON document. Reports each fault with its path.
 pub fn from_json<R, T>(value: &serde_json::Value) -> Result<T, Faults>
 where
     R: DeserializeOwned,
@@ -69,17 +69,19 @@
 {
     if !matches!(item.node, Node::Map(_)) {
         let mut faults = Faults::one("", "must be a mapping");
-        locate(&mut faults, &item.lines());
+        assign_lines(&mut faults, &item.lines());
         return Err(faults);
     }
-    let Decoded { value, mut faults, spoiled } = decode::<R>(item);
+    let Decoded { value, mut faults, placeholder_paths } = decode::<R>(item);
     let mut checked = None;
     match value.map(T::try_from) {
         Some(Ok(value)) => checked = Some(value),
-        Some(Err(found)) => merge_checked(&mut faults, &spoiled, found),
+        Some(Err(validation_faults)) => {
+            merge_validation_faults(&mut faults, &placeholder_paths, validation_faults)
+        }
         None => {}
     }
-    locate(&mut faults, &item.lines());
+    assign_lines(&mut faults, &item.lines());
     match checked {
         Some(value) if faults.is_empty() => Ok(value),
         _ => Err(faults),
@@ -87,14 +89,14 @@
 }
 
 impl Config {
-    /// Reads a configuration from YAML text.
+    /// Deserializes and validates a configuration from YAML text.
     pub fn from_yaml(text: &str) -> Result<Self, Faults> {
         from_yaml::<RawConfig, Self>(text)
     }
 }
 
 impl Settings {
-    /// Reads settings from YAML text.
+    /// Deserializes and validates settings from YAML text.
     pub fn from_yaml(text: &str) -> Result<Self, Faults> {
         from_yaml::<RawSettings, Self>(text)
     }
--- a/crates/config/src/decode.rs
+++ b/crates/config/src/decode.rs
@@ -1,8 +1,8 @@
-//! Reads typed values from an untyped tree and notes every fault on the way.
+//! Deserializes typed values from an untyped tree and collects all faults.
 //!
-//! A value of the wrong type is noted and a stand-in of the right type takes its place, so that
-//! reading goes on. Faults that serde itself finds (a missing field, text that a type refuses) end
-//! a pass; the next pass puts a stand-in at that path.
+//! A value of the wrong type is recorded as a fault and replaced by a placeholder of the expected
+//! type, so that deserialization continues. An error that serde reports itself (a missing field,
+//! text that a type rejects) ends the pass; the next pass uses a placeholder at that path.
 
 mod access;
 mod reader;
@@ -17,77 +17,86 @@
 use crate::error::Faults;
 use crate::node::{Item, key_path, parent_path};
 
-/// Passes after which the remaining faults are not looked for.
+/// Maximum number of passes over one document, and so of faults that each end a pass.
 const PASSES_MAX: usize = 1_000;
 
-/// A value read from a tree, with the faults found in the tree.
+/// A deserialized value and the faults found in its tree.
 #[derive(Debug)]
 pub struct Decoded<T> {
-    /// The value; faulty parts of it are stand-ins. `None` when nothing could be read.
+    /// The value, with placeholders for its faulty parts. `None` if deserialization failed.
     pub value: Option<T>,
-    /// Every fault found.
+    /// All faults found.
     pub faults: Faults,
-    /// Paths of the stand-ins.
-    pub spoiled: BTreeSet<String>,
+    /// Paths of the placeholders.
+    pub placeholder_paths: BTreeSet<String>,
 }
 
-/// Reads a value from `item`.
+/// Deserializes a value from `item`.
 pub fn decode<T: DeserializeOwned>(item: &Item) -> Decoded<T> {
-    let mut ended = Faults::default();
-    let mut standins = BTreeSet::new();
+    let mut serde_faults = Faults::default();
+    let mut failed_paths = BTreeSet::new();
     for _ in 0..PASSES_MAX {
-        let sink = Sink {
+        let state = PassState {
             faults: RefCell::default(),
-            spoiled: RefCell::new(standins.clone()),
-            standins: &standins,
+            placeholder_paths: RefCell::new(failed_paths.clone()),
+            failed_paths: &failed_paths,
         };
-        let result = T::deserialize(Reader { item: Some(item), path: String::new(), sink: &sink });
-        let mut faults = sink.faults.into_inner();
-        let spoiled = sink.spoiled.into_inner();
-        faults.list.extend(ended.list.iter().cloned());
+        let result =
+            T::deserialize(Reader { item: Some(item), path: String::new(), state: &state });
+        let mut faults = state.faults.into_inner();
+        let placeholder_paths = state.placeholder_paths.into_inner();
+        faults.list.extend(serde_faults.list.iter().cloned());
         let error = match result {
-            Ok(value) => return Decoded { value: Some(value), faults, spoiled },
+            Ok(value) => return Decoded { value: Some(value), faults, placeholder_paths },
             Err(error) => error,
         };
         let path = error.path.unwrap_or_default();
-        ended.push(path.clone(), error.message);
-        if !standins.insert(path) {
-            return Decoded { value: None, faults: ended, spoiled };
+        serde_faults.push(path.clone(), error.message);
+        if !failed_paths.insert(path) {
+            return Decoded { value: None, faults: serde_faults, placeholder_paths };
         }
     }
-    ended.push("", format!("more than {PASSES_MAX} faults; the rest was not looked for"));
-    Decoded { value: None, faults: ended, spoiled: standins }
+    serde_faults.push("", format!("more than {PASSES_MAX} faults; the rest was not looked for"));
+    Decoded { value: None, faults: serde_faults, placeholder_paths: failed_paths }
 }
 
-/// Adds the faults that `checked` found, less those that follow from stand-ins.
-pub fn merge_checked(read: &mut Faults, spoiled: &BTreeSet<String>, checked: Faults) {
-    let is_spoiled = |path: &str| spoiled.iter().any(|other| within(path, other));
-    let sound = checked.list.into_iter().filter(|fault| {
-        let related = fault.related.as_deref().is_some_and(is_spoiled);
-        !related && !is_spoiled(&fault.path)
+/// Adds the validation faults in `checked`, except those at or related to placeholders, which
+/// follow from a fault that is already reported.
+pub fn merge_validation_faults(
+    read: &mut Faults,
+    placeholder_paths: &BTreeSet<String>,
+    checked: Faults,
+) {
+    let is_placeholder = |path: &str| placeholder_paths.iter().any(|other| is_within(path, other));
+    let independent = checked.list.into_iter().filter(|fault| {
+        let related = fault.related.as_deref().is_some_and(is_placeholder);
+        !related && !is_placeholder(&fault.path)
     });
-    read.list.extend(sound);
+    read.list.extend(independent);
 }
 
-fn within(path: &str, outer: &str) -> bool {
-    let mut place = Some(path);
-    while let Some(path) = place {
+/// Returns whether `path` is `outer` or below it.
+fn is_within(path: &str, outer: &str) -> bool {
+    let mut ancestor = Some(path);
+    while let Some(path) = ancestor {
         if path == outer {
             return true;
         }
-        place = parent_path(path);
+        ancestor = parent_path(path);
     }
     false
 }
 
-struct Sink<'a> {
+/// State of one pass over a document.
+struct PassState<'a> {
     faults: RefCell<Faults>,
-    spoiled: RefCell<BTreeSet<String>>,
-    standins: &'a BTreeSet<String>,
+    placeholder_paths: RefCell<BTreeSet<String>>,
+    /// Paths at which an earlier pass ended; this pass uses placeholders there.
+    failed_paths: &'a BTreeSet<String>,
 }
 
-impl Sink<'_> {
-    fn note(&self, path: &str, message: impl Into<String>) {
+impl PassState<'_> {
+    fn push_fault(&self, path: &str, message: impl Into<String>) {
         self.faults.borrow_mut().push(path, message);
     }
 }
--- a/crates/dispatch/tests/support/faults.rs
+++ b/crates/dispatch/tests/support/faults.rs
@@ -115,7 +115,7 @@
     case("late", FaultScenario::First(Fault::Slow(LATE_RUN_TIME)), (1, TIMEOUT), (2, WHOLE)),
     case(
         "crossed id",
-        FaultScenario::First(Fault::CrossedId),
+        FaultScenario::First(Fault::WrongRequestId),
         (1, "502, code 315, outcome unknown"),
         (2, WHOLE),
     ),
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP server whose connections end with it.
+//! HTTP server that closes its connections when it stops.
 
 use std::net::SocketAddr;
 
@@ -14,27 +14,27 @@
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
-    accepting: AbortOnDropHandle<()>,
+    accept_task: AbortOnDropHandle<()>,
 }
 
 impl Server {
-    /// Serves `router` at an address.
+    /// Starts serving `router` at `address`.
     pub async fn start(address: SocketAddr, router: Router) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let accepting = AbortOnDropHandle::new(tokio::spawn(accept(listener, router)));
-        Ok(Self { address, accepting })
+        let accept_task = AbortOnDropHandle::new(tokio::spawn(accept(listener, router)));
+        Ok(Self { address, accept_task })
     }
 
-    /// Address at which it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Stops listening and closes all connections.
     pub async fn close(self) {
-        self.accepting.abort();
-        let _ = self.accepting.await;
+        self.accept_task.abort();
+        let _ = self.accept_task.await;
     }
 }
 
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -15,14 +15,14 @@
 use crate::faults::{ClientId, Partition, StoreFaults, WriteFault};
 use crate::state::{State, WatchNumber};
 
-/// Client of a store that was not given a name.
+/// Client id of a store handle that was given none.
 const DEFAULT_CLIENT: &str = "default";
-/// Timeout of a call by default.
+/// Default timeout of a call.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a waiting watch sleeps at most.
+/// Maximum time for which a watch waits before it checks for changes again.
 const WATCH_WAIT_MAX: Duration = Duration::from_secs(60);
 
-/// In-memory key-value service. Clones share one state; each belongs to one client.
+/// Handle of one client to an in-memory key-value service. Clones share one state.
 #[derive(Debug, Clone)]
 pub struct MemoryStore {
     shared: Arc<Shared>,
@@ -39,17 +39,17 @@
 impl Shared {
     pub(crate) fn lock(&self) -> MutexGuard<'_, State> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.expire();
+        state.remove_expired_leases();
         state
     }
 
-    pub(crate) fn publish(&self) {
+    pub(crate) fn notify_watches(&self) {
         self.changed.send_replace(());
     }
 
     fn change<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let result = change(&mut self.lock());
-        self.publish();
+        self.notify_watches();
         result
     }
 }
@@ -61,38 +61,39 @@
     }
 }
 
-/// How far a call got.
-enum Passage {
-    /// The request arrived and its answer will.
-    Open,
-    /// The request arrived and its answer is lost.
-    AnswerLost,
+/// Whether the response to a request that arrived is delivered.
+enum ResponseDelivery {
+    /// The response is expected to be delivered.
+    Expected,
+    /// The response is lost.
+    Lost,
 }
 
 /// Why a call fails before its effect.
-enum Refusal {
+enum CallFailure {
     Outage,
     RequestLost,
 }
 
 impl MemoryStore {
-    /// The same store as seen by another client, which is counted and cut off alone.
+    /// Returns a handle of another client to the same store. Each client has its own call counts
+    /// and partition.
     pub fn client(&self, client: impl Into<ClientId>) -> Self {
         Self { client: client.into(), ..self.clone() }
     }
 
-    /// The same store with another timeout of its calls.
+    /// Returns a handle to the same store with another call timeout.
     pub fn with_timeout(&self, timeout: Duration) -> Self {
         Self { timeout, ..self.clone() }
     }
 
-    /// Sets faults and reads counts.
+    /// Returns the handle that injects faults and reads call counts.
     pub fn faults(&self) -> StoreFaults {
         StoreFaults::new(self.shared.clone())
     }
 
-    /// Counts a call and carries its request to the store.
-    async fn request(&self, kind: CallKind) -> Result<Passage, Refusal> {
+    /// Counts a call and simulates the delivery of its request to the store.
+    async fn send_request(&self, kind: CallKind) -> Result<ResponseDelivery, CallFailure> {
         let delay = {
             let mut state = self.shared.lock();
             state.counts.entry(self.client.clone()).or_default().add(kind);
@@ -100,9 +101,9 @@
         };
         if delay >= self.timeout {
             sleep(self.timeout).await;
-            return Err(Refusal::RequestLost);
+            return Err(CallFailure::RequestLost);
         }
-        sleep_some(delay).await;
+        sleep_if_nonzero(delay).await;
         let (outage, partition) = {
             let state = self.shared.lock();
             (state.faults.outage, state.faults.partition(&self.client))
@@ -110,26 +111,26 @@
         match partition {
             Some(Partition::Requests) => {
                 sleep(self.timeout - delay).await;
-                Err(Refusal::RequestLost)
+                Err(CallFailure::RequestLost)
             }
-            _ if outage => Err(Refusal::Outage),
-            Some(Partition::Answers) => Ok(Passage::AnswerLost),
-            None => Ok(Passage::Open),
+            _ if outage => Err(CallFailure::Outage),
+            Some(Partition::Answers) => Ok(ResponseDelivery::Lost),
+            None => Ok(ResponseDelivery::Expected),
         }
     }
 
-    /// Carries an answer back. Returns false where it is lost.
-    async fn answer(&self, passage: Passage) -> bool {
+    /// Simulates the delivery of a response. Returns false if it is lost.
+    async fn deliver_response(&self, delivery: ResponseDelivery) -> bool {
         let (delay, cut_off) = {
             let faults = &self.shared.lock().faults;
             (faults.delay / 2, faults.partition(&self.client) == Some(Partition::Answers))
         };
-        let lost = cut_off || matches!(passage, Passage::AnswerLost);
+        let lost = cut_off || matches!(delivery, ResponseDelivery::Lost);
         if lost || delay * 2 >= self.timeout {
             sleep(self.timeout.saturating_sub(delay)).await;
             return false;
         }
-        sleep_some(delay).await;
+        sleep_if_nonzero(delay).await;
         true
     }
 
@@ -138,28 +139,29 @@
         kind: CallKind,
         read: impl FnOnce(&State) -> T + Send,
     ) -> Result<T, StoreError> {
-        let passage = self.request(kind).await.map_err(Refusal::of_read)?;
+        let delivery = self.send_request(kind).await.map_err(CallFailure::into_read_error)?;
         let result = read(&self.shared.lock());
-        match self.answer(passage).await {
+        match self.deliver_response(delivery).await {
             true => Ok(result),
-            false => Err(StoreError::Unavailable("no answer before the timeout".into())),
+            false => Err(StoreError::Unavailable("no response before the timeout".into())),
         }
     }
 
-    async fn call<T: Send>(
+    async fn update<T: Send>(
         &self,
         kind: CallKind,
         change: impl FnOnce(&mut State) -> Result<T, StoreError> + Send,
     ) -> Result<T, StoreError> {
-        let passage = self.request(kind).await.map_err(Refusal::of_write)?;
+        let delivery = self.send_request(kind).await.map_err(CallFailure::into_write_error)?;
         let result = self.shared.change(change);
-        match self.answer(passage).await {
+        match self.deliver_response(delivery).await {
             true => result,
-            false => Err(StoreError::OutcomeUnknown("no answer before the timeout".into())),
+            false => Err(StoreError::OutcomeUnknown("no response before the timeout".into())),
         }
     }
 
-    /// Reads the keys below `prefix`, as of a revision where given.
+    /// Reads the keys with `prefix` at revision `at`. `None` reads the current revision, or the
+    /// older one that stale reads serve.
     pub(crate) async fn list_at(
         &self,
         prefix: &str,
@@ -173,6 +175,7 @@
         }
     }
 
+    /// Commits `transaction` after `delay`, in the background.
     fn commit_late(&self, transaction: Transaction, delay: Duration) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
@@ -182,23 +185,25 @@
     }
 }
 
-impl Refusal {
-    fn of_read(self) -> StoreError {
+impl CallFailure {
+    fn into_read_error(self) -> StoreError {
         match self {
             Self::Outage => StoreError::Unavailable("outage".into()),
-            Self::RequestLost => StoreError::Unavailable("no answer before the timeout".into()),
+            Self::RequestLost => StoreError::Unavailable("no response before the timeout".into()),
         }
     }
 
-    fn of_write(self) -> StoreError {
+    fn into_write_error(self) -> StoreError {
         match self {
             Self::Outage => StoreError::Unavailable("outage".into()),
-            Self::RequestLost => StoreError::OutcomeUnknown("no answer before the timeout".into()),
+            Self::RequestLost => {
+                StoreError::OutcomeUnknown("no response before the timeout".into())
+            }
         }
     }
 }
 
-async fn sleep_some(delay: Duration) {
+async fn sleep_if_nonzero(delay: Duration) {
     if !delay.is_zero() {
         sleep(delay).await;
     }
@@ -235,27 +240,28 @@
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
-        self.call(CallKind::GrantLease, |state| Ok(state.grant(ttl))).await
+        self.update(CallKind::GrantLease, |state| Ok(state.grant(ttl))).await
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<Duration, StoreError> {
-        self.call(CallKind::KeepAlive, |state| state.keep_alive(lease)).await
+        self.update(CallKind::KeepAlive, |state| state.keep_alive(lease)).await
     }
 
     async fn revoke_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
-        self.call(CallKind::RevokeLease, |state| state.revoke(lease)).await
+        self.update(CallKind::RevokeLease, |state| state.revoke(lease)).await
     }
 
     async fn watch(&self, prefix: &str, after: Revision) -> Result<MemoryWatch, StoreError> {
-        let passage = self.request(CallKind::Watch).await.map_err(Refusal::of_read)?;
+        let delivery =
+            self.send_request(CallKind::Watch).await.map_err(CallFailure::into_read_error)?;
         let changed = self.shared.changed.subscribe();
         let number = {
             let mut state = self.shared.lock();
             state.keys.changes(prefix, after).ok_or(StoreError::Compacted)?;
             state.start_watch()
         };
-        if !self.answer(passage).await {
-            return Err(StoreError::Unavailable("no answer before the timeout".into()));
+        if !self.deliver_response(delivery).await {
+            return Err(StoreError::Unavailable("no response before the timeout".into()));
         }
         Ok(MemoryWatch { store: self.clone(), prefix: prefix.into(), after, number, changed })
     }
@@ -266,9 +272,10 @@
         for effect in &transaction.effects {
             check_size(&effect.operation)?;
         }
-        let passage = self.request(CallKind::Write).await.map_err(Refusal::of_write)?;
+        let delivery =
+            self.send_request(CallKind::Write).await.map_err(CallFailure::into_write_error)?;
         let fault = self.shared.lock().faults.next_write();
-        let unknown = Err(StoreError::OutcomeUnknown("answer lost".into()));
+        let unknown = Err(StoreError::OutcomeUnknown("response lost".into()));
         match fault {
             None => {}
             Some(WriteFault::LostRequest) => return unknown,
@@ -282,9 +289,9 @@
             }
         }
         let result = self.shared.change(|state| state.commit(transaction));
-        match self.answer(passage).await {
+        match self.deliver_response(delivery).await {
             true => result,
-            false => Err(StoreError::OutcomeUnknown("no answer before the timeout".into())),
+            false => Err(StoreError::OutcomeUnknown("no response before the timeout".into())),
         }
     }
 }
@@ -300,36 +307,39 @@
 }
 
 impl MemoryWatch {
-    /// Takes the changes that can be delivered now, and when to look again.
+    /// Takes the changes that can be delivered now. Also returns the time of the next check.
     fn changes(&mut self) -> Result<(Vec<Change>, Instant), StoreError> {
         let state = self.store.shared.lock();
-        let latest = Instant::now() + WATCH_WAIT_MAX;
-        let wake = state.next_expiry().unwrap_or(latest).min(latest);
+        let deadline = Instant::now() + WATCH_WAIT_MAX;
+        let wake_at = state.next_expiry().unwrap_or(deadline).min(deadline);
         if state.is_silent(self.number) || state.faults.partition(&self.store.client).is_some() {
-            return Ok((Vec::new(), wake));
+            return Ok((Vec::new(), wake_at));
         }
         if state.is_ended(self.number) {
             return Err(StoreError::Unavailable("watch ended".into()));
         }
         let changes = state.keys.changes(&self.prefix, self.after);
         self.after = state.keys.revision();
-        Ok((changes.ok_or(StoreError::Compacted)?, wake))
+        Ok((changes.ok_or(StoreError::Compacted)?, wake_at))
     }
 
-    /// Waits until there may be something to deliver or `latest` has come.
-    pub(crate) async fn next_before(&mut self, latest: Instant) -> Result<Vec<Change>, StoreError> {
+    /// Waits for changes until `deadline`, and returns an empty list if there are none.
+    pub(crate) async fn next_until(
+        &mut self,
+        deadline: Instant,
+    ) -> Result<Vec<Change>, StoreError> {
         loop {
             self.changed.mark_unchanged();
-            let (changes, wake) = self.changes()?;
-            if !changes.is_empty() || Instant::now() >= latest {
+            let (changes, wake_at) = self.changes()?;
+            if !changes.is_empty() || Instant::now() >= deadline {
                 return Ok(changes);
             }
-            let _ = timeout_at(wake.min(latest), self.changed.changed()).await;
+            let _ = timeout_at(wake_at.min(deadline), self.changed.changed()).await;
         }
     }
 
-    /// Revision up to which all changes were delivered; `None` where a fault keeps this watch
-    /// from delivering.
+    /// Returns the revision up to which all changes were delivered, or `None` while a fault
+    /// prevents deliveries.
     pub(crate) fn progress(&self) -> Option<Revision> {
         let state = self.store.shared.lock();
         let cut_off = state.faults.partition(&self.store.client).is_some();
@@ -340,8 +350,8 @@
 impl Watch for MemoryWatch {
     async fn next(&mut self) -> Result<Vec<Change>, StoreError> {
         loop {
-            let latest = Instant::now() + WATCH_WAIT_MAX;
-            let changes = self.next_before(latest).await?;
+            let deadline = Instant::now() + WATCH_WAIT_MAX;
+            let changes = self.next_until(deadline).await?;
             if !changes.is_empty() {
                 return Ok(changes);
             }
