--- a/crates/cassiafold/examples/daemon.rs
+++ b/crates/cassiafold/examples/daemon.rs
@@ -17,11 +17,11 @@
 use cassiafold_standin::{Platform, PlatformAddresses};
 use serde_json::{Value, json};
 
-const ENTRIES: usize = 8;
-const ZONES: usize = 8;
-const POOLS: usize = 44;
-const SETTLE: Duration = Duration::from_secs(15);
-const MEASURE: Duration = Duration::from_secs(20);
+const ENTRY_COUNT: usize = 8;
+const ZONE_COUNT: usize = 8;
+const POOL_COUNT: usize = 44;
+const WARM_UP: Duration = Duration::from_secs(15);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(20);
 /// Processor clock ticks in a second, as `/proc` counts them.
 const TICKS_PER_S: f64 = 100.0;
 const PORT_FIRST: u16 = 30_000;
@@ -45,17 +45,17 @@
 }
 
 fn zone(index: usize) -> String {
-    format!("zone-{}", index % ZONES)
+    format!("zone-{}", index % ZONE_COUNT)
 }
 
 fn config(teams: usize) -> Value {
-    let zones = (0..ZONES).map(|index| {
-        let region = if index < ZONES / 2 { "east" } else { "west" };
+    let zones = (0..ZONE_COUNT).map(|index| {
+        let region = if index < ZONE_COUNT / 2 { "east" } else { "west" };
         (zone(index), json!({ "region": region }))
     });
-    let services = (1..POOLS).map(|index| (format!("s{index}"), json!({ "floor_share": 0.75 })));
+    let services = (1..POOL_COUNT).map(|index| (format!("s{index}"), json!({ "floor_share": 0.75 })));
     let pools =
-        (1..POOLS).map(|index| (format!("p{index}"), json!({ "service": format!("s{index}") })));
+        (1..POOL_COUNT).map(|index| (format!("p{index}"), json!({ "service": format!("s{index}") })));
     let spare = std::iter::once(("spare".to_owned(), json!({})));
     let teams = (0..teams).map(|index| {
         let hash = KeyHash::of(&format!("key-{index}")).to_hex();
@@ -74,10 +74,10 @@
 fn list_instances(platform: &Platform, count: usize) {
     for index in 0..count {
         platform.instances.put(ListedInstance {
-            id: format!("p{}-{index}", 1 + index % (POOLS - 1)).into(),
+            id: format!("p{}-{index}", 1 + index % (POOL_COUNT - 1)).into(),
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, 9)),
             zone: zone(index).into(),
-            rack: format!("rack-{}", index / (4 * ZONES)).into(),
+            rack: format!("rack-{}", index / (4 * ZONE_COUNT)).into(),
             state: InstanceState::Live,
         });
     }
@@ -150,18 +150,18 @@
     let write = Write::put(CURRENT_KEY, Compare::Absent, config(teams).to_string());
     platform.store.write(write).await?;
     let mut next_port = PORT_FIRST;
-    let started: Result<Vec<Entry>> = (0..ENTRIES)
+    let started: Result<Vec<Entry>> = (0..ENTRY_COUNT)
         .map(|index| start_entry(platform.addresses(), index, directory, &mut next_port))
         .collect();
     let entries = started?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(WARM_UP).await;
     let calls = |id: &str| platform.store.faults().counts(id).total();
     let mut before = Vec::new();
     for entry in &entries {
         before.push((usage(entry.child.id())?, calls(&entry.id)));
     }
-    tokio::time::sleep(MEASURE).await;
-    let seconds = MEASURE.as_secs_f64();
+    tokio::time::sleep(MEASUREMENT_TIME).await;
+    let seconds = MEASUREMENT_TIME.as_secs_f64();
     let start_calls: Vec<f64> = before.iter().map(|(_, calls)| *calls as f64).collect();
     let (mut cores, mut memory, mut rates) = (Vec::new(), Vec::new(), Vec::new());
     for (entry, ((time_s, _), calls_before)) in entries.iter().zip(before) {
@@ -172,13 +172,13 @@
     }
     let line = json!({
         "measure": "daemon",
-        "entries": ENTRIES,
+        "entries": ENTRY_COUNT,
         "instances": instances,
         "teams": teams,
-        "core_share": spread(&cores),
-        "resident_bytes": spread(&memory),
-        "store_calls_per_s": spread(&rates),
-        "store_calls_in_first_15_s": spread(&start_calls),
+        "core_share": mean_and_max(&cores),
+        "resident_bytes": mean_and_max(&memory),
+        "store_calls_per_s": mean_and_max(&rates),
+        "store_calls_in_first_15_s": mean_and_max(&start_calls),
     });
     println!("{line}");
     drop(entries);
@@ -186,7 +186,7 @@
     Ok(())
 }
 
-fn spread(values: &[f64]) -> Value {
+fn mean_and_max(values: &[f64]) -> Value {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     let max = values.iter().copied().fold(0.0, f64::max);
     json!({ "mean": mean, "max": max })
--- a/crates/cassiafold/examples/fit.rs
+++ b/crates/cassiafold/examples/fit.rs
@@ -60,7 +60,7 @@
     ),
 ];
 
-fn at<'a>(value: &'a Value, path: &str) -> Option<&'a Value> {
+fn field_at<'a>(value: &'a Value, path: &str) -> Option<&'a Value> {
     path.split('.').try_fold(value, |value, field| value.get(field))
 }
 
@@ -68,11 +68,11 @@
     let mut points = BTreeMap::new();
     for line in lines.iter().filter(|line| line["command"] == series.command) {
         let result = &line["result"];
-        let chosen = series.matches.iter().all(|(field, wanted)| {
-            at(result, field).is_some_and(|value| value.as_f64() == Some(*wanted))
+        let is_match = series.matches.iter().all(|(field, wanted)| {
+            field_at(result, field).is_some_and(|value| value.as_f64() == Some(*wanted))
         });
-        let pair = (at(result, series.x), at(result, series.y));
-        if let (true, (Some(x), Some(y))) = (chosen, pair)
+        let pair = (field_at(result, series.x), field_at(result, series.y));
+        if let (true, (Some(x), Some(y))) = (is_match, pair)
             && let (Some(x), Some(y)) = (x.as_u64(), y.as_f64())
         {
             points.entry(x).or_insert(y);
--- a/crates/cassiafold/src/check.rs
+++ b/crates/cassiafold/src/check.rs
@@ -12,7 +12,7 @@
 
 /// Verdict on one file.
 #[derive(Debug, Serialize)]
-struct Verdict {
+struct CheckResult {
     file: String,
     kind: &'static str,
     faults: Faults,
@@ -20,17 +20,17 @@
 
 /// Checks each file, prints every fault, and fails when there is one.
 pub fn run(options: &CheckOptions) -> Result<ExitCode> {
-    let verdicts: Vec<Verdict> =
+    let results: Vec<CheckResult> =
         options.files.iter().map(|path| check(path)).collect::<Result<_>>()?;
     match options.output {
-        Output::Text => verdicts.iter().for_each(print_verdict),
-        Output::Json => print_json(&verdicts)?,
+        Output::Text => results.iter().for_each(print_result),
+        Output::Json => print_json(&results)?,
     }
-    let sound = verdicts.iter().all(|verdict| verdict.faults.is_empty());
+    let sound = results.iter().all(|result| result.faults.is_empty());
     if sound { Ok(ExitCode::SUCCESS) } else { Ok(Error::Faults(Faults::default()).exit_code()) }
 }
 
-fn check(path: &Path) -> Result<Verdict> {
+fn check(path: &Path) -> Result<CheckResult> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| Error::ReadFile { path: path.to_owned(), source })?;
     let (kind, result) = check_file(&text);
@@ -39,15 +39,15 @@
         FileKind::Config => "configuration",
     };
     let faults = result.err().unwrap_or_default();
-    Ok(Verdict { file: path.display().to_string(), kind, faults })
+    Ok(CheckResult { file: path.display().to_string(), kind, faults })
 }
 
-fn print_verdict(verdict: &Verdict) {
-    let file = &verdict.file;
-    if verdict.faults.is_empty() {
-        println!("{file}: {} without faults", verdict.kind);
+fn print_result(result: &CheckResult) {
+    let file = &result.file;
+    if result.faults.is_empty() {
+        println!("{file}: {} without faults", result.kind);
     }
-    for fault in &verdict.faults.list {
+    for fault in &result.faults.list {
         let line = fault.line.map(|line| format!("{line}: ")).unwrap_or_default();
         let path = if fault.path.is_empty() { "" } else { &format!("{}: ", fault.path) };
         println!("{file}:{line}{path}{}", fault.message);
--- a/crates/cassiafold/src/cli.rs
+++ b/crates/cassiafold/src/cli.rs
@@ -1,6 +1,6 @@
 //! Definition of the command line.
 
-mod verbs;
+mod operator_commands;
 
 use std::path::PathBuf;
 
@@ -27,7 +27,7 @@
         .subcommand(check())
         .subcommand(credential())
         .subcommand(completions())
-        .subcommands(verbs::all())
+        .subcommands(operator_commands::all())
         .after_help(exit_codes())
 }
 
--- a/crates/cassiafold/src/cli/verbs.rs
+++ b/crates/cassiafold/src/cli/operator_commands.rs
@@ -7,8 +7,8 @@
 
 /// Every verb that speaks to the operators' interface of an entry instance.
 pub fn all() -> Vec<Command> {
-    let verbs = vec![status(), config(), key(), zone(), pool(), wave(), explain(), report()];
-    verbs.into_iter().map(|verb| verb.args(connection())).collect()
+    let commands = vec![status(), config(), key(), zone(), pool(), wave(), explain(), report()];
+    commands.into_iter().map(|command| command.args(connection())).collect()
 }
 
 fn connection() -> [Arg; 4] {
@@ -44,7 +44,7 @@
     ]
 }
 
-fn verb(name: &'static str, about: &'static str) -> Command {
+fn command_group(name: &'static str, about: &'static str) -> Command {
     Command::new(name).about(about).subcommand_required(true).arg_required_else_help(true)
 }
 
@@ -66,7 +66,7 @@
 }
 
 fn config() -> Command {
-    verb("config", "Reads and patches the configuration")
+    command_group("config", "Reads and patches the configuration")
         .subcommand(Command::new("get").about("Prints the newest configuration"))
         .subcommand(
             Command::new("patch")
@@ -104,7 +104,7 @@
 
 fn key() -> Command {
     let team = || Arg::new("team").long("team").help("Team of the key").required(true);
-    verb("key", "Grants and withdraws keys of teams")
+    command_group("key", "Grants and withdraws keys of teams")
         .subcommand(Command::new("grant").about("Makes a key and shows it once").arg(team()))
         .subcommand(
             Command::new("withdraw")
@@ -134,7 +134,7 @@
 }
 
 fn zone() -> Command {
-    verb("zone", "Takes availability zones out and brings them back")
+    command_group("zone", "Takes availability zones out and brings them back")
         .subcommand(
             Command::new("out").about("Takes a zone out").arg(name("zone", "Availability zone")),
         )
@@ -144,7 +144,7 @@
 }
 
 fn pool() -> Command {
-    verb("pool", "Shows pools and moves instances between them")
+    command_group("pool", "Shows pools and moves instances between them")
         .subcommand(Command::new("list").about("Shows pools with their instances"))
         .subcommand(
             Command::new("move")
@@ -169,7 +169,7 @@
 
 fn wave() -> Command {
     let wave = || name("wave", "Maintenance wave");
-    verb("wave", "Starts, pauses and shows maintenance waves")
+    command_group("wave", "Starts, pauses and shows maintenance waves")
         .subcommand(Command::new("start").about("Lets a wave begin now").arg(wave()))
         .subcommand(Command::new("pause").about("Starts no further step of a wave").arg(wave()))
         .subcommand(Command::new("resume").about("Lets a paused wave go on").arg(wave()))
--- a/crates/cassiafold/src/client.rs
+++ b/crates/cassiafold/src/client.rs
@@ -37,7 +37,7 @@
 
 /// One request. A repeat at another entry instance finds the first by the write id.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct ApiRequest {
     method: Method,
     path: String,
     write_id: String,
@@ -46,7 +46,7 @@
     body: Bytes,
 }
 
-impl Call {
+impl ApiRequest {
     /// A request without a body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
@@ -92,102 +92,104 @@
 }
 
 /// How one try of a request failed.
-enum Failure {
+enum AttemptError {
     /// Nothing was sent.
     NotSent(String),
     /// The answer was lost.
-    AnswerLost(String),
+    ResponseLost(String),
     /// The entry instance refused.
     Refused(Box<WireProblem>),
 }
 
 impl Client {
     /// Sends a request and reads its answer.
-    pub async fn call<T: DeserializeOwned>(&self, call: &Call) -> Result<T> {
-        let bytes = self.send(call).await?;
+    pub async fn send<T: DeserializeOwned>(&self, api_request: &ApiRequest) -> Result<T> {
+        let bytes = self.send_in_turn(api_request).await?;
         Ok(serde_json::from_slice(&bytes)?)
     }
 
-    async fn send(&self, call: &Call) -> Result<Bytes> {
+    async fn send_in_turn(&self, api_request: &ApiRequest) -> Result<Bytes> {
         let credential = self.credential()?;
-        let mut lost = false;
-        let mut last = Error::Unreachable("no address of an entry instance is given".into());
+        let mut response_lost = false;
+        let mut last_error = Error::Unreachable("no address of an entry instance is given".into());
         for address in &self.addresses {
-            let attempt = timeout(self.timeout, self.attempt(*address, &credential, call)).await;
-            let late = || Err(Failure::AnswerLost("no answer in time".into()));
-            match attempt.unwrap_or_else(|_| late()) {
+            let attempt =
+                timeout(self.timeout, self.attempt(*address, &credential, api_request)).await;
+            let timed_out = || Err(AttemptError::ResponseLost("no answer in time".into()));
+            match attempt.unwrap_or_else(|_| timed_out()) {
                 Ok(bytes) => return Ok(bytes),
-                Err(Failure::NotSent(reason)) => {
-                    last = Error::Unreachable(format!("{address}: {reason}"));
+                Err(AttemptError::NotSent(reason)) => {
+                    last_error = Error::Unreachable(format!("{address}: {reason}"));
                 }
-                Err(Failure::AnswerLost(reason)) => {
-                    lost = true;
-                    last = Error::Unreachable(format!("{address}: {reason}"));
+                Err(AttemptError::ResponseLost(reason)) => {
+                    response_lost = true;
+                    last_error = Error::Unreachable(format!("{address}: {reason}"));
                 }
-                Err(Failure::Refused(problem)) if is_final(&problem, lost) => {
+                Err(AttemptError::Refused(problem)) if is_conclusive(&problem, response_lost) => {
                     return Err(Error::Refused(problem));
                 }
-                Err(Failure::Refused(problem)) => {
-                    lost |= problem.status == StatusCode::GATEWAY_TIMEOUT;
-                    last = Error::Refused(problem);
+                Err(AttemptError::Refused(problem)) => {
+                    response_lost |= problem.status == StatusCode::GATEWAY_TIMEOUT;
+                    last_error = Error::Refused(problem);
                 }
             }
         }
-        if lost && call.method != Method::GET {
-            let (write_id, reason) = (call.write_id.clone(), last.to_string());
+        if response_lost && api_request.method != Method::GET {
+            let (write_id, reason) = (api_request.write_id.clone(), last_error.to_string());
             return Err(Error::OutcomeUnknown { write_id, reason });
         }
-        Err(last)
+        Err(last_error)
     }
 
     async fn attempt(
         &self,
         address: SocketAddr,
         credential: &str,
-        call: &Call,
-    ) -> std::result::Result<Bytes, Failure> {
-        let request = self.request(address, credential, call);
-        let request = request.map_err(|error| Failure::NotSent(error.to_string()))?;
+        api_request: &ApiRequest,
+    ) -> std::result::Result<Bytes, AttemptError> {
+        let request = self.request(address, credential, api_request);
+        let request = request.map_err(|error| AttemptError::NotSent(error.to_string()))?;
         let stream = TcpStream::connect(address).await;
-        let stream = stream.map_err(|error| Failure::NotSent(error.to_string()))?;
+        let stream = stream.map_err(|error| AttemptError::NotSent(error.to_string()))?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Failure::NotSent(error.to_string()))?;
+            .map_err(|error| AttemptError::NotSent(error.to_string()))?;
         tokio::spawn(connection);
-        let lost = |error: hyper::Error| Failure::AnswerLost(error.to_string());
-        let (parts, body) = sender.send_request(request).await.map_err(lost)?.into_parts();
-        let bytes = body.collect().await.map_err(lost)?.to_bytes();
+        let response_lost = |error: hyper::Error| AttemptError::ResponseLost(error.to_string());
+        let (parts, body) = sender.send_request(request).await.map_err(response_lost)?.into_parts();
+        let bytes = body.collect().await.map_err(response_lost)?.to_bytes();
         if parts.status.is_success() {
             return Ok(bytes);
         }
         let is_problem = parts.headers.get(CONTENT_TYPE).is_some_and(|kind| kind == PROBLEM_JSON);
         let problem = serde_json::from_slice(&bytes).ok().filter(|_| is_problem);
-        let problem = problem.map(Failure::Refused);
-        Err(problem.unwrap_or_else(|| Failure::AnswerLost(format!("status {}", parts.status))))
+        let problem = problem.map(AttemptError::Refused);
+        Err(problem
+            .unwrap_or_else(|| AttemptError::ResponseLost(format!("status {}", parts.status))))
     }
 
     fn request(
         &self,
         address: SocketAddr,
         credential: &str,
-        call: &Call,
+        api_request: &ApiRequest,
     ) -> http::Result<Request<Full<Bytes>>> {
         let mut request = Request::builder()
-            .method(call.method.clone())
-            .uri(&call.path)
+            .method(api_request.method.clone())
+            .uri(&api_request.path)
             .header(HOST, address.to_string())
             .header(AUTHORIZATION, format!("Bearer {credential}"))
-            .header(WRITE_ID_HEADER, &call.write_id);
+            .header(WRITE_ID_HEADER, &api_request.write_id);
         if let Some(operator) = self.operator.as_deref().filter(|name| is_valid_id(name)) {
             request = request.header(OPERATOR_HEADER, operator);
         }
-        if let Some(version) = call.base_version {
+        if let Some(version) = api_request.base_version {
             request = request.header(IF_MATCH, format!("\"{version}\""));
         }
-        if !call.body.is_empty() {
-            request = request.header(CONTENT_TYPE, call.media_type);
+        if !api_request.body.is_empty() {
+            request = request.header(CONTENT_TYPE, api_request.media_type);
         }
-        request.body(Full::new(call.body.clone()))
+        request.body(Full::new(api_request.body.clone()))
     }
 
     fn credential(&self) -> Result<String> {
@@ -201,9 +203,9 @@
 
 /// Whether a refusal settles the request. Once an answer was lost, only the one does that finds
 /// the version replaced by another write.
-fn is_final(problem: &WireProblem, lost: bool) -> bool {
+fn is_conclusive(problem: &WireProblem, response_lost: bool) -> bool {
     let stale = OperatorsCode::VersionStale.row().number;
-    problem.status < 500 && (!lost || problem.code == stale)
+    problem.status < 500 && (!response_lost || problem.code == stale)
 }
 
 /// Reads a secret from a file, without the line end.
--- a/crates/cassiafold/src/command.rs
+++ b/crates/cassiafold/src/command.rs
@@ -10,8 +10,8 @@
 
 use crate::error::{Error, Result};
 use crate::load::LoadOptions;
+use crate::operator_command::OperatorCommand;
 use crate::output::Output;
-use crate::verb::Verb;
 use crate::{check, completions, credential, demo, entry, load, serve, standin};
 
 /// How log lines are written.
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct Command {
     /// How log lines are written.
-    pub logs: LogFormat,
+    pub log_format: LogFormat,
     action: Action,
 }
 
@@ -41,7 +41,7 @@
     Check(CheckOptions),
     Credential(Output),
     Completions(Shell),
-    Verb(Box<Verb>),
+    OperatorCommand(Box<OperatorCommand>),
 }
 
 /// Options of `demo`.
@@ -83,7 +83,7 @@
 
     fn try_from(matches: ArgMatches) -> Result<Self> {
         let json = matches.get_one::<String>("log-format").is_some_and(|name| name == "json");
-        let logs = if json { LogFormat::Json } else { LogFormat::Text };
+        let log_format = if json { LogFormat::Json } else { LogFormat::Text };
         let action = match matches.subcommand() {
             Some(("demo", matches)) => Action::Demo(matches.into()),
             Some(("entry", matches)) => Action::Entry(Box::new(entry_settings(matches)?)),
@@ -93,10 +93,12 @@
             Some(("check", matches)) => Action::Check(matches.into()),
             Some(("credential", matches)) => Action::Credential(Output::from(matches)),
             Some(("completions", matches)) => Action::Completions(shell(matches)?),
-            Some((name, matches)) => Action::Verb(Box::new(Verb::read(name, matches)?)),
+            Some((name, matches)) => {
+                Action::OperatorCommand(Box::new(OperatorCommand::read(name, matches)?))
+            }
             None => return Err(Error::Usage("no command given".into())),
         };
-        Ok(Self { logs, action })
+        Ok(Self { log_format, action })
     }
 }
 
@@ -120,7 +122,7 @@
             Action::Check(options) => check::run(options),
             Action::Credential(output) => credential::run(*output),
             Action::Completions(shell) => completions::run(*shell),
-            Action::Verb(verb) => verb.run(),
+            Action::OperatorCommand(operator_command) => operator_command.run(),
         }
     }
 }
--- a/crates/cassiafold/src/parts.rs
+++ b/crates/cassiafold/src/components.rs
@@ -10,7 +10,9 @@
 use prometheus_client::registry::Registry;
 use tokio::task::JoinSet;
 
-use crate::dependencies::{Domains, EntryDependencies, Limits, Load, Weights};
+use crate::dependencies::{
+    EntryDependencies, EscrowLimits, FailureDomains, ReportedLoad, ShareWeights,
+};
 use crate::entry::Platform;
 use crate::environment::EntryEnvironment;
 use crate::fleet_source::EntryFleetSource;
@@ -24,9 +26,9 @@
 
 /// What the tasks of one entry instance share. Clones share one state.
 #[derive(Clone)]
-pub struct Parts {
-    me: InstanceId,
-    home: ZoneId,
+pub struct EntryComponents {
+    instance_id: InstanceId,
+    zone: ZoneId,
     config: ActiveConfig,
     usage: LocalUsage,
     roster: Roster,
@@ -41,7 +43,7 @@
     observer: Observer,
 }
 
-impl Parts {
+impl EntryComponents {
     /// The parts around `membership`.
     pub fn new(
         settings: &Settings,
@@ -51,8 +53,8 @@
     ) -> Self {
         let (roster, instances) = (membership.roster(), InstanceView::default());
         Self {
-            me: settings.instance_id.clone(),
-            home: settings.zone.clone(),
+            instance_id: settings.instance_id.clone(),
+            zone: settings.zone.clone(),
             config,
             usage,
             contact: membership.store_contact(),
@@ -72,49 +74,49 @@
     pub fn start_caller_api(
         &self,
         metrics: Metrics,
-        following: &mut JoinSet<()>,
+        background_tasks: &mut JoinSet<()>,
     ) -> CallerApi<EntryDependencies> {
-        let (weights, load) = (Weights::default(), Load::default());
-        let limits = Limits::new(self.escrow.clone(), self.isolation.clone());
+        let (weights, load) = (ShareWeights::default(), ReportedLoad::default());
+        let limits = EscrowLimits::new(self.escrow.clone(), self.isolation.clone());
         let dependencies = EntryDependencies {
             limits: limits.clone(),
             shares: weights.clone(),
             peers: load.clone(),
-            domains: Domains::new(self.fleet.clone()),
+            domains: FailureDomains::new(self.fleet.clone()),
         };
-        following.spawn(limits.follow());
-        following.spawn(weights.follow(
+        background_tasks.spawn(limits.run_updates());
+        background_tasks.spawn(weights.run_updates(
             self.shares.clone(),
             self.config.clone(),
             self.instances.clone(),
             self.usage.clone(),
         ));
-        following.spawn(load.follow(self.roster.clone()));
+        background_tasks.spawn(load.run_updates(self.roster.clone()));
         let instances = self.instances.subscribe();
-        CallerApi::start(dependencies, self.config.clone(), instances, self.home.clone(), metrics)
+        CallerApi::start(dependencies, self.config.clone(), instances, self.zone.clone(), metrics)
     }
 
     /// Starts the tasks that follow the platform and the request path.
-    pub fn follow<S, I, K>(
+    pub fn spawn_background_tasks<S, I, K>(
         &self,
         platform: &Platform<S, I, K>,
         caller_api: &CallerApi<EntryDependencies>,
-        following: &mut JoinSet<()>,
+        background_tasks: &mut JoinSet<()>,
     ) where
         S: Store,
         I: InstanceList,
     {
         let (view, list, fleet) =
             (self.instances.clone(), platform.list.clone(), self.fleet.clone());
-        following.spawn(async move { view.follow(list, fleet).await });
+        background_tasks.spawn(async move { view.run_updates(list, fleet).await });
         let (fleet, store) = (self.fleet.clone(), platform.store.clone());
-        following.spawn(async move { fleet.watch_store(store).await });
+        background_tasks.spawn(async move { fleet.watch_store(store).await });
         let isolation = self.isolation.clone();
         let (contact, roster) = (self.contact.clone(), self.roster.clone());
-        following.spawn(isolation.follow(contact, roster, self.config.clone()));
+        background_tasks.spawn(isolation.run_updates(contact, roster, self.config.clone()));
         let dispatcher = caller_api.dispatcher().clone();
-        following.spawn(self.symptoms.clone().follow(dispatcher.observe()));
-        following.spawn(self.usage.clone().follow(
+        background_tasks.spawn(self.symptoms.clone().run_updates(dispatcher.observe()));
+        background_tasks.spawn(self.usage.clone().run_updates(
             dispatcher,
             self.instances.clone(),
             self.symptoms.clone(),
@@ -140,7 +142,12 @@
             observer: self.observer.clone(),
             lease: self.control.clone(),
         };
-        Controller::new(environment, Policy::default(), self.me.clone(), self.fleet.clone())
+        Controller::new(
+            environment,
+            Policy::default(),
+            self.instance_id.clone(),
+            self.fleet.clone(),
+        )
     }
 
     /// What the operators' interface shows and changes.
@@ -165,7 +172,7 @@
             instances: self.instances.clone(),
             observer: self.observer.clone(),
             policy: Policy::default(),
-            me: self.me.clone(),
+            instance_id: self.instance_id.clone(),
         };
         EntrySources { store, status, fleet, registry: Arc::new(registry) }
     }
--- a/crates/cassiafold/src/config.rs
+++ b/crates/cassiafold/src/config.rs
@@ -12,16 +12,16 @@
 use serde_json::Value;
 
 use crate::change::print_change;
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::{Error, Result};
+use crate::operator_command::unknown_subcommand;
 use crate::output::{Output, or_dash, print_json, print_table, utc_time};
-use crate::verb::unknown_subcommand;
 
 const MILLISECONDS_PER_SECOND: u64 = 1_000;
 
 /// `config` and its subcommands.
 #[derive(Debug)]
-pub enum ConfigVerb {
+pub enum ConfigCommand {
     /// Prints the newest configuration.
     Get,
     /// Makes the next version.
@@ -41,7 +41,7 @@
     write_id: Option<String>,
 }
 
-impl TryFrom<&ArgMatches> for ConfigVerb {
+impl TryFrom<&ArgMatches> for ConfigCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
@@ -61,7 +61,7 @@
     }
 }
 
-impl ConfigVerb {
+impl ConfigCommand {
     /// Runs the subcommand and prints its result.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
         match self {
@@ -73,7 +73,7 @@
 }
 
 async fn get(client: &Client, output: Output) -> Result<()> {
-    let config: RawConfig = client.call(&Call::get("/config")).await?;
+    let config: RawConfig = client.send(&ApiRequest::get("/config")).await?;
     if output == Output::Json {
         return print_json(&config);
     }
@@ -85,11 +85,11 @@
 async fn patch(client: &Client, options: &PatchOptions, output: Output) -> Result<()> {
     let patch = read_patch(&options.file)?;
     let media_type = if patch.is_array() { JSON_PATCH } else { MERGE_PATCH };
-    let call = Call::new(Method::PATCH, "/config")
+    let request = ApiRequest::new(Method::PATCH, "/config")
         .with_body(&patch)?
         .with_patch(options.base_version, media_type)
         .with_write_id(options.write_id.as_deref());
-    print_change(&client.call(&call).await?, output)
+    print_change(&client.send(&request).await?, output)
 }
 
 fn read_patch(path: &Path) -> Result<Value> {
@@ -106,7 +106,7 @@
 
 async fn history(client: &Client, limit: u16, output: Output) -> Result<()> {
     let answer: HistoryAnswer =
-        client.call(&Call::get(format!("/config/history?limit={limit}"))).await?;
+        client.send(&ApiRequest::get(format!("/config/history?limit={limit}"))).await?;
     if output == Output::Json {
         return print_json(&answer);
     }
--- a/crates/cassiafold/src/demo.rs
+++ b/crates/cassiafold/src/demo.rs
@@ -23,13 +23,13 @@
 const DEMO_KEY: &str = "demo-key";
 const DEMO_CREDENTIAL: &str = "demo-credential";
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const ENTRIES: usize = 3;
-const INSTANCES: usize = 6;
+const ENTRY_COUNT: usize = 3;
+const INSTANCE_COUNT: usize = 6;
 /// Longest wait until all entry instances are ready.
-const READY_MAX: Duration = Duration::from_secs(20);
-const READY_INTERVAL: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait until a backend server takes the first request.
-const FIRST_ANSWER_MAX: Duration = Duration::from_secs(30);
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 type DemoPlatform = Platform<MemoryStore, MemoryInstances, MemoryInstances>;
 
@@ -45,7 +45,7 @@
     store_config(&store, &config).await?;
     let instances = start_backends().await?;
     let mut entries = Vec::new();
-    for index in 0..ENTRIES {
+    for index in 0..ENTRY_COUNT {
         let settings = settings(index)?;
         let client = store.client(settings.instance_id.clone());
         let platform: DemoPlatform =
@@ -59,7 +59,7 @@
         println!("operators: {operators} with credential {DEMO_CREDENTIAL}");
     }
     if options.once {
-        print!("{}", first_answer(entries[0].callers_address()).await?);
+        print!("{}", first_response(entries[0].callers_address()).await?);
     } else {
         tokio::signal::ctrl_c().await?;
     }
@@ -104,7 +104,7 @@
 
 async fn start_backends() -> Result<MemoryInstances> {
     let instances = MemoryInstances::default();
-    for index in 0..INSTANCES {
+    for index in 0..INSTANCE_COUNT {
         let id: Arc<str> = format!("portal-{index}").into();
         let zone: Arc<str> = ZONES[index % ZONES.len()].into();
         let backend = Backend::start(id.clone(), BackendCounts::default()).await?;
@@ -118,26 +118,26 @@
 async fn wait_ready(entries: &[Entry]) -> Result<()> {
     let ready = async {
         while !entries.iter().all(Entry::is_ready) {
-            tokio::time::sleep(READY_INTERVAL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     };
-    let ready = tokio::time::timeout(READY_MAX, ready).await;
+    let ready = tokio::time::timeout(READY_TIMEOUT, ready).await;
     ready.map_err(|_| Error::Usage("the entry instances did not become ready".into()))
 }
 
 /// Asks until a backend server has answered.
-async fn first_answer(address: SocketAddr) -> Result<String> {
-    let answered = async {
+async fn first_response(address: SocketAddr) -> Result<String> {
+    let response = async {
         loop {
             let (status, body) = fetch(address).await?;
             if status.is_success() {
                 return Ok(body);
             }
-            tokio::time::sleep(READY_INTERVAL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     };
-    let answered = tokio::time::timeout(FIRST_ANSWER_MAX, answered).await;
-    answered.unwrap_or_else(|_| Err(Error::Usage("no backend server answered".into())))
+    let response = tokio::time::timeout(FIRST_RESPONSE_TIMEOUT, response).await;
+    response.unwrap_or_else(|_| Err(Error::Usage("no backend server answered".into())))
 }
 
 async fn fetch(address: SocketAddr) -> Result<(http::StatusCode, String)> {
@@ -150,8 +150,8 @@
         .header(http::header::AUTHORIZATION, format!("Bearer {DEMO_KEY}"))
         .body(Empty::<Bytes>::new())
         .map_err(|error| Error::Usage(error.to_string()))?;
-    let answer = sender.send_request(request).await?;
-    let status = answer.status();
-    let body = answer.into_body().collect().await?.to_bytes();
+    let response = sender.send_request(request).await?;
+    let status = response.status();
+    let body = response.into_body().collect().await?.to_bytes();
     Ok((status, String::from_utf8_lossy(&body).into_owned()))
 }
--- a/crates/cassiafold/src/dependencies.rs
+++ b/crates/cassiafold/src/dependencies.rs
@@ -24,27 +24,27 @@
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Part of a request by which a sum of targets may miss the capacity that it takes up.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// The bundle of sources of the request path.
-pub type EntryDependencies = Sources<Limits, Weights, Load, Domains>;
+pub type EntryDependencies = Sources<EscrowLimits, ShareWeights, ReportedLoad, FailureDomains>;
 
 /// Upper limits by escrow. Anonymous work at open queues has none.
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct EscrowLimits {
     escrow: Escrow,
     isolation: Isolation,
     changes: watch::Sender<()>,
 }
 
-impl Limits {
+impl EscrowLimits {
     /// Limits by `escrow`; keyed work stops when `isolation` has lasted too long.
     pub fn new(escrow: Escrow, isolation: Isolation) -> Self {
         Self { escrow, isolation, changes: watch::Sender::new(()) }
     }
 
     /// Passes changes of the escrow and of the suspension on until the escrow has gone.
-    pub async fn follow(self) {
+    pub async fn run_updates(self) {
         let mut changed = self.escrow.changed();
         let mut suspended = self.are_suspended();
         loop {
@@ -66,21 +66,21 @@
     }
 }
 
-impl LimitSource for Limits {
+impl LimitSource for EscrowLimits {
     type Permit = Option<Permit>;
 
     fn try_acquire(&self, team: &TeamId) -> Option<Option<Permit>> {
         if &**team == ANONYMOUS_TEAM {
             return Some(None);
         }
-        if self.isolation.forbids_keys() {
+        if self.isolation.rejects_keyed_requests() {
             return None;
         }
         self.escrow.try_acquire(team).map(Some)
     }
 
     fn are_suspended(&self) -> bool {
-        self.isolation.forbids_keys() || !self.escrow.is_open()
+        self.isolation.rejects_keyed_requests() || !self.escrow.is_open()
     }
 
     fn is_valid(&self, permit: &Option<Permit>) -> bool {
@@ -92,11 +92,11 @@
     }
 }
 
-type WeightTable = HashMap<ServiceId, HashMap<TeamId, Part>>;
+type WeightTable = HashMap<ServiceId, HashMap<TeamId, TeamShare>>;
 
 /// Part of a service that falls to a team at this entry instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Part {
+struct TeamShare {
     weight: f64,
     /// Most requests that run here while teams want more slots than there are.
     running_max: Option<u32>,
@@ -104,14 +104,14 @@
 
 /// Local weights that steer towards weighted max-min over all entry instances.
 #[derive(Debug, Clone, Default)]
-pub struct Weights {
+pub struct ShareWeights {
     table: Arc<ArcSwap<WeightTable>>,
     changes: watch::Sender<()>,
 }
 
-impl Weights {
+impl ShareWeights {
     /// Keeps the weights up to date until dropped.
-    pub async fn follow(
+    pub async fn run_updates(
         self,
         shares: Shares,
         config: ActiveConfig,
@@ -120,7 +120,7 @@
     ) {
         loop {
             if let Some(config) = config.load() {
-                let table = weigh(&shares, &config, &instances.load(), &usage);
+                let table = compute_weights(&shares, &config, &instances.load(), &usage);
                 if **self.table.load() != table {
                     self.table.store(Arc::new(table));
                     self.changes.send_replace(());
@@ -131,7 +131,7 @@
     }
 }
 
-fn weigh(
+fn compute_weights(
     shares: &Shares,
     config: &Config,
     instances: &[Instance],
@@ -139,11 +139,11 @@
 ) -> WeightTable {
     let local = usage.load();
     let capacities = capacities(config, instances);
-    let weigh = |(service, capacity): (&ServiceId, u32)| {
+    let compute_weights = |(service, capacity): (&ServiceId, u32)| {
         let weights = shares.weights(service, capacity, &local);
-        (!weights.is_empty()).then(|| (service.clone(), parts(capacity, weights)))
+        (!weights.is_empty()).then(|| (service.clone(), team_shares(capacity, weights)))
     };
-    capacities.into_iter().filter_map(weigh).collect()
+    capacities.into_iter().filter_map(compute_weights).collect()
 }
 
 /// Requests that each service runs at once on the instances that take work now.
@@ -161,17 +161,17 @@
 
 /// Parts of the teams of a service that runs `capacity` requests at once. When their targets take
 /// up all of it, each team is held to its part, so that those at other entry instances find slots.
-fn parts(capacity: u32, weights: Vec<TeamWeight>) -> HashMap<TeamId, Part> {
-    let wanted: f64 = weights.iter().map(|weight| weight.target).sum();
-    let contended = wanted + ROUNDING >= f64::from(capacity);
-    let part = |weight: TeamWeight| {
+fn team_shares(capacity: u32, weights: Vec<TeamWeight>) -> HashMap<TeamId, TeamShare> {
+    let target_sum: f64 = weights.iter().map(|weight| weight.target).sum();
+    let contended = target_sum + ROUNDING_TOLERANCE >= f64::from(capacity);
+    let team_share = |weight: TeamWeight| {
         let running_max = contended.then_some(weight.weight.ceil() as u32);
-        (weight.team, Part { weight: weight.weight, running_max })
+        (weight.team, TeamShare { weight: weight.weight, running_max })
     };
-    weights.into_iter().map(part).collect()
+    weights.into_iter().map(team_share).collect()
 }
 
-impl ShareSource for Weights {
+impl ShareSource for ShareWeights {
     fn weight(&self, service: &ServiceId, team: &TeamId) -> Option<f64> {
         Some(self.table.load().get(service)?.get(team)?.weight)
     }
@@ -193,14 +193,14 @@
 
 /// Load that other entry instances put on backend servers.
 #[derive(Debug, Clone, Default)]
-pub struct Load {
+pub struct ReportedLoad {
     table: Arc<ArcSwap<LoadTable>>,
     changes: watch::Sender<()>,
 }
 
-impl Load {
+impl ReportedLoad {
     /// Keeps the load up to date until dropped.
-    pub async fn follow(self, roster: Roster) {
+    pub async fn run_updates(self, roster: Roster) {
         loop {
             let table = load_of_others(&roster);
             if **self.table.load() != table {
@@ -223,7 +223,7 @@
     LoadTable { running, entry_count: usages.len() as u32 }
 }
 
-impl PeerLoad for Load {
+impl PeerLoad for ReportedLoad {
     fn running(&self, instance: &InstanceId) -> u32 {
         self.table.load().running.get(instance).copied().unwrap_or(0)
     }
@@ -239,18 +239,18 @@
 
 /// Suspected failure domains, as the fleet has learned them.
 #[derive(Debug, Clone)]
-pub struct Domains {
+pub struct FailureDomains {
     fleet: FleetHandle,
 }
 
-impl Domains {
+impl FailureDomains {
     /// Domains of `fleet`.
     pub fn new(fleet: FleetHandle) -> Self {
         Self { fleet }
     }
 }
 
-impl FailureDomainSource for Domains {
+impl FailureDomainSource for FailureDomains {
     fn same_domain(&self, one: &Instance, other: &Instance) -> bool {
         let state = self.fleet.load();
         let same_rack = one.zone == other.zone && one.rack == other.rack;
--- a/crates/cassiafold/src/entry.rs
+++ b/crates/cassiafold/src/entry.rs
@@ -19,18 +19,18 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
+use crate::components::EntryComponents;
 use crate::dependencies::EntryDependencies;
 use crate::error::Result;
 use crate::event::EntryEvent;
-use crate::parts::Parts;
 use crate::usage::LocalUsage;
 
 /// Timeout of calls to the instance list and the instance control.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two looks at readiness.
-const READY_INTERVAL: Duration = Duration::from_millis(250);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Exit code when a stop was forced and requests were cut off.
-pub const EXIT_CUT_OFF: u8 = 7;
+pub const EXIT_FORCED_STOP: u8 = 7;
 
 /// Runs an entry instance until SIGTERM or SIGINT; a second signal cuts off what still runs.
 pub fn run(settings: &Settings) -> Result<ExitCode> {
@@ -69,7 +69,7 @@
     signals.next().await;
     let report = entry.close(settings.stop_wait, signals.next()).await;
     let cut_off = !report.aborted.is_empty();
-    Ok(if cut_off { ExitCode::from(EXIT_CUT_OFF) } else { ExitCode::SUCCESS })
+    Ok(if cut_off { ExitCode::from(EXIT_FORCED_STOP) } else { ExitCode::SUCCESS })
 }
 
 /// Signals that stop the process.
@@ -111,10 +111,10 @@
     /// Ends the control loop and the operators' interface.
     stop: CancellationToken,
     /// Tasks that end with the process.
-    following: JoinSet<()>,
+    background_tasks: JoinSet<()>,
     /// Tasks that end by themselves once `stop` is set.
-    ending: JoinSet<()>,
-    readiness: AbortHandle,
+    stoppable_tasks: JoinSet<()>,
+    readiness_task: AbortHandle,
 }
 
 impl Entry {
@@ -142,17 +142,17 @@
             config.clone(),
             usage.clone(),
         )?;
-        let parts = Parts::new(settings, &membership, config.clone(), usage);
+        let components = EntryComponents::new(settings, &membership, config.clone(), usage);
         let metrics = Metrics::default();
         metrics.register(&mut registry);
 
-        let mut following = JoinSet::new();
-        let caller_api = parts.start_caller_api(metrics, &mut following);
-        parts.follow(&platform, &caller_api, &mut following);
+        let mut background_tasks = JoinSet::new();
+        let caller_api = components.start_caller_api(metrics, &mut background_tasks);
+        components.spawn_background_tasks(&platform, &caller_api, &mut background_tasks);
 
-        let (stop, mut ending) = (CancellationToken::new(), JoinSet::new());
-        ending.spawn(parts.controller(&platform).run(stop.clone().cancelled_owned()));
-        let sources = parts.sources(platform.store, caller_api.clone(), registry);
+        let (stop, mut stoppable_tasks) = (CancellationToken::new(), JoinSet::new());
+        stoppable_tasks.spawn(components.controller(&platform).run(stop.clone().cancelled_owned()));
+        let sources = components.sources(platform.store, caller_api.clone(), registry);
         let operators_address = operators_listener.local_addr()?;
         let operators = Operators::new(
             sources,
@@ -160,14 +160,23 @@
             settings.operators_key_hash,
             OperatorsLimits::from(settings),
         );
-        ending.spawn(cassiafold_operators::serve(
+        stoppable_tasks.spawn(cassiafold_operators::serve(
             operators_listener,
             operators.router(),
             stop.clone().cancelled_owned(),
         ));
         let server = Server::start(callers_listener, caller_api)?;
-        let readiness = following.spawn(announce(server.caller_api().clone(), membership.ready()));
-        Ok(Self { server, membership, operators_address, stop, following, ending, readiness })
+        let readiness_task = background_tasks
+            .spawn(publish_readiness(server.caller_api().clone(), membership.ready()));
+        Ok(Self {
+            server,
+            membership,
+            operators_address,
+            stop,
+            background_tasks,
+            stoppable_tasks,
+            readiness_task,
+        })
     }
 
     /// Address on which callers are served.
@@ -188,25 +197,25 @@
     /// Stops gracefully, then leaves the fleet. When `forced` completes first, what still runs is
     /// cut off.
     pub async fn close(mut self, wait: Duration, forced: impl Future<Output = ()>) -> StopReport {
-        self.readiness.abort();
+        self.readiness_task.abort();
         self.membership.set_ready(false);
         let report = self.server.close(wait, forced).await;
         self.stop.cancel();
-        while self.ending.join_next().await.is_some() {}
+        while self.stoppable_tasks.join_next().await.is_some() {}
         self.membership.close().await;
-        self.following.abort_all();
+        self.background_tasks.abort_all();
         emit!(EntryEvent::Stopped, cut_off = report.aborted.len());
         report
     }
 }
 
 /// Tells the other entry instances whether this one is ready.
-async fn announce(
+async fn publish_readiness(
     caller_api: CallerApi<EntryDependencies>,
     ready: cassiafold_membership::Readiness,
 ) {
     loop {
         ready.set(caller_api.is_ready());
-        tokio::time::sleep(READY_INTERVAL).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
 }
--- a/crates/cassiafold/src/environment.rs
+++ b/crates/cassiafold/src/environment.rs
@@ -62,7 +62,7 @@
     }
 
     async fn send_trial_request(&self, instance: &ListedInstance) -> bool {
-        timeout(TRIAL_TIMEOUT, trial(instance)).await.unwrap_or(false)
+        timeout(TRIAL_TIMEOUT, succeeds(instance)).await.unwrap_or(false)
     }
 
     fn holds_control(&self) -> bool {
@@ -71,14 +71,14 @@
 }
 
 /// Sends one request; any answer but a server error passes.
-async fn trial(instance: &ListedInstance) -> bool {
+async fn succeeds(instance: &ListedInstance) -> bool {
     let Ok(stream) = TcpStream::connect(instance.address).await else { return false };
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
     let Ok((mut sender, connection)) = handshake else { return false };
     let connection = tokio::spawn(connection);
     let request = http::Request::head("/").header(HOST, instance.address.to_string());
     let Ok(request) = request.body(Empty::<Bytes>::new()) else { return false };
-    let answer = sender.send_request(request).await;
+    let response = sender.send_request(request).await;
     connection.abort();
-    answer.is_ok_and(|answer| !answer.status().is_server_error())
+    response.is_ok_and(|response| !response.status().is_server_error())
 }
--- a/crates/cassiafold/src/explain.rs
+++ b/crates/cassiafold/src/explain.rs
@@ -3,19 +3,19 @@
 use cassiafold_operators::source::{Decision, Explanation, Fact, Inputs, WhyNot};
 use clap::ArgMatches;
 
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::{Error, Result};
+use crate::operator_command::required;
 use crate::output::{Output, or_dash, print_json, print_table, utc_time};
-use crate::verb::required;
 
 /// `explain`.
 #[derive(Debug)]
-pub struct ExplainVerb {
+pub struct ExplainCommand {
     subject: String,
     id: String,
 }
 
-impl TryFrom<&ArgMatches> for ExplainVerb {
+impl TryFrom<&ArgMatches> for ExplainCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
@@ -29,11 +29,11 @@
     }
 }
 
-impl ExplainVerb {
+impl ExplainCommand {
     /// Prints the last decisions, newest first.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let call = Call::get(format!("/explain/{}/{}", self.subject, self.id));
-        let answer: Explanation = client.call(&call).await?;
+        let request = ApiRequest::get(format!("/explain/{}/{}", self.subject, self.id));
+        let answer: Explanation = client.send(&request).await?;
         if output == Output::Json {
             return print_json(&answer);
         }
--- a/crates/cassiafold/src/fleet_source.rs
+++ b/crates/cassiafold/src/fleet_source.rs
@@ -40,11 +40,11 @@
     /// Bounds of the planner.
     pub policy: Policy,
     /// This entry instance, which signs its writes.
-    pub me: InstanceId,
+    pub instance_id: InstanceId,
 }
 
 /// What a view borrows from.
-struct Known {
+struct FleetSnapshot {
     config: Arc<Config>,
     state: FleetState,
     listed: ListedInstances,
@@ -54,7 +54,7 @@
     now: SystemTime,
 }
 
-impl Known {
+impl FleetSnapshot {
     fn view(&self) -> View<'_> {
         View {
             now: self.now,
@@ -70,9 +70,9 @@
 }
 
 impl<S: Store> EntryFleetSource<S> {
-    fn known(&self) -> Option<Known> {
+    fn snapshot(&self) -> Option<FleetSnapshot> {
         let listed = self.instances.listed();
-        Some(Known {
+        Some(FleetSnapshot {
             config: self.config.load()?,
             state: self.fleet.load(),
             listed: listed.iter().map(|listed| (listed.id.clone(), listed.clone())).collect(),
@@ -85,10 +85,10 @@
 
     /// Decisions as stored; none while the store cannot be reached.
     async fn history(&self) -> History {
-        let Ok(snapshot) = self.store.list(DECISIONS_PREFIX).await else {
+        let Ok(stored) = self.store.list(DECISIONS_PREFIX).await else {
             return History::default();
         };
-        let segments = snapshot.records.iter().filter_map(|record| {
+        let segments = stored.records.iter().filter_map(|record| {
             let envelope = Envelope::<RawSegment>::decode(&record.value).ok()?;
             Some(envelope.value)
         });
@@ -98,22 +98,23 @@
 
 impl<S: Store> FleetSource for EntryFleetSource<S> {
     async fn pools(&self) -> Vec<PoolStatus> {
-        let Some(known) = self.known() else { return Vec::new() };
-        let view = known.view();
-        let budgets = Budgets::new(&view, &known.state.document, Default::default());
-        known.config.pools.keys().map(|pool| pool_status(&view, &budgets, pool)).collect()
+        let Some(snapshot) = self.snapshot() else { return Vec::new() };
+        let view = snapshot.view();
+        let budgets = Budgets::new(&view, &snapshot.state.document, Default::default());
+        snapshot.config.pools.keys().map(|pool| pool_status(&view, &budgets, pool)).collect()
     }
 
     async fn waves(&self) -> Vec<WaveStatus> {
-        let Some(known) = self.known() else { return Vec::new() };
-        let view = known.view();
-        let waves = known.config.waves.keys();
-        let status = |wave| wave_status(&view, &self.policy, wave).map(|state| shown(&view, state));
+        let Some(snapshot) = self.snapshot() else { return Vec::new() };
+        let view = snapshot.view();
+        let waves = snapshot.config.waves.keys();
+        let status =
+            |wave| wave_status(&view, &self.policy, wave).map(|state| wave_status_at(&view, state));
         waves.filter_map(status).collect()
     }
 
     async fn explain(&self, subject: Subject, id: &str) -> Option<Explanation> {
-        let known = self.known()?;
+        let snapshot = self.snapshot()?;
         let history = self.history().await;
         let fleet_subject = match subject {
             Subject::Instance => FleetSubject::Instance(id.into()),
@@ -121,7 +122,7 @@
             Subject::Team => FleetSubject::Team(id.into()),
             Subject::Wave => FleetSubject::Wave(id.into()),
         };
-        let explanation = explain(&known.view(), &self.policy, &history, &fleet_subject).ok()?;
+        let explanation = explain(&snapshot.view(), &self.policy, &history, &fleet_subject).ok()?;
         Some(explanation.into())
     }
 
@@ -132,23 +133,24 @@
     }
 
     async fn move_instances(&self, request: MoveRequest) -> Result<MoveAnswer, MoveRefusal> {
-        let known = self.known().ok_or(MoveRefusal::Unavailable("no configuration yet".into()))?;
-        let writer = Writer::new(self.me.clone());
+        let snapshot =
+            self.snapshot().ok_or(MoveRefusal::Unavailable("no configuration yet".into()))?;
+        let writer = Writer::new(self.instance_id.clone());
         let deadline = Instant::now() + MOVE_TIMEOUT;
-        let mut moved = Vec::new();
+        let mut moved_instances = Vec::new();
         let change = |current: Option<&FleetDocument>| {
             let current = current.cloned().unwrap_or_default();
-            let (next, instances) = self.plan_moves(&known, &current, &request)?;
-            moved = instances;
+            let (next, instances) = self.plan_moves(&snapshot, &current, &request)?;
+            moved_instances = instances;
             Ok::<_, Refusal>(next)
         };
         match update(&self.store, &writer, DOCUMENT_KEY, deadline, change).await {
             UpdateOutcome::Applied { value, .. } => {
                 self.fleet.update_if_newer(Arc::new(value));
-                Ok(MoveAnswer { instances: moved })
+                Ok(MoveAnswer { instances: moved_instances })
             }
             UpdateOutcome::NotApplied(NotApplied::Refused(refusal)) => {
-                Err(MoveRefusal::Refused(reason(&refusal).into()))
+                Err(MoveRefusal::Refused(refusal_text(&refusal).into()))
             }
             UpdateOutcome::NotApplied(_) => {
                 Err(MoveRefusal::Unavailable("the fleet document cannot be written".into()))
@@ -164,40 +166,41 @@
     /// Starts the moves one after the other, each within the budgets that the last one left.
     fn plan_moves(
         &self,
-        known: &Known,
+        snapshot: &FleetSnapshot,
         current: &FleetDocument,
         request: &MoveRequest,
     ) -> Result<(FleetDocument, Vec<InstanceId>), Refusal> {
         let (candidates, count) = candidates(current, request);
         let mut next = current.clone();
-        let mut moved = Vec::new();
+        let mut moved_instances = Vec::new();
         let mut refusal = Refusal::from(FleetCode::UnknownInstance);
         for id in candidates {
-            if moved.len() == count {
+            if moved_instances.len() == count {
                 break;
             }
-            let under_way = next.placements.get(&id).and_then(|placement| placement.step.as_ref());
-            let repeated = under_way.is_some_and(
+            let current_step =
+                next.placements.get(&id).and_then(|placement| placement.step.as_ref());
+            let already_started = current_step.is_some_and(
                 |step| matches!(&step.kind, StepKind::Move { to, .. } if *to == request.to),
             );
-            if repeated {
-                moved.push(id);
+            if already_started {
+                moved_instances.push(id);
                 continue;
             }
-            let view = View { document: &next, ..known.view() };
+            let view = View { document: &next, ..snapshot.view() };
             match plan_move(&view, &self.policy, &id, &request.to) {
                 Ok(plan) => {
                     next = plan.next;
-                    moved.push(id);
+                    moved_instances.push(id);
                 }
                 Err(error) => refusal = error,
             }
         }
-        if moved.len() < count || moved.is_empty() {
+        if moved_instances.len() < count || moved_instances.is_empty() {
             return Err(refusal);
         }
         next.number = current.number + 1;
-        Ok((next, moved))
+        Ok((next, moved_instances))
     }
 }
 
@@ -235,13 +238,13 @@
     PoolStatus { pool, service, instances, available, in_maintenance, failing, floor, arriving }
 }
 
-fn shown(view: &View<'_>, status: FleetWave) -> WaveStatus {
-    let in_progress = in_wave(view, &status.wave);
+fn wave_status_at(view: &View<'_>, status: FleetWave) -> WaveStatus {
+    let in_progress = instances_in_wave(view, &status.wave);
     let zone = in_progress.first().and_then(|id| Some(view.listed.get(id)?.zone.clone()));
     WaveStatus::at(&status, view.now, in_progress, zone)
 }
 
-fn in_wave(view: &View<'_>, id: &WaveId) -> Vec<InstanceId> {
+fn instances_in_wave(view: &View<'_>, id: &WaveId) -> Vec<InstanceId> {
     let steps = view.document.placements.iter().filter(|(_, placement)| {
         let kind = placement.step.as_ref().map(|step| &step.kind);
         matches!(kind, Some(StepKind::Maintain { wave }) if wave == id)
@@ -249,7 +252,7 @@
     steps.map(|(instance, _)| instance.clone()).collect()
 }
 
-fn reason(refusal: &Refusal) -> String {
+fn refusal_text(refusal: &Refusal) -> String {
     let row = refusal.code.row();
     match &refusal.inputs {
         cassiafold_fleet::Inputs::None => format!("{} (code {})", row.meaning, row.number),
--- a/crates/cassiafold/src/instances.rs
+++ b/crates/cassiafold/src/instances.rs
@@ -16,7 +16,7 @@
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// How long an instance that was listed as leaving must be listed as live before it counts as
 /// live: the list lags and may go back.
-const LEAVING_HOLD: Duration = Duration::from_secs(10);
+const LEAVING_DEBOUNCE: Duration = Duration::from_secs(10);
 
 /// Instances as the request path sees them.
 #[derive(Debug, Clone)]
@@ -55,16 +55,16 @@
     }
 
     /// Follows list and fleet until dropped.
-    pub async fn follow<I: InstanceList>(&self, list: I, fleet: FleetHandle) {
+    pub async fn run_updates<I: InstanceList>(&self, list: I, fleet: FleetHandle) {
         let mut states = fleet.subscribe();
-        let mut leaving = LeavingHolds::default();
+        let mut debounce = LeavingDebounce::default();
         let mut ticks = interval(LIST_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
                     if let Ok(mut listed) = list.list().await {
-                        leaving.hold(&mut listed);
+                        debounce.apply(&mut listed);
                         self.listed.send_replace(Arc::new(listed));
                     }
                 }
@@ -93,18 +93,18 @@
 
 /// Keeps instances leaving for a time after they were listed so.
 #[derive(Debug, Default)]
-struct LeavingHolds {
-    last_leaving: HashMap<InstanceId, Instant>,
+struct LeavingDebounce {
+    last_listed_leaving: HashMap<InstanceId, Instant>,
 }
 
-impl LeavingHolds {
-    fn hold(&mut self, listed: &mut [ListedInstance]) {
+impl LeavingDebounce {
+    fn apply(&mut self, listed: &mut [ListedInstance]) {
         let now = Instant::now();
-        self.last_leaving.retain(|_, last| now.duration_since(*last) < LEAVING_HOLD);
+        self.last_listed_leaving.retain(|_, last| now.duration_since(*last) < LEAVING_DEBOUNCE);
         for instance in listed {
             if instance.state == InstanceState::Leaving {
-                self.last_leaving.insert(instance.id.clone(), now);
-            } else if self.last_leaving.contains_key(&instance.id) {
+                self.last_listed_leaving.insert(instance.id.clone(), now);
+            } else if self.last_listed_leaving.contains_key(&instance.id) {
                 instance.state = InstanceState::Leaving;
             }
         }
--- a/crates/cassiafold/src/instances/tests.rs
+++ b/crates/cassiafold/src/instances/tests.rs
@@ -6,7 +6,7 @@
 use cassiafold_platform::ListedInstance;
 use cassiafold_standin::MemoryInstances;
 
-use super::{InstanceView, LEAVING_HOLD, LIST_INTERVAL};
+use super::{InstanceView, LEAVING_DEBOUNCE, LIST_INTERVAL};
 
 fn listed(id: &str) -> ListedInstance {
     ListedInstance {
@@ -32,23 +32,24 @@
     Arc::new(document)
 }
 
-struct Bench {
+struct Fixture {
     list: MemoryInstances,
     fleet: FleetHandle,
     view: InstanceView,
 }
 
-impl Bench {
+impl Fixture {
     fn start() -> Self {
-        let bench = Self {
+        let fixture = Self {
             list: MemoryInstances::default(),
             fleet: FleetHandle::default(),
             view: InstanceView::default(),
         };
-        bench.list.put(listed("portal-1"));
-        let (view, list, fleet) = (bench.view.clone(), bench.list.clone(), bench.fleet.clone());
-        tokio::spawn(async move { view.follow(list, fleet).await });
-        bench
+        fixture.list.put(listed("portal-1"));
+        let (view, list, fleet) =
+            (fixture.view.clone(), fixture.list.clone(), fixture.fleet.clone());
+        tokio::spawn(async move { view.run_updates(list, fleet).await });
+        fixture
     }
 
     fn state(&self) -> Option<InstanceState> {
@@ -61,43 +62,43 @@
     }
 }
 
-async fn rounds(count: u32) {
+async fn list_intervals(count: u32) {
     tokio::time::sleep(LIST_INTERVAL * count + Duration::from_millis(1)).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_instance_takes_work_once_the_fleet_has_adopted_it() {
-    let bench = Bench::start();
-    rounds(2).await;
-    assert_eq!(bench.state(), None);
-    bench.fleet.update_if_newer(document(1, false));
-    rounds(1).await;
-    assert_eq!(bench.state(), Some(InstanceState::Live));
-    assert_eq!(bench.view.fleet_number(), 1);
+    let fixture = Fixture::start();
+    list_intervals(2).await;
+    assert_eq!(fixture.state(), None);
+    fixture.fleet.update_if_newer(document(1, false));
+    list_intervals(1).await;
+    assert_eq!(fixture.state(), Some(InstanceState::Live));
+    assert_eq!(fixture.view.fleet_number(), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_draining_instance_is_leaving_before_its_document_counts_as_followed() {
-    let bench = Bench::start();
-    bench.fleet.update_if_newer(document(1, false));
-    rounds(1).await;
-    let mut instances = bench.view.subscribe();
-    bench.fleet.update_if_newer(document(2, true));
+    let fixture = Fixture::start();
+    fixture.fleet.update_if_newer(document(1, false));
+    list_intervals(1).await;
+    let mut instances = fixture.view.subscribe();
+    fixture.fleet.update_if_newer(document(2, true));
     instances.changed().await.unwrap();
-    assert_eq!(bench.state(), Some(InstanceState::Leaving));
-    rounds(1).await;
-    assert_eq!(bench.view.fleet_number(), 2);
+    assert_eq!(fixture.state(), Some(InstanceState::Leaving));
+    list_intervals(1).await;
+    assert_eq!(fixture.view.fleet_number(), 2);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_list_that_goes_back_does_not_bring_a_leaving_instance_to_life() {
-    let bench = Bench::start();
-    bench.fleet.update_if_newer(document(1, false));
-    bench.list_as(InstanceState::Leaving);
-    rounds(1).await;
-    bench.list_as(InstanceState::Live);
-    rounds(2).await;
-    assert_eq!(bench.state(), Some(InstanceState::Leaving));
-    tokio::time::sleep(LEAVING_HOLD).await;
-    assert_eq!(bench.state(), Some(InstanceState::Live));
+    let fixture = Fixture::start();
+    fixture.fleet.update_if_newer(document(1, false));
+    fixture.list_as(InstanceState::Leaving);
+    list_intervals(1).await;
+    fixture.list_as(InstanceState::Live);
+    list_intervals(2).await;
+    assert_eq!(fixture.state(), Some(InstanceState::Leaving));
+    tokio::time::sleep(LEAVING_DEBOUNCE).await;
+    assert_eq!(fixture.state(), Some(InstanceState::Live));
 }
--- a/crates/cassiafold/src/isolation/tests.rs
+++ b/crates/cassiafold/src/isolation/tests.rs
@@ -8,15 +8,15 @@
 
 use super::Isolation;
 
-const KEYS_MAX: Duration = Duration::from_secs(600);
+const KEYED_REQUESTS_MAX: Duration = Duration::from_secs(600);
 
-struct Bench {
+struct Fixture {
     roster: Roster,
     contact: StoreContact,
     isolation: Isolation,
 }
 
-impl Bench {
+impl Fixture {
     fn start() -> Self {
         let roster = Roster::new(Identity {
             id: "a1".into(),
@@ -25,17 +25,20 @@
             address: ([127, 0, 0, 1], 1).into(),
             incarnation: 1,
         });
-        let bench =
-            Self { roster, contact: StoreContact::default(), isolation: Isolation::new(KEYS_MAX) };
-        let (contact, roster) = (bench.contact.clone(), bench.roster.clone());
-        tokio::spawn(bench.isolation.clone().follow(contact, roster, config()));
-        bench
+        let fixture = Self {
+            roster,
+            contact: StoreContact::default(),
+            isolation: Isolation::new(KEYED_REQUESTS_MAX),
+        };
+        let (contact, roster) = (fixture.contact.clone(), fixture.roster.clone());
+        tokio::spawn(fixture.isolation.clone().run_updates(contact, roster, config()));
+        fixture
     }
 
     /// Hears an entry instance of each of `zones` for a time, then nobody.
-    async fn hear(&self, zones: &[&str], store_reachable: bool, time: Duration) {
-        let beats = time.as_secs() / HEARD_MAX.as_secs() * 2;
-        for heartbeat in 0..beats {
+    async fn receive_heartbeats(&self, zones: &[&str], store_reachable: bool, time: Duration) {
+        let heartbeats = time.as_secs() / HEARD_MAX.as_secs() * 2;
+        for heartbeat in 0..heartbeats {
             for zone in zones {
                 self.roster.hear(heard(zone, heartbeat + 1, store_reachable), Route::OtherZone);
             }
@@ -72,41 +75,41 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_entry_instance_that_hears_nobody_stops_keyed_work_after_the_bound() {
-    let bench = Bench::start();
-    bench.contact.note();
-    tokio::time::sleep(KEYS_MAX).await;
-    assert!(!bench.isolation.forbids_keys());
+    let fixture = Fixture::start();
+    fixture.contact.note();
+    tokio::time::sleep(KEYED_REQUESTS_MAX).await;
+    assert!(!fixture.isolation.rejects_keyed_requests());
     tokio::time::sleep(Duration::from_secs(60)).await;
-    assert!(bench.isolation.forbids_keys());
+    assert!(fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_outage_of_the_store_alone_stops_nothing() {
-    let bench = Bench::start();
-    bench.hear(&["b", "c"], false, LONG).await;
-    assert!(!bench.isolation.forbids_keys());
+    let fixture = Fixture::start();
+    fixture.receive_heartbeats(&["b", "c"], false, LONG).await;
+    assert!(!fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
 async fn two_zones_cut_off_together_do_not_count_as_in_touch() {
-    let bench = Bench::start();
-    bench.hear(&["b"], false, LONG).await;
-    assert!(bench.isolation.forbids_keys());
+    let fixture = Fixture::start();
+    fixture.receive_heartbeats(&["b"], false, LONG).await;
+    assert!(fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_peer_that_reaches_the_store_keeps_one_in_touch() {
-    let bench = Bench::start();
-    bench.hear(&["b"], true, LONG).await;
-    assert!(!bench.isolation.forbids_keys());
+    let fixture = Fixture::start();
+    fixture.receive_heartbeats(&["b"], true, LONG).await;
+    assert!(!fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
 async fn keyed_work_goes_on_after_the_return() {
-    let bench = Bench::start();
+    let fixture = Fixture::start();
     tokio::time::sleep(LONG).await;
-    assert!(bench.isolation.forbids_keys());
-    bench.contact.note();
+    assert!(fixture.isolation.rejects_keyed_requests());
+    fixture.contact.note();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert!(!bench.isolation.forbids_keys());
+    assert!(!fixture.isolation.rejects_keyed_requests());
 }
--- a/crates/cassiafold/src/key.rs
+++ b/crates/cassiafold/src/key.rs
@@ -10,14 +10,14 @@
 use serde::Serialize;
 
 use crate::change::print_change;
-use crate::client::{Call, Client, read_secret};
+use crate::client::{ApiRequest, Client, read_secret};
 use crate::error::{Error, Result};
+use crate::operator_command::{required_id, unknown_subcommand};
 use crate::output::{Output, print_json};
-use crate::verb::{required_id, unknown_subcommand};
 
 /// `key` and its subcommands.
 #[derive(Debug)]
-pub enum KeyVerb {
+pub enum KeyCommand {
     /// Makes a key and grants it.
     Grant {
         /// Team of the key.
@@ -28,13 +28,13 @@
         /// Team of the keys.
         team: String,
         /// Which keys.
-        which: Which,
+        selection: KeySelection,
     },
 }
 
 /// Keys to withdraw.
 #[derive(Debug)]
-pub enum Which {
+pub enum KeySelection {
     /// The key with this hash.
     Hash(String),
     /// The key in this file.
@@ -52,21 +52,22 @@
     change: &'a ChangeAnswer,
 }
 
-impl TryFrom<&ArgMatches> for KeyVerb {
+impl TryFrom<&ArgMatches> for KeyCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
         match matches.subcommand() {
             Some(("grant", matches)) => Ok(Self::Grant { team: required_id(matches, "team")? }),
-            Some(("withdraw", matches)) => {
-                Ok(Self::Withdraw { team: required_id(matches, "team")?, which: matches.into() })
-            }
+            Some(("withdraw", matches)) => Ok(Self::Withdraw {
+                team: required_id(matches, "team")?,
+                selection: matches.into(),
+            }),
             _ => Err(unknown_subcommand()),
         }
     }
 }
 
-impl From<&ArgMatches> for Which {
+impl From<&ArgMatches> for KeySelection {
     fn from(matches: &ArgMatches) -> Self {
         if let Some(hash) = matches.get_one::<String>("key-hash") {
             return Self::Hash(hash.clone());
@@ -78,12 +79,12 @@
     }
 }
 
-impl KeyVerb {
+impl KeyCommand {
     /// Runs the subcommand and prints its result.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
         match self {
             Self::Grant { team } => grant(client, team, output).await,
-            Self::Withdraw { team, which } => withdraw(client, team, which, output).await,
+            Self::Withdraw { team, selection } => withdraw(client, team, selection, output).await,
         }
     }
 }
@@ -92,7 +93,8 @@
     let key = new_key();
     let key_hash = KeyHash::of(&key).to_hex();
     let body = KeyBody { team: team.into(), key_hash: key_hash.clone() };
-    let answer: Result<ChangeAnswer> = client.call(&Call::post("/keys").with_body(&body)?).await;
+    let answer: Result<ChangeAnswer> =
+        client.send(&ApiRequest::post("/keys").with_body(&body)?).await;
     if let Err(Error::OutcomeUnknown { .. }) = &answer {
         eprintln!("the key with hash {key_hash} may have been granted; withdraw it by its hash");
     }
@@ -106,16 +108,21 @@
     print_change(change, output)
 }
 
-async fn withdraw(client: &Client, team: &str, which: &Which, output: Output) -> Result<()> {
-    let hash = match which {
-        Which::Hash(hash) => Some(hash.clone()),
-        Which::File(path) => Some(KeyHash::of(&read_secret(path)?).to_hex()),
-        Which::All => None,
+async fn withdraw(
+    client: &Client,
+    team: &str,
+    selection: &KeySelection,
+    output: Output,
+) -> Result<()> {
+    let hash = match selection {
+        KeySelection::Hash(hash) => Some(hash.clone()),
+        KeySelection::File(path) => Some(KeyHash::of(&read_secret(path)?).to_hex()),
+        KeySelection::All => None,
     };
     if hash.as_deref().is_some_and(|hash| KeyHash::from_hex(hash).is_none()) {
         return Err(Error::Usage("a key hash has 64 hexadecimal digits".into()));
     }
     let query = hash.map(|hash| format!("&key_hash={hash}")).unwrap_or_default();
-    let call = Call::new(Method::DELETE, format!("/keys?team={team}{query}"));
-    print_change(&client.call(&call).await?, output)
+    let request = ApiRequest::new(Method::DELETE, format!("/keys?team={team}{query}"));
+    print_change(&client.send(&request).await?, output)
 }
--- a/crates/cassiafold/src/lib.rs
+++ b/crates/cassiafold/src/lib.rs
@@ -6,6 +6,7 @@
 mod client;
 mod command;
 mod completions;
+mod components;
 mod config;
 mod credential;
 mod demo;
@@ -22,8 +23,8 @@
 mod load;
 mod logs;
 mod observer;
+mod operator_command;
 mod output;
-mod parts;
 mod pool;
 mod report;
 mod serve;
@@ -33,7 +34,6 @@
 mod status_source;
 mod symptoms;
 mod usage;
-mod verb;
 mod wave;
 mod zone;
 
@@ -45,7 +45,7 @@
         Ok(command) => command,
         Err(error) => return error::report(&error),
     };
-    logs::init(&command.logs, command.log_target());
+    logs::init(&command.log_format, command.log_target());
     match command.run() {
         Ok(code) => code,
         Err(error) => error::report(&error),
--- a/crates/cassiafold/src/load.rs
+++ b/crates/cassiafold/src/load.rs
@@ -7,7 +7,7 @@
 pub mod options;
 mod report;
 mod sender;
-mod tally;
+mod stats;
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -20,13 +20,13 @@
 pub use self::options::LoadOptions;
 use self::report::Report;
 use self::sender::Sender;
-use self::tally::Tally;
+use self::stats::RunStats;
 use crate::error::Result;
 
 /// Sends the requests and prints what became of them.
 pub fn run(options: &LoadOptions) -> Result<ExitCode> {
     let runtime = tokio::runtime::Runtime::new()?;
-    let report = runtime.block_on(send_all(options))?;
+    let report = runtime.block_on(run_load(options))?;
     report.print(options.output)?;
     Ok(ExitCode::SUCCESS)
 }
@@ -42,7 +42,7 @@
 
 impl Schedule {
     /// Waits until the next request is due; `None` once all are taken or the run has ended.
-    async fn take(&self) -> Option<Instant> {
+    async fn next_due(&self) -> Option<Instant> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         if number >= self.requests {
             return None;
@@ -53,7 +53,7 @@
     }
 }
 
-async fn send_all(options: &LoadOptions) -> Result<Report> {
+async fn run_load(options: &LoadOptions) -> Result<Report> {
     let start = Instant::now();
     let schedule = Arc::new(Schedule {
         start,
@@ -68,20 +68,20 @@
         let sender = Sender::new(address, options.request.clone(), options.timeout);
         senders.spawn(send_due(sender, schedule.clone()));
     }
-    let mut total = Tally::default();
-    while let Some(tally) = senders.join_next().await {
-        total.add(&tally.map_err(std::io::Error::other)?);
+    let mut total = RunStats::default();
+    while let Some(stats) = senders.join_next().await {
+        total.merge(&stats.map_err(std::io::Error::other)?);
     }
     Ok(Report::new(&total, options.requests, start.elapsed()))
 }
 
 /// Sends requests, one at a time, as they fall due.
-async fn send_due(mut sender: Sender, schedule: Arc<Schedule>) -> Tally {
-    let mut tally = Tally::default();
-    while let Some(due) = schedule.take().await {
+async fn send_due(mut sender: Sender, schedule: Arc<Schedule>) -> RunStats {
+    let mut stats = RunStats::default();
+    while let Some(due) = schedule.next_due().await {
         let outcome = sender.send().await;
-        tally.record(outcome, due.elapsed());
+        stats.record(outcome, due.elapsed());
     }
     sender.close();
-    tally
+    stats
 }
--- a/crates/cassiafold/src/load/report.rs
+++ b/crates/cassiafold/src/load/report.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::tally::{Outcome, RunState, Tally};
+use super::stats::{Outcome, RunState, RunStats};
 use crate::error::Result;
 use crate::output::{Output, or_dash, print_json, print_table};
 
@@ -43,26 +43,32 @@
 impl From<&Histogram<u64>> for Latencies {
     fn from(latencies_us: &Histogram<u64>) -> Self {
         let ms = |latency_us: u64| latency_us as f64 / MICROSECONDS_PER_MILLISECOND;
-        let at = |quantile: f64| ms(latencies_us.value_at_quantile(quantile));
+        let quantile = |quantile: f64| ms(latencies_us.value_at_quantile(quantile));
         let max = ms(latencies_us.max());
-        Self { p50: at(0.5), p90: at(0.9), p99: at(0.99), p999: at(0.999), max }
+        Self {
+            p50: quantile(0.5),
+            p90: quantile(0.9),
+            p99: quantile(0.99),
+            p999: quantile(0.999),
+            max,
+        }
     }
 }
 
 impl Report {
     /// The report of a run of `planned` requests that took `duration`.
-    pub fn new(tally: &Tally, planned: u64, duration: Duration) -> Self {
-        let requests: u64 = tally.counts.values().sum();
+    pub fn new(stats: &RunStats, planned: u64, duration: Duration) -> Self {
+        let requests: u64 = stats.counts.values().sum();
         let duration_s = duration.as_secs_f64();
         let rows =
-            tally.counts.iter().map(|(outcome, count)| Row { outcome: *outcome, count: *count });
+            stats.counts.iter().map(|(outcome, count)| Row { outcome: *outcome, count: *count });
         Self {
             requests,
             unsent: planned.saturating_sub(requests),
             duration_s,
             rate_per_s: requests as f64 / duration_s,
             results: rows.collect(),
-            latency_ms: Latencies::from(&tally.latencies_us),
+            latency_ms: Latencies::from(&stats.latencies_us),
         }
     }
 
@@ -97,7 +103,7 @@
 
 fn run_text(run: RunState) -> Option<&'static str> {
     match run {
-        RunState::Unsaid => None,
+        RunState::Unspecified => None,
         RunState::NotRun => Some("not run"),
         RunState::OutcomeUnknown => Some("outcome unknown"),
     }
--- a/crates/cassiafold/src/load/sender.rs
+++ b/crates/cassiafold/src/load/sender.rs
@@ -13,11 +13,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-use super::tally::{Outcome, RunState};
+use super::stats::{Outcome, RunState};
 use crate::error::{Error, Result};
 
 /// Size of the largest answer that is read, in bytes.
-const ANSWER_BYTES_MAX: usize = 1024 * 1024;
+const RESPONSE_BYTES_MAX: usize = 1024 * 1024;
 /// Media type of a refusal (RFC 9457).
 const PROBLEM_JSON: &str = "application/problem+json";
 
@@ -137,14 +137,16 @@
     connection: &mut Connection,
     request: Request<Empty<Bytes>>,
 ) -> std::result::Result<Outcome, ExchangeError> {
-    let answer = connection.send_request(request).await?;
-    let status = answer.status();
+    let response = connection.send_request(request).await?;
+    let status = response.status();
     let is_problem =
-        answer.headers().get(CONTENT_TYPE).is_some_and(|media_type| media_type == PROBLEM_JSON);
-    let body = Limited::new(answer.into_body(), ANSWER_BYTES_MAX).collect().await?.to_bytes();
+        response.headers().get(CONTENT_TYPE).is_some_and(|media_type| media_type == PROBLEM_JSON);
+    let body = Limited::new(response.into_body(), RESPONSE_BYTES_MAX).collect().await?.to_bytes();
     Ok(match is_problem {
         true => refusal(status, &body),
-        false => Outcome::Answered { status: status.as_u16(), code: None, run: RunState::Unsaid },
+        false => {
+            Outcome::Answered { status: status.as_u16(), code: None, run: RunState::Unspecified }
+        }
     })
 }
 
@@ -152,7 +154,7 @@
     let problem = serde_json::from_slice::<Problem>(body).ok();
     let (code, run) = match problem {
         Some(problem) => (Some(problem.code), problem.run_state.into()),
-        None => (None, RunState::Unsaid),
+        None => (None, RunState::Unspecified),
     };
     Outcome::Answered { status: status.as_u16(), code, run }
 }
--- a/crates/cassiafold/src/load/tally.rs
+++ b/crates/cassiafold/src/load/stats.rs
@@ -16,7 +16,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
     /// It says nothing, as the answer of a backend server.
-    Unsaid,
+    #[serde(rename = "unsaid")]
+    Unspecified,
     /// The request was not run.
     NotRun,
     /// The request may have been run.
@@ -52,14 +53,14 @@
 
 /// Outcomes of many requests.
 #[derive(Debug, Clone)]
-pub struct Tally {
+pub struct RunStats {
     /// Number of requests by outcome.
     pub counts: BTreeMap<Outcome, u64>,
     /// Time from due to the whole answer, of the answered requests, in microseconds.
     pub latencies_us: Histogram<u64>,
 }
 
-impl Default for Tally {
+impl Default for RunStats {
     fn default() -> Self {
         let latencies_us = Histogram::new_with_max(LATENCY_US_MAX, LATENCY_DIGITS)
             .expect("the bounds of the histogram are valid");
@@ -67,7 +68,7 @@
     }
 }
 
-impl Tally {
+impl RunStats {
     /// Counts one request.
     pub fn record(&mut self, outcome: Outcome, latency: Duration) {
         *self.counts.entry(outcome).or_default() += 1;
@@ -78,7 +79,7 @@
     }
 
     /// Adds the requests of another tally.
-    pub fn add(&mut self, other: &Self) {
+    pub fn merge(&mut self, other: &Self) {
         for (outcome, count) in &other.counts {
             *self.counts.entry(*outcome).or_default() += count;
         }
--- a/crates/cassiafold/src/load/tally/tests.rs
+++ b/crates/cassiafold/src/load/stats/tests.rs
@@ -1,15 +1,15 @@
 use std::time::Duration;
 
-use super::{Outcome, RunState, Tally};
+use super::{Outcome, RunState, RunStats};
 
 #[test]
 fn only_answered_requests_have_a_latency() {
-    let answered = Outcome::Answered { status: 200, code: None, run: RunState::Unsaid };
-    let (mut one, mut two) = (Tally::default(), Tally::default());
+    let answered = Outcome::Answered { status: 200, code: None, run: RunState::Unspecified };
+    let (mut one, mut two) = (RunStats::default(), RunStats::default());
     one.record(answered, Duration::from_millis(5));
     two.record(answered, Duration::from_millis(15));
     two.record(Outcome::TimedOut, Duration::from_secs(60));
-    one.add(&two);
+    one.merge(&two);
     assert_eq!(one.counts[&answered], 2);
     assert_eq!(one.counts[&Outcome::TimedOut], 1);
     assert_eq!(one.latencies_us.len(), 2);
--- a/crates/cassiafold/src/observer.rs
+++ b/crates/cassiafold/src/observer.rs
@@ -6,27 +6,27 @@
 
 use cassiafold_config::{InstanceId, ServiceId, ZoneId};
 use cassiafold_fleet::{Demand, Observations, Symptom};
-use cassiafold_membership::usage::Symptom as Seen;
+use cassiafold_membership::usage::Symptom as ReportedSymptom;
 use cassiafold_membership::{LiveEntry, Roster, Usage};
 use tokio::time::Instant;
 
 use crate::instances::InstanceView;
 
 /// How long a zone without a live entry instance counts as silent after one was heard there.
-const SILENT_MAX: Duration = Duration::from_secs(3_600);
+const SILENT_ZONE_MAX: Duration = Duration::from_secs(3_600);
 
 /// Merges reports. Clones share what they remember.
 #[derive(Debug, Clone)]
 pub struct Observer {
     roster: Roster,
     instances: InstanceView,
-    zones_heard: Arc<Mutex<HashMap<ZoneId, Instant>>>,
+    zones_last_live: Arc<Mutex<HashMap<ZoneId, Instant>>>,
 }
 
 impl Observer {
     /// An observer over the entry instances of `roster`.
     pub fn new(roster: Roster, instances: InstanceView) -> Self {
-        Self { roster, instances, zones_heard: Arc::default() }
+        Self { roster, instances, zones_last_live: Arc::default() }
     }
 
     /// What all live entry instances report now.
@@ -57,13 +57,14 @@
             let reports = |(id, usage): &(InstanceId, Arc<Usage>)| {
                 Some((zone_of.get(id)?.clone(), *usage.symptoms.get(&instance.id)?))
             };
-            let reports: Vec<(ZoneId, Seen)> = usages.iter().filter_map(reports).collect();
-            let local = reports.iter().find(|(zone, _)| *zone == instance.zone);
+            let reports: Vec<(ZoneId, ReportedSymptom)> =
+                usages.iter().filter_map(reports).collect();
+            let same_zone = reports.iter().find(|(zone, _)| *zone == instance.zone);
             let zone_watched = live.iter().any(|entry| entry.zone == instance.zone);
-            let remote =
+            let other_zones =
                 reports.first().filter(|_| !zone_watched && 2 * reports.len() > live.len());
-            if let Some((_, seen)) = local.or(remote) {
-                symptoms.insert(instance.id.clone(), symptom(*seen));
+            if let Some((_, reported)) = same_zone.or(other_zones) {
+                symptoms.insert(instance.id.clone(), symptom(*reported));
             }
         }
         symptoms
@@ -72,11 +73,11 @@
     /// Zones whose entry instances may be at work without being heard.
     fn unconfirmed_zones(&self, live: &[LiveEntry]) -> BTreeSet<ZoneId> {
         let now = Instant::now();
-        let mut heard = self.zones_heard.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut heard = self.zones_last_live.lock().unwrap_or_else(PoisonError::into_inner);
         for entry in live {
             heard.insert(entry.zone.clone(), now);
         }
-        heard.retain(|_, last| now.duration_since(*last) < SILENT_MAX);
+        heard.retain(|_, last| now.duration_since(*last) < SILENT_ZONE_MAX);
         let lost = heard.iter().filter(|(_, last)| **last < now).map(|(zone, _)| zone.clone());
         let confirmations = self.roster.confirmations();
         let unheard = confirmations.list.into_iter().filter(|entry| entry.ready.is_none());
@@ -84,11 +85,11 @@
     }
 }
 
-fn symptom(seen: Seen) -> Symptom {
-    match seen {
-        Seen::Unreachable => Symptom::Unreachable,
-        Seen::Hanging => Symptom::Hanging,
-        Seen::FailingAll => Symptom::FailingAll,
+fn symptom(reported: ReportedSymptom) -> Symptom {
+    match reported {
+        ReportedSymptom::Unreachable => Symptom::Unreachable,
+        ReportedSymptom::Hanging => Symptom::Hanging,
+        ReportedSymptom::FailingAll => Symptom::FailingAll,
     }
 }
 
--- a/crates/cassiafold/src/observer/tests.rs
+++ b/crates/cassiafold/src/observer/tests.rs
@@ -3,7 +3,7 @@
 
 use cassiafold_fleet::{FleetHandle, Symptom};
 use cassiafold_membership::roster::{HEARD_MAX, Heard, Route};
-use cassiafold_membership::usage::Symptom as Seen;
+use cassiafold_membership::usage::Symptom as ReportedSymptom;
 use cassiafold_membership::{Identity, QueueId, Roster, TeamUsage, Usage};
 use cassiafold_platform::ListedInstance;
 use cassiafold_standin::MemoryInstances;
@@ -21,7 +21,7 @@
     })
 }
 
-fn hear(roster: &Roster, id: &str, zone: &str, usage: Usage) {
+fn receive_usage(roster: &Roster, id: &str, zone: &str, usage: Usage) {
     let heard = Heard {
         id: id.into(),
         zone: zone.into(),
@@ -38,7 +38,7 @@
     Usage { fleet_number, ..Usage::default() }
 }
 
-fn seeing(symptom: Seen) -> Usage {
+fn usage_with_symptom(symptom: ReportedSymptom) -> Usage {
     Usage { symptoms: [("portal-1".into(), symptom)].into(), ..Usage::default() }
 }
 
@@ -52,7 +52,7 @@
         state: cassiafold_config::InstanceState::Live,
     });
     let followed = view.clone();
-    tokio::spawn(async move { followed.follow(list, FleetHandle::default()).await });
+    tokio::spawn(async move { followed.run_updates(list, FleetHandle::default()).await });
     tokio::time::sleep(Duration::from_millis(1)).await;
     Observer::new(roster.clone(), view)
 }
@@ -61,7 +61,7 @@
 async fn the_document_counts_as_confirmed_only_when_all_have_it() {
     let roster = roster();
     roster.beat(Arc::new(usage(7)), 1, true);
-    hear(&roster, "b1", "b", usage(5));
+    receive_usage(&roster, "b1", "b", usage(5));
     assert_eq!(observer(&roster).await.observe().confirmed, 5);
 }
 
@@ -74,7 +74,7 @@
         ..Usage::default()
     };
     roster.beat(Arc::new(draining(2)), 1, true);
-    hear(&roster, "b1", "b", draining(3));
+    receive_usage(&roster, "b1", "b", draining(3));
     assert_eq!(observer(&roster).await.observe().running(&"portal-1".into()), 5);
 }
 
@@ -82,12 +82,12 @@
 async fn demand_is_summed_by_service() {
     let roster = roster();
     let queue = QueueId { service: "portal".into(), team: "parishes".into() };
-    let asking = |running, waiting| Usage {
+    let usage_with_demand = |running, waiting| Usage {
         queues: [(queue.clone(), TeamUsage { running, waiting })].into(),
         ..Usage::default()
     };
-    roster.beat(Arc::new(asking(1, 10)), 1, true);
-    hear(&roster, "b1", "b", asking(2, 20));
+    roster.beat(Arc::new(usage_with_demand(1, 10)), 1, true);
+    receive_usage(&roster, "b1", "b", usage_with_demand(2, 20));
     let demand = observer(&roster).await.observe().demand["portal"];
     assert_eq!((demand.running, demand.waiting), (3, 30));
 }
@@ -95,15 +95,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_partition_between_zones_is_no_symptom() {
     let roster = roster();
-    roster.beat(Arc::new(seeing(Seen::Unreachable)), 1, true);
-    hear(&roster, "b1", "b", Usage::default());
+    roster.beat(Arc::new(usage_with_symptom(ReportedSymptom::Unreachable)), 1, true);
+    receive_usage(&roster, "b1", "b", Usage::default());
     assert!(observer(&roster).await.observe().symptoms.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_symptom_seen_in_the_own_zone_counts() {
     let roster = roster();
-    hear(&roster, "b1", "b", seeing(Seen::Hanging));
+    receive_usage(&roster, "b1", "b", usage_with_symptom(ReportedSymptom::Hanging));
     let symptoms = observer(&roster).await.observe().symptoms;
     assert_eq!(symptoms.get("portal-1"), Some(&Symptom::Hanging));
 }
@@ -111,7 +111,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_zone_whose_entry_instances_fall_silent_is_silent() {
     let roster = roster();
-    hear(&roster, "b1", "b", Usage::default());
+    receive_usage(&roster, "b1", "b", Usage::default());
     let observer = observer(&roster).await;
     assert!(observer.observe().unconfirmed_zones.is_empty());
     tokio::time::sleep(HEARD_MAX).await;
--- a/crates/cassiafold/src/verb.rs
+++ b/crates/cassiafold/src/operator_command.rs
@@ -6,20 +6,20 @@
 use clap::ArgMatches;
 
 use crate::client::Client;
-use crate::config::ConfigVerb;
+use crate::config::ConfigCommand;
 use crate::error::{Error, Result};
-use crate::explain::ExplainVerb;
-use crate::key::KeyVerb;
+use crate::explain::ExplainCommand;
+use crate::key::KeyCommand;
 use crate::output::Output;
-use crate::pool::PoolVerb;
-use crate::report::ReportVerb;
-use crate::status::StatusVerb;
-use crate::wave::WaveVerb;
-use crate::zone::ZoneVerb;
+use crate::pool::PoolCommand;
+use crate::report::ReportCommand;
+use crate::status::StatusCommand;
+use crate::wave::WaveCommand;
+use crate::zone::ZoneCommand;
 
 /// A verb with what it needs to run.
 #[derive(Debug)]
-pub struct Verb {
+pub struct OperatorCommand {
     client: Client,
     output: Output,
     action: Action,
@@ -27,21 +27,21 @@
 
 #[derive(Debug)]
 enum Action {
-    Status(StatusVerb),
-    Config(ConfigVerb),
-    Key(KeyVerb),
-    Zone(ZoneVerb),
-    Pool(PoolVerb),
-    Wave(WaveVerb),
-    Explain(ExplainVerb),
-    Report(ReportVerb),
+    Status(StatusCommand),
+    Config(ConfigCommand),
+    Key(KeyCommand),
+    Zone(ZoneCommand),
+    Pool(PoolCommand),
+    Wave(WaveCommand),
+    Explain(ExplainCommand),
+    Report(ReportCommand),
 }
 
-impl Verb {
+impl OperatorCommand {
     /// Reads a verb from the matches of its subcommand.
     pub fn read(name: &str, matches: &ArgMatches) -> Result<Self> {
         let action = match name {
-            "status" => Action::Status(StatusVerb),
+            "status" => Action::Status(StatusCommand),
             "config" => Action::Config(matches.try_into()?),
             "key" => Action::Key(matches.try_into()?),
             "zone" => Action::Zone(matches.try_into()?),
@@ -65,14 +65,14 @@
     async fn act(&self) -> Result<()> {
         let (client, output) = (&self.client, self.output);
         match &self.action {
-            Action::Status(verb) => verb.run(client, output).await,
-            Action::Config(verb) => verb.run(client, output).await,
-            Action::Key(verb) => verb.run(client, output).await,
-            Action::Zone(verb) => verb.run(client, output).await,
-            Action::Pool(verb) => verb.run(client, output).await,
-            Action::Wave(verb) => verb.run(client, output).await,
-            Action::Report(verb) => verb.run(client, output).await,
-            Action::Explain(verb) => verb.run(client, output).await,
+            Action::Status(command) => command.run(client, output).await,
+            Action::Config(command) => command.run(client, output).await,
+            Action::Key(command) => command.run(client, output).await,
+            Action::Zone(command) => command.run(client, output).await,
+            Action::Pool(command) => command.run(client, output).await,
+            Action::Wave(command) => command.run(client, output).await,
+            Action::Report(command) => command.run(client, output).await,
+            Action::Explain(command) => command.run(client, output).await,
         }
     }
 }
--- a/crates/cassiafold/src/pool.rs
+++ b/crates/cassiafold/src/pool.rs
@@ -4,14 +4,14 @@
 use cassiafold_operators::wire::{MoveBody, PoolsAnswer};
 use clap::ArgMatches;
 
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::{Error, Result};
+use crate::operator_command::{required, required_id, unknown_subcommand};
 use crate::output::{Output, or_dash, print_json, print_table};
-use crate::verb::{required, required_id, unknown_subcommand};
 
 /// `pool` and its subcommands.
 #[derive(Debug)]
-pub enum PoolVerb {
+pub enum PoolCommand {
     /// Shows pools.
     List,
     /// Moves instances.
@@ -23,7 +23,7 @@
     },
 }
 
-impl TryFrom<&ArgMatches> for PoolVerb {
+impl TryFrom<&ArgMatches> for PoolCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
@@ -47,7 +47,7 @@
     Selection::Instances(instances.map(|id| id.as_str().into()).collect())
 }
 
-impl PoolVerb {
+impl PoolCommand {
     /// Runs the subcommand and prints its result.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
         match self {
@@ -58,7 +58,7 @@
 }
 
 async fn list(client: &Client, output: Output) -> Result<()> {
-    let answer: PoolsAnswer = client.call(&Call::get("/pools")).await?;
+    let answer: PoolsAnswer = client.send(&ApiRequest::get("/pools")).await?;
     if output == Output::Json {
         return print_json(&answer);
     }
@@ -95,8 +95,8 @@
     body: &MoveBody,
     output: Output,
 ) -> Result<()> {
-    let call = Call::post(format!("/pools/{from}/move")).with_body(body)?;
-    let answer: MoveAnswer = client.call(&call).await?;
+    let request = ApiRequest::post(format!("/pools/{from}/move")).with_body(body)?;
+    let answer: MoveAnswer = client.send(&request).await?;
     if output == Output::Json {
         return print_json(&answer);
     }
--- a/crates/cassiafold/src/report.rs
+++ b/crates/cassiafold/src/report.rs
@@ -6,17 +6,17 @@
 use clap::ArgMatches;
 use serde_json::json;
 
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::{Error, Result};
 use crate::output::{Output, print_json};
 
 /// `report`, with the file that it writes.
 #[derive(Debug)]
-pub struct ReportVerb {
+pub struct ReportCommand {
     file: PathBuf,
 }
 
-impl TryFrom<&ArgMatches> for ReportVerb {
+impl TryFrom<&ArgMatches> for ReportCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
@@ -26,10 +26,10 @@
     }
 }
 
-impl ReportVerb {
+impl ReportCommand {
     /// Writes the page and prints where it is.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let answer: ReportAnswer = client.call(&Call::get("/report")).await?;
+        let answer: ReportAnswer = client.send(&ApiRequest::get("/report")).await?;
         std::fs::write(&self.file, &answer.page)?;
         if output == Output::Json {
             return print_json(&json!({ "file": self.file, "bytes": answer.page.len() }));
--- a/crates/cassiafold/src/serve.rs
+++ b/crates/cassiafold/src/serve.rs
@@ -34,29 +34,29 @@
 use crate::error::Result;
 
 /// Time to live of the lease on the ownership.
-const OWNER_LEASE: Duration = Duration::from_millis(1_200);
+const OWNER_LEASE_TTL: Duration = Duration::from_millis(1_200);
 /// Longest random delay before a free ownership is claimed.
 const CLAIM_DELAY_MAX: Duration = Duration::from_millis(80);
 /// Delay for each time that a machine is weaker than a strong one.
-const CLAIM_DELAY_STEP: Duration = Duration::from_millis(50);
+const CLAIM_DELAY_PER_DEFICIT: Duration = Duration::from_millis(50);
 /// Most such delays.
-const CLAIM_DELAY_STEPS_MAX: f64 = 10.0;
+const CLAIM_DEFICIT_MAX: f64 = 10.0;
 /// Share of a core with which a machine claims without delay.
-const STRONG_CPU_SHARE: f64 = 0.25;
+const REFERENCE_CPU_SHARE: f64 = 0.25;
 /// Link with which a machine claims without delay.
-const STRONG_LINK_MBPS: f64 = 100.0;
+const REFERENCE_LINK_MBPS: f64 = 100.0;
 /// An instance whose view of the store is older than this takes no new callers.
-const VIEW_AGE_MAX: Duration = Duration::from_millis(2_600);
+const DESIRED_STATE_AGE_MAX: Duration = Duration::from_millis(2_600);
 /// Time after a stop in which callers are still sent here: two readiness checks and a bit.
-const LEAVING: Duration = Duration::from_millis(2_300);
+const SHUTDOWN_DELAY: Duration = Duration::from_millis(2_300);
 /// Time that requests in progress have to end after that.
-const DRAINING: Duration = Duration::from_millis(2_500);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Longest time in which a caller must send the head of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause after a connection could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-type PlatformDesk = Arc<JobApi<PlatformSite>>;
+type PlatformJobApi = Arc<JobApi<PlatformSite>>;
 
 /// Runs an entry instance until SIGTERM.
 pub fn run() -> Result<ExitCode> {
@@ -80,10 +80,10 @@
     store_metrics.register(&mut registry);
     let metrics = JobsMetrics::default();
     metrics.register(&mut registry);
-    let site = PlatformSite::new(&settings, store_metrics);
+    let clients = PlatformSite::new(&settings, store_metrics);
     let (sender, desired_states) = DesiredStateSender::new();
     let api = Arc::new(JobApi::new(
-        site.clone(),
+        clients.clone(),
         desired_states.clone(),
         sender.clone(),
         metrics.clone(),
@@ -91,35 +91,36 @@
     let stop = CancellationToken::new();
     emit!(JobsEvent::NodeStarted, instance = settings.instance, zone = settings.zone);
 
-    tokio::spawn(desired_state::follow(site.clone(), sender));
-    tokio::spawn(report_reloads(reload));
+    tokio::spawn(desired_state::follow(clients.clone(), sender));
+    tokio::spawn(validate_on_reload(reload));
     tokio::spawn(serve_metrics(
         settings.metrics_address,
         registry,
         desired_states.clone(),
         metrics.clone(),
     ));
-    tokio::spawn(answer_readiness(readiness, api.clone(), stop.clone()));
+    tokio::spawn(serve_readiness(readiness, api.clone(), stop.clone()));
     let owner_settings = OwnerSettings {
         instance: settings.instance.clone(),
-        lease_ttl: OWNER_LEASE.max(settings.lease_ttl_min),
+        lease_ttl: OWNER_LEASE_TTL.max(settings.lease_ttl_min),
         claim_delay_max: CLAIM_DELAY_MAX,
         claim_delay: claim_delay(&settings),
         scheduler: settings.scheduler,
         metrics: metrics.clone(),
         coalescing,
     };
-    let owner = tokio::spawn(owner::campaign(site, owner_settings, desired_states, stop.clone()));
-    let closing = CancellationToken::new();
-    let serving = tokio::spawn(serve_callers(callers, api, closing.clone()));
+    let owner =
+        tokio::spawn(owner::campaign(clients, owner_settings, desired_states, stop.clone()));
+    let stop_accepting = CancellationToken::new();
+    let serving = tokio::spawn(serve_callers(callers, api, stop_accepting.clone()));
     terminate.recv().await;
     stop.cancel();
     // The ownership is given back while callers are still sent here.
-    let leaving = tokio::time::Instant::now() + LEAVING;
+    let shutdown_at = tokio::time::Instant::now() + SHUTDOWN_DELAY;
     let _ = owner.await;
-    tokio::time::sleep_until(leaving).await;
-    closing.cancel();
-    let _ = timeout(DRAINING, serving).await;
+    tokio::time::sleep_until(shutdown_at).await;
+    stop_accepting.cancel();
+    let _ = timeout(DRAIN_TIMEOUT, serving).await;
     emit!(JobsEvent::NodeStopped, instance = settings.instance);
     Ok(ExitCode::SUCCESS)
 }
@@ -127,13 +128,13 @@
 /// Delay before a free ownership is claimed: an owner reads all jobs and orders all tasks, so the
 /// machines with more of a core and a faster link come first.
 fn claim_delay(settings: &PlatformSettings) -> Duration {
-    let processor = (STRONG_CPU_SHARE / settings.cpu_share.max(0.01) - 1.0).max(0.0);
-    let link = (STRONG_LINK_MBPS / settings.link_mbps.max(1.0) - 1.0).max(0.0);
-    CLAIM_DELAY_STEP.mul_f64((processor + link).min(CLAIM_DELAY_STEPS_MAX))
+    let cpu_deficit = (REFERENCE_CPU_SHARE / settings.cpu_share.max(0.01) - 1.0).max(0.0);
+    let link_deficit = (REFERENCE_LINK_MBPS / settings.link_mbps.max(1.0) - 1.0).max(0.0);
+    CLAIM_DELAY_PER_DEFICIT.mul_f64((cpu_deficit + link_deficit).min(CLAIM_DEFICIT_MAX))
 }
 
 /// Reads the settings again on SIGHUP and tells what came of it. The addresses stay.
-async fn report_reloads(mut reload: Signal) {
+async fn validate_on_reload(mut reload: Signal) {
     while reload.recv().await.is_some() {
         match read_settings(settings_path()) {
             Ok(settings) => emit!(JobsEvent::NodeReloaded, instance = settings.instance),
@@ -142,25 +143,29 @@
     }
 }
 
-async fn serve_callers(listener: TcpListener, api: PlatformDesk, closing: CancellationToken) {
+async fn serve_callers(
+    listener: TcpListener,
+    api: PlatformJobApi,
+    stop_accepting: CancellationToken,
+) {
     let graceful = GracefulShutdown::new();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = closing.cancelled() => break,
+            () = stop_accepting.cancelled() => break,
         };
         match accepted {
             Ok((stream, _)) => serve_caller(stream, api.clone(), &graceful),
             Err(error) => {
                 emit!(JobsEvent::ConnectionNotAccepted, error = error);
-                sleep(ACCEPT_RETRY).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
     graceful.shutdown().await;
 }
 
-fn serve_caller(stream: TcpStream, api: PlatformDesk, graceful: &GracefulShutdown) {
+fn serve_caller(stream: TcpStream, api: PlatformJobApi, graceful: &GracefulShutdown) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
         let api = api.clone();
@@ -193,7 +198,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 emit!(JobsEvent::ConnectionNotAccepted, error = error);
-                sleep(ACCEPT_RETRY).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -224,19 +229,19 @@
 }
 
 /// Answers readiness checks: 200 while this instance can serve callers.
-async fn answer_readiness(listener: TcpListener, api: PlatformDesk, stop: CancellationToken) {
+async fn serve_readiness(listener: TcpListener, api: PlatformJobApi, stop: CancellationToken) {
     loop {
         let (stream, _) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
                 emit!(JobsEvent::ConnectionNotAccepted, error = error);
-                sleep(ACCEPT_RETRY).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let (api, stop) = (api.clone(), stop.clone());
         let service = service_fn(move |request: Request<Incoming>| {
-            let is_ready = api.is_ready(VIEW_AGE_MAX) && !stop.is_cancelled();
+            let is_ready = api.is_ready(DESIRED_STATE_AGE_MAX) && !stop.is_cancelled();
             std::future::ready(Ok::<_, Infallible>(readiness(&request, is_ready)))
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
--- a/crates/cassiafold/src/standin.rs
+++ b/crates/cassiafold/src/standin.rs
@@ -19,7 +19,7 @@
 
 /// What is printed once all servers listen.
 #[derive(Debug, Serialize)]
-struct Ready {
+struct ReadyMessage {
     platform: PlatformAddresses,
     backends: Vec<ReadyBackend>,
 }
@@ -51,7 +51,7 @@
         }
     }
     let (backends, listed): (Vec<_>, Vec<_>) = backends.into_iter().unzip();
-    print_line(&Ready { platform: platform.addresses(), backends: listed })?;
+    print_line(&ReadyMessage { platform: platform.addresses(), backends: listed })?;
     tokio::select! {
         interrupted = tokio::signal::ctrl_c() => interrupted?,
         _ = terminate.recv() => {}
@@ -66,25 +66,29 @@
     group: &BackendGroup,
     index: usize,
 ) -> Result<(Backend, ReadyBackend)> {
-    let place = group.place(index);
+    let identity = group.identity(index);
     let options = BackendOptions {
         slots: group.slots,
         run_time: group.run_time,
         ..BackendOptions::default()
     };
-    let backend = Backend::start_with(place.id.clone(), BackendCounts::default(), options).await?;
+    let backend =
+        Backend::start_with(identity.id.clone(), BackendCounts::default(), options).await?;
     platform.instances.put(ListedInstance {
-        id: place.id.clone(),
+        id: identity.id.clone(),
         address: backend.address,
-        zone: place.zone.clone(),
-        rack: place.rack.clone(),
+        zone: identity.zone.clone(),
+        rack: identity.rack.clone(),
         state: InstanceState::Live,
     });
     let address = backend.address;
-    Ok((backend, ReadyBackend { id: place.id, address, zone: place.zone, rack: place.rack }))
+    Ok((
+        backend,
+        ReadyBackend { id: identity.id, address, zone: identity.zone, rack: identity.rack },
+    ))
 }
 
-fn print_line(ready: &Ready) -> Result<()> {
+fn print_line(ready: &ReadyMessage) -> Result<()> {
     let mut out = std::io::stdout().lock();
     writeln!(out, "{}", serde_json::to_string(ready)?)?;
     out.flush()?;
--- a/crates/cassiafold/src/standin/settings.rs
+++ b/crates/cassiafold/src/standin/settings.rs
@@ -85,7 +85,7 @@
 
 /// Where one backend server stands.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct BackendIdentity {
     /// Identifier of the instance.
     pub id: InstanceId,
     /// Availability zone of the instance.
@@ -96,10 +96,10 @@
 
 impl BackendGroup {
     /// Where the backend server with this number stands.
-    pub fn place(&self, index: usize) -> Place {
+    pub fn identity(&self, index: usize) -> BackendIdentity {
         let zone = self.zones[index % self.zones.len()].clone();
         let rack = index / self.zones.len() / RACK_SIZE;
-        Place {
+        BackendIdentity {
             id: format!("{}-{index}", self.name).into(),
             rack: format!("{zone}-{}-{rack}", self.name).into(),
             zone,
--- a/crates/cassiafold/src/standin/settings/tests.rs
+++ b/crates/cassiafold/src/standin/settings/tests.rs
@@ -11,14 +11,14 @@
 fn backend_servers_are_dealt_to_zones_and_racks() {
     let text = "backends: [{name: portal, count: 9, zones: [a, b]}]";
     let settings = read(text).unwrap();
-    let place = |index| {
-        let place = settings.backends[0].place(index);
-        format!("{} {} {}", place.id, place.zone, place.rack)
+    let identity = |index| {
+        let identity = settings.backends[0].identity(index);
+        format!("{} {} {}", identity.id, identity.zone, identity.rack)
     };
-    let places: Vec<String> = [0, 1, 7, 8].into_iter().map(place).collect();
+    let identities: Vec<String> = [0, 1, 7, 8].into_iter().map(identity).collect();
     let expected = ["portal-0 a a-portal-0", "portal-1 b b-portal-0", "portal-7 b b-portal-0"];
-    assert_eq!(places[..3], expected);
-    assert_eq!(places[3], "portal-8 a a-portal-1");
+    assert_eq!(identities[..3], expected);
+    assert_eq!(identities[3], "portal-8 a a-portal-1");
 }
 
 #[test]
--- a/crates/cassiafold/src/status.rs
+++ b/crates/cassiafold/src/status.rs
@@ -3,18 +3,18 @@
 use cassiafold_operators::source::{EntryStatus, TeamStatus};
 use cassiafold_operators::wire::StatusAnswer;
 
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::Result;
 use crate::output::{Output, or_dash, print_json, print_table};
 
 /// `status`.
 #[derive(Debug)]
-pub struct StatusVerb;
+pub struct StatusCommand;
 
-impl StatusVerb {
+impl StatusCommand {
     /// Prints the state of the entry instances.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let answer: StatusAnswer = client.call(&Call::get("/status")).await?;
+        let answer: StatusAnswer = client.send(&ApiRequest::get("/status")).await?;
         if output == Output::Json {
             return print_json(&answer);
         }
--- a/crates/cassiafold/src/symptoms.rs
+++ b/crates/cassiafold/src/symptoms.rs
@@ -11,34 +11,34 @@
 use tokio::time::Instant;
 
 /// Failed connects in a row that make an instance unreachable.
-const CONNECTS_FAILED_MIN: u32 = 3;
+const FAILED_CONNECTS_MIN: u32 = 3;
 /// Silent attempts in a row that make an instance hang.
-const SILENT_MIN: u32 = 2;
+const UNANSWERED_MIN: u32 = 2;
 /// Failed answers in a row that make an instance fail everything.
-const ANSWERS_FAILED_MIN: u32 = 5;
+const FAILED_RESPONSES_MIN: u32 = 5;
 /// How long evidence counts without new evidence.
-const EVIDENCE_KEPT: Duration = Duration::from_secs(180);
+const EVIDENCE_TTL: Duration = Duration::from_secs(180);
 
 /// Failures of one instance since its last success.
 #[derive(Debug, Clone, Copy)]
-struct Evidence {
-    connects_failed: u32,
-    silent: u32,
-    answers_failed: u32,
-    last: Instant,
+struct FailureCounts {
+    failed_connects: u32,
+    unanswered: u32,
+    failed_responses: u32,
+    last_failure: Instant,
 }
 
-impl Evidence {
+impl FailureCounts {
     fn new(now: Instant) -> Self {
-        Self { connects_failed: 0, silent: 0, answers_failed: 0, last: now }
+        Self { failed_connects: 0, unanswered: 0, failed_responses: 0, last_failure: now }
     }
 
     fn symptom(&self) -> Option<Symptom> {
-        if self.connects_failed >= CONNECTS_FAILED_MIN {
+        if self.failed_connects >= FAILED_CONNECTS_MIN {
             Some(Symptom::Unreachable)
-        } else if self.silent >= SILENT_MIN {
+        } else if self.unanswered >= UNANSWERED_MIN {
             Some(Symptom::Hanging)
-        } else if self.answers_failed >= ANSWERS_FAILED_MIN {
+        } else if self.failed_responses >= FAILED_RESPONSES_MIN {
             Some(Symptom::FailingAll)
         } else {
             None
@@ -49,57 +49,57 @@
 /// Symptoms that this entry instance has seen. Clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct Symptoms {
-    evidence: Arc<Mutex<HashMap<InstanceId, Evidence>>>,
+    failures: Arc<Mutex<HashMap<InstanceId, FailureCounts>>>,
 }
 
 impl Symptoms {
-    fn lock(&self) -> MutexGuard<'_, HashMap<InstanceId, Evidence>> {
-        self.evidence.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<InstanceId, FailureCounts>> {
+        self.failures.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes the result of one attempt.
-    pub fn note(&self, observation: &Observation) {
-        let mut evidence = self.lock();
+    pub fn record(&self, observation: &Observation) {
+        let mut failures = self.lock();
         let now = observation.at;
-        let entry = evidence.entry(observation.instance.clone());
+        let entry = failures.entry(observation.instance.clone());
         match observation.result {
             AttemptResult::Ok => {
-                evidence.remove(&observation.instance);
+                failures.remove(&observation.instance);
                 return;
             }
             AttemptResult::Refused => return,
             AttemptResult::ConnectFailed => {
-                entry.or_insert(Evidence::new(now)).connects_failed += 1;
+                entry.or_insert(FailureCounts::new(now)).failed_connects += 1;
             }
-            AttemptResult::Silent => entry.or_insert(Evidence::new(now)).silent += 1,
+            AttemptResult::Silent => entry.or_insert(FailureCounts::new(now)).unanswered += 1,
             AttemptResult::ServerError | AttemptResult::Broken => {
-                entry.or_insert(Evidence::new(now)).answers_failed += 1;
+                entry.or_insert(FailureCounts::new(now)).failed_responses += 1;
             }
         }
-        if let Some(known) = evidence.get_mut(&observation.instance) {
-            known.last = now;
+        if let Some(counts) = failures.get_mut(&observation.instance) {
+            counts.last_failure = now;
         }
     }
 
     /// Forgets what was seen of an instance on which a step is in progress.
-    pub fn forget(&self, id: &InstanceId) {
+    pub fn clear(&self, id: &InstanceId) {
         self.lock().remove(id);
     }
 
     /// Instances with symptoms now.
-    pub fn now(&self) -> BTreeMap<InstanceId, Symptom> {
-        let mut evidence = self.lock();
-        evidence.retain(|_, known| known.last.elapsed() < EVIDENCE_KEPT);
+    pub fn current(&self) -> BTreeMap<InstanceId, Symptom> {
+        let mut failures = self.lock();
+        failures.retain(|_, counts| counts.last_failure.elapsed() < EVIDENCE_TTL);
         let failing =
-            evidence.iter().filter_map(|(id, known)| Some((id.clone(), known.symptom()?)));
+            failures.iter().filter_map(|(id, counts)| Some((id.clone(), counts.symptom()?)));
         failing.collect()
     }
 
     /// Follows the attempts until their source has gone.
-    pub async fn follow(self, mut observations: broadcast::Receiver<Observation>) {
+    pub async fn run_updates(self, mut observations: broadcast::Receiver<Observation>) {
         loop {
             match observations.recv().await {
-                Ok(observation) => self.note(&observation),
+                Ok(observation) => self.record(&observation),
                 Err(broadcast::error::RecvError::Lagged(_)) => {}
                 Err(broadcast::error::RecvError::Closed) => return,
             }
--- a/crates/cassiafold/src/symptoms/tests.rs
+++ b/crates/cassiafold/src/symptoms/tests.rs
@@ -2,12 +2,12 @@
 use cassiafold_membership::usage::Symptom;
 use tokio::time::Instant;
 
-use super::{EVIDENCE_KEPT, Symptoms};
+use super::{EVIDENCE_TTL, Symptoms};
 
-fn note(symptoms: &Symptoms, results: &[AttemptResult]) {
+fn record(symptoms: &Symptoms, results: &[AttemptResult]) {
     for result in results {
         let at = Instant::now();
-        symptoms.note(&Observation { instance: "portal-1".into(), result: *result, at });
+        symptoms.record(&Observation { instance: "portal-1".into(), result: *result, at });
     }
 }
 
@@ -16,8 +16,8 @@
         #[tokio::test(start_paused = true)]
         async fn $name() {
             let symptoms = Symptoms::default();
-            note(&symptoms, &$results);
-            assert_eq!(symptoms.now().get("portal-1").copied(), $symptom);
+            record(&symptoms, &$results);
+            assert_eq!(symptoms.current().get("portal-1").copied(), $symptom);
         }
     )+};
 }
@@ -36,15 +36,15 @@
 #[tokio::test(start_paused = true)]
 async fn old_evidence_is_forgotten() {
     let symptoms = Symptoms::default();
-    note(&symptoms, &[ConnectFailed; 3]);
-    tokio::time::sleep(EVIDENCE_KEPT).await;
-    assert!(symptoms.now().is_empty());
+    record(&symptoms, &[ConnectFailed; 3]);
+    tokio::time::sleep(EVIDENCE_TTL).await;
+    assert!(symptoms.current().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn evidence_on_an_instance_with_a_step_is_forgotten() {
     let symptoms = Symptoms::default();
-    note(&symptoms, &[ConnectFailed; 3]);
-    symptoms.forget(&"portal-1".into());
-    assert!(symptoms.now().is_empty());
+    record(&symptoms, &[ConnectFailed; 3]);
+    symptoms.clear(&"portal-1".into());
+    assert!(symptoms.current().is_empty());
 }
--- a/crates/cassiafold/src/usage.rs
+++ b/crates/cassiafold/src/usage.rs
@@ -34,7 +34,7 @@
     }
 
     /// Samples until dropped.
-    pub async fn follow<E: Dependencies>(
+    pub async fn run_updates<E: Dependencies>(
         self,
         dispatcher: Dispatcher<E>,
         instances: InstanceView,
@@ -67,7 +67,7 @@
         usage.instances.into_iter().map(|usage| (usage.instance, usage.running)).collect();
     let mut draining = BTreeMap::new();
     for instance in known.iter().filter(|known| known.state == InstanceState::Leaving) {
-        symptoms.forget(&instance.id);
+        symptoms.clear(&instance.id);
         if let Some(running) = running.get(&instance.id) {
             draining.insert(instance.id.clone(), *running);
         }
@@ -77,7 +77,7 @@
         instances: running,
         fleet_number,
         draining,
-        symptoms: symptoms.now(),
+        symptoms: symptoms.current(),
         store_reachable: contact.is_reachable(),
     }
 }
--- a/crates/cassiafold/src/wave.rs
+++ b/crates/cassiafold/src/wave.rs
@@ -5,14 +5,14 @@
 use clap::ArgMatches;
 
 use crate::change::print_change;
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::{Error, Result};
+use crate::operator_command::{required_id, unknown_subcommand};
 use crate::output::{Output, or_dash, print_json, print_table};
-use crate::verb::{required_id, unknown_subcommand};
 
 /// `wave` and its subcommands.
 #[derive(Debug)]
-pub enum WaveVerb {
+pub enum WaveCommand {
     /// Shows waves.
     Status,
     /// Starts, pauses or resumes a wave.
@@ -24,7 +24,7 @@
     },
 }
 
-impl TryFrom<&ArgMatches> for WaveVerb {
+impl TryFrom<&ArgMatches> for WaveCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
@@ -38,21 +38,21 @@
     }
 }
 
-impl WaveVerb {
+impl WaveCommand {
     /// Runs the subcommand and prints its result.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
         match self {
             Self::Status => status(client, output).await,
             Self::Change { wave, action } => {
-                let call = Call::post(format!("/waves/{wave}/{action}"));
-                print_change(&client.call(&call).await?, output)
+                let request = ApiRequest::post(format!("/waves/{wave}/{action}"));
+                print_change(&client.send(&request).await?, output)
             }
         }
     }
 }
 
 async fn status(client: &Client, output: Output) -> Result<()> {
-    let answer: WavesAnswer = client.call(&Call::get("/waves")).await?;
+    let answer: WavesAnswer = client.send(&ApiRequest::get("/waves")).await?;
     if output == Output::Json {
         return print_json(&answer);
     }
--- a/crates/cassiafold/src/zone.rs
+++ b/crates/cassiafold/src/zone.rs
@@ -3,19 +3,19 @@
 use clap::ArgMatches;
 
 use crate::change::print_change;
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::{Error, Result};
+use crate::operator_command::{required_id, unknown_subcommand};
 use crate::output::Output;
-use crate::verb::{required_id, unknown_subcommand};
 
 /// `zone` and its subcommands.
 #[derive(Debug)]
-pub struct ZoneVerb {
+pub struct ZoneCommand {
     zone: String,
     action: &'static str,
 }
 
-impl TryFrom<&ArgMatches> for ZoneVerb {
+impl TryFrom<&ArgMatches> for ZoneCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
@@ -28,10 +28,10 @@
     }
 }
 
-impl ZoneVerb {
+impl ZoneCommand {
     /// Runs the subcommand and prints its result.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let call = Call::post(format!("/zones/{}/{}", self.zone, self.action));
-        print_change(&client.call(&call).await?, output)
+        let request = ApiRequest::post(format!("/zones/{}/{}", self.zone, self.action));
+        print_change(&client.send(&request).await?, output)
     }
 }
--- a/crates/cassiafold/tests/processes/caller.rs
+++ b/crates/cassiafold/tests/processes/caller.rs
@@ -11,11 +11,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const CALL_MAX: Duration = Duration::from_secs(40);
+const CALL_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// What a caller was told.
 #[derive(Debug, Clone, Default)]
-pub struct Told {
+pub struct CallerOutcome {
     /// Id of the request.
     pub request_id: String,
     /// HTTP status; zero without an answer.
@@ -35,11 +35,11 @@
     path: String,
     key: String,
     request_id: String,
-) -> Told {
+) -> CallerOutcome {
     let id = request_id.clone();
-    let answered = timeout(CALL_MAX, exchange(address, method, path, key, id)).await;
-    let told = answered.ok().flatten().unwrap_or_default();
-    Told { request_id, ..told }
+    let answered = timeout(CALL_TIMEOUT, exchange(address, method, path, key, id)).await;
+    let outcome = answered.ok().flatten().unwrap_or_default();
+    CallerOutcome { request_id, ..outcome }
 }
 
 async fn exchange(
@@ -48,7 +48,7 @@
     path: String,
     key: String,
     request_id: String,
-) -> Option<Told> {
+) -> Option<CallerOutcome> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
@@ -68,5 +68,5 @@
     let problem: serde_json::Value = serde_json::from_str(&body).unwrap_or_default();
     let code = problem["code"].as_u64();
     let run_state = problem["run_state"].as_str().map(str::to_owned);
-    Some(Told { request_id: String::new(), status, code, run_state, body })
+    Some(CallerOutcome { request_id: String::new(), status, code, run_state, body })
 }
--- a/crates/cassiafold/tests/processes/fleet.rs
+++ b/crates/cassiafold/tests/processes/fleet.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::caller::{Told, call};
+use crate::caller::{CallerOutcome, call};
 
 /// Key of the team `parishes`.
 pub const KEY: &str = "the-key";
@@ -26,7 +26,7 @@
 pub const OTHER_KEY: &str = "the-other-key";
 const CREDENTIAL: &str = "the-credential";
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const READY_MAX: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until `condition` holds, `limit` at most.
 pub async fn until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
@@ -83,7 +83,7 @@
         method: Method,
         path: &str,
         key: &str,
-    ) -> impl Future<Output = Told> + Send + 'static {
+    ) -> impl Future<Output = CallerOutcome> + Send + 'static {
         call(self.callers, method, format!("/queues/portal/{path}"), key.to_owned(), new_id())
     }
 
@@ -105,7 +105,7 @@
             code = self.child.try_wait().expect("a child").and_then(|status| status.code());
             code.is_some()
         };
-        until(READY_MAX, ended).await;
+        until(READY_TIMEOUT, ended).await;
         code
     }
 }
@@ -188,7 +188,7 @@
     }
 
     async fn wait_ready(&self) {
-        let deadline = Instant::now() + READY_MAX;
+        let deadline = Instant::now() + READY_TIMEOUT;
         for entry in &self.entries {
             while entry.call(Method::HEAD, "ready", KEY).await.status != 200 {
                 assert!(Instant::now() < deadline, "an entry instance did not become ready");
@@ -203,7 +203,7 @@
         entry.child = spawn(&entry.settings);
         let callers = entry.callers;
         let listens = || std::net::TcpStream::connect(callers).is_ok();
-        assert!(until(READY_MAX, listens).await, "the entry instance does not listen");
+        assert!(until(READY_TIMEOUT, listens).await, "the entry instance does not listen");
     }
 
     /// Runs an operators' verb at the entry instances.
@@ -229,7 +229,12 @@
     }
 
     /// Sends requests to every entry instance, `parallel` at a time to each, for `time`.
-    pub fn load(&self, method: Method, parallel: usize, time: Duration) -> JoinHandle<Vec<Told>> {
+    pub fn load(
+        &self,
+        method: Method,
+        parallel: usize,
+        time: Duration,
+    ) -> JoinHandle<Vec<CallerOutcome>> {
         let callers = self.entries.iter().flat_map(|entry| vec![entry.callers; parallel]);
         load(callers.collect(), &method, KEY, time)
     }
@@ -241,7 +246,7 @@
         key: &'static str,
         parallel: usize,
         time: Duration,
-    ) -> JoinHandle<Vec<Told>> {
+    ) -> JoinHandle<Vec<CallerOutcome>> {
         load(vec![self.entries[index].callers; parallel], &Method::POST, key, time)
     }
 }
@@ -251,30 +256,35 @@
     method: &Method,
     key: &'static str,
     time: Duration,
-) -> JoinHandle<Vec<Told>> {
+) -> JoinHandle<Vec<CallerOutcome>> {
     let end = Instant::now() + time;
     let repeated = |address| tokio::spawn(repeat(address, method.clone(), key, end));
     let callers: Vec<_> = callers.into_iter().map(repeated).collect();
     tokio::spawn(async move {
-        let mut told = Vec::new();
+        let mut outcome = Vec::new();
         for caller in callers {
-            told.extend(caller.await.expect("the caller ends"));
+            outcome.extend(caller.await.expect("the caller ends"));
         }
-        told
+        outcome
     })
 }
 
-async fn repeat(address: SocketAddr, method: Method, key: &'static str, end: Instant) -> Vec<Told> {
-    let mut told = Vec::new();
+async fn repeat(
+    address: SocketAddr,
+    method: Method,
+    key: &'static str,
+    end: Instant,
+) -> Vec<CallerOutcome> {
+    let mut outcome = Vec::new();
     while Instant::now() < end {
         let path = "/queues/portal/order".to_owned();
         let answer = call(address, method.clone(), path, key.to_owned(), new_id()).await;
         if answer.status != 200 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        told.push(answer);
+        outcome.push(answer);
     }
-    told
+    outcome
 }
 
 async fn start_backends(
--- a/crates/cassiafold/tests/processes/main.rs
+++ b/crates/cassiafold/tests/processes/main.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use caller::Told;
+use caller::CallerOutcome;
 use cassiafold_standin::BackendOptions;
 use fleet::{Fleet, KEY, OTHER_KEY, until};
 use http::Method;
@@ -13,9 +13,9 @@
 use serde_json::json;
 
 /// Time within which a change must be in force everywhere.
-const IN_FORCE_MAX: Duration = Duration::from_secs(6);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Time after which nothing may start in a zone taken out, or on a leaving instance.
-const NO_START_AFTER: Duration = Duration::from_secs(2);
+const START_CUTOFF: Duration = Duration::from_secs(2);
 
 fn runs_for(run_time: Duration) -> BackendOptions {
     BackendOptions { run_time, slots: 64, ..BackendOptions::default() }
@@ -25,10 +25,10 @@
 async fn a_request_goes_through_separate_processes_and_comes_back_whole() {
     let fleet = Fleet::start(3, 6, BackendOptions::default(), |_| {}).await;
     for entry in &fleet.entries {
-        let told = entry.call(Method::POST, "order", KEY).await;
-        assert_eq!(told.status, 200, "{told:?}");
-        assert!(told.body.starts_with("served by portal-"), "{told:?}");
-        assert_eq!(fleet.counts.runs(&told.request_id), 1);
+        let outcome = entry.call(Method::POST, "order", KEY).await;
+        assert_eq!(outcome.status, 200, "{outcome:?}");
+        assert!(outcome.body.starts_with("served by portal-"), "{outcome:?}");
+        assert_eq!(fleet.counts.runs(&outcome.request_id), 1);
     }
 }
 
@@ -37,11 +37,11 @@
     let fleet = Fleet::start(3, 3, BackendOptions::default(), |_| {}).await;
     let output = fleet.operate(&["key", "withdraw", "--team", "parishes", "--all"]);
     assert!(output.status.success(), "{output:?}");
-    tokio::time::sleep(IN_FORCE_MAX).await;
+    tokio::time::sleep(PROPAGATION_TIMEOUT).await;
     for entry in &fleet.entries {
-        let told = entry.call(Method::GET, "order", KEY).await;
-        assert_eq!((told.status, told.code), (401, Some(302)), "{told:?}");
-        assert_eq!(fleet.counts.runs(&told.request_id), 0);
+        let outcome = entry.call(Method::GET, "order", KEY).await;
+        assert_eq!((outcome.status, outcome.code), (401, Some(302)), "{outcome:?}");
+        assert_eq!(fleet.counts.runs(&outcome.request_id), 0);
     }
 }
 
@@ -61,8 +61,8 @@
     fleet.entries[1].kill();
     tokio::time::sleep(Duration::from_secs(5)).await;
     fleet.entries[2].signal(Signal::SIGCONT);
-    let told = load.await.unwrap();
-    assert!(told.iter().any(|told| told.status == 200));
+    let outcome = load.await.unwrap();
+    assert!(outcome.iter().any(|outcome| outcome.status == 200));
     let running_max = fleet.backends[0].running_max();
     assert!(running_max <= LIMIT, "{running_max} requests ran at once");
 }
@@ -74,22 +74,22 @@
     let load = fleet.load(Method::POST, 8, Duration::from_secs(4));
     tokio::time::sleep(Duration::from_secs(2)).await;
     fleet.entries[0].kill();
-    let told = load.await.unwrap();
+    let outcome = load.await.unwrap();
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert!(told.len() > 100, "only {} requests", told.len());
-    for told in &told {
-        check_truth(told, fleet.counts.runs(&told.request_id));
+    assert!(outcome.len() > 100, "only {} requests", outcome.len());
+    for outcome in &outcome {
+        assert_outcome_matches_runs(outcome, fleet.counts.runs(&outcome.request_id));
     }
 }
 
 /// What the caller was told against how often the request was run.
-fn check_truth(told: &Told, runs: u32) {
-    assert!(runs <= 1, "{told:?} ran {runs} times");
-    if told.status == 200 {
-        assert_eq!(runs, 1, "{told:?}");
+fn assert_outcome_matches_runs(outcome: &CallerOutcome, runs: u32) {
+    assert!(runs <= 1, "{outcome:?} ran {runs} times");
+    if outcome.status == 200 {
+        assert_eq!(runs, 1, "{outcome:?}");
     }
-    if told.run_state.as_deref() == Some("not run") {
-        assert_eq!(runs, 0, "{told:?}");
+    if outcome.run_state.as_deref() == Some("not run") {
+        assert_eq!(runs, 0, "{outcome:?}");
     }
 }
 
@@ -97,17 +97,17 @@
 async fn an_outage_of_the_store_stops_no_request_and_refuses_patches() {
     let fleet = Fleet::start(3, 3, BackendOptions::default(), |_| {}).await;
     fleet.platform.store.faults().set_outage(true);
-    let told = fleet.load(Method::POST, 4, Duration::from_secs(5)).await.unwrap();
-    assert!(told.iter().all(|told| told.status == 200), "{:?}", first_refusal(&told));
+    let outcome = fleet.load(Method::POST, 4, Duration::from_secs(5)).await.unwrap();
+    assert!(outcome.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcome));
     let output = fleet.operate(&["zone", "out", "b"]);
     assert!(!output.status.success(), "{output:?}");
     fleet.platform.store.faults().set_outage(false);
     let accepted = || fleet.operate(&["zone", "out", "b"]).status.success();
-    assert!(until(IN_FORCE_MAX, accepted).await, "the patch was not accepted");
+    assert!(until(PROPAGATION_TIMEOUT, accepted).await, "the patch was not accepted");
 }
 
-fn first_refusal(told: &[Told]) -> Option<&Told> {
-    told.iter().find(|told| told.status != 200)
+fn first_refusal(outcome: &[CallerOutcome]) -> Option<&CallerOutcome> {
+    outcome.iter().find(|outcome| outcome.status != 200)
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -117,11 +117,11 @@
     let calls: Vec<_> =
         (0..8).map(|_| tokio::spawn(fleet.entries[0].call(Method::POST, "slow", KEY))).collect();
     let running = || fleet.backends.iter().map(|backend| backend.running()).sum::<u32>() == 8;
-    assert!(until(IN_FORCE_MAX, running).await, "the requests did not start");
+    assert!(until(PROPAGATION_TIMEOUT, running).await, "the requests did not start");
     fleet.entries[0].signal(Signal::SIGTERM);
     for call in calls {
-        let told = call.await.unwrap();
-        assert_eq!(told.status, 200, "{told:?}");
+        let outcome = call.await.unwrap();
+        assert_eq!(outcome.status, 200, "{outcome:?}");
     }
     assert_eq!(fleet.entries[0].exit_code().await, Some(0));
 }
@@ -131,12 +131,12 @@
     let fleet = Fleet::start(3, 6, BackendOptions::default(), |_| {}).await;
     let output = fleet.operate(&["zone", "out", "a"]);
     assert!(output.status.success(), "{output:?}");
-    tokio::time::sleep(NO_START_AFTER).await;
+    tokio::time::sleep(START_CUTOFF).await;
     for _ in 0..40 {
-        let told = fleet.entries[0].call(Method::POST, "order", KEY).await;
-        assert_eq!(told.status, 200, "{told:?}");
-        let served_in_a = ["portal-0", "portal-3"].iter().any(|id| told.body.contains(id));
-        assert!(!served_in_a, "{told:?}");
+        let outcome = fleet.entries[0].call(Method::POST, "order", KEY).await;
+        assert_eq!(outcome.status, 200, "{outcome:?}");
+        let served_in_a = ["portal-0", "portal-3"].iter().any(|id| outcome.body.contains(id));
+        assert!(!served_in_a, "{outcome:?}");
     }
 }
 
@@ -150,16 +150,16 @@
         .platform
         .instances
         .set_state(&"portal-0".into(), cassiafold_config::InstanceState::Leaving);
-    tokio::time::sleep(NO_START_AFTER).await;
-    let told = fleet.entries[0].call(Method::POST, "order", KEY).await;
-    assert!(told.body.contains("portal-1"), "{told:?}");
-    assert!(until(NO_START_AFTER, || fleet.backends[0].running() == 0).await);
+    tokio::time::sleep(START_CUTOFF).await;
+    let outcome = fleet.entries[0].call(Method::POST, "order", KEY).await;
+    assert!(outcome.body.contains("portal-1"), "{outcome:?}");
+    assert!(until(START_CUTOFF, || fleet.backends[0].running() == 0).await);
     for _ in 0..20 {
         assert_eq!(fleet.backends[0].running(), 0);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let told = load.await.unwrap();
-    assert!(told.iter().all(|told| told.status == 200), "{:?}", first_refusal(&told));
+    let outcome = load.await.unwrap();
+    assert!(outcome.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcome));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -172,7 +172,9 @@
     let time = Duration::from_secs(8);
     let large = fleet.load_at(0, KEY, 60, time);
     let small = fleet.load_at(1, OTHER_KEY, 12, time);
-    let whole = |told: Vec<Told>| told.iter().filter(|told| told.status == 200).count();
+    let whole = |outcome: Vec<CallerOutcome>| {
+        outcome.iter().filter(|outcome| outcome.status == 200).count()
+    };
     let (large, small) = (whole(large.await.unwrap()), whole(small.await.unwrap()));
     println!("whole answers: large {large}, small {small}");
     let share = (large + small) / 2;
@@ -195,7 +197,10 @@
         highest = version;
         version == 3
     };
-    assert!(until(IN_FORCE_MAX, caught_up).await, "the frozen entry instance did not catch up");
+    assert!(
+        until(PROPAGATION_TIMEOUT, caught_up).await,
+        "the frozen entry instance did not catch up"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -204,10 +209,10 @@
     fleet.platform.store.faults().set_outage(true);
     fleet.entries[1].kill();
     fleet.restart(1).await;
-    let told = fleet.entries[1].call(Method::GET, "order", "wrong-key").await;
-    assert!([302, 300].contains(&told.code.unwrap_or(0)), "{told:?}");
+    let outcome = fleet.entries[1].call(Method::GET, "order", "wrong-key").await;
+    assert!([302, 300].contains(&outcome.code.unwrap_or(0)), "{outcome:?}");
     let knows = || fleet.version_at(1) == 1;
-    assert!(until(2 * IN_FORCE_MAX, knows).await, "no configuration came from the peers");
+    assert!(until(2 * PROPAGATION_TIMEOUT, knows).await, "no configuration came from the peers");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -222,7 +227,7 @@
     })
     .await;
     let load = fleet.load(Method::POST, 4, Duration::from_secs(45));
-    let told = load.await.unwrap();
+    let outcome = load.await.unwrap();
     let mut reboots: Vec<String> = fleet
         .platform
         .instances
@@ -232,5 +237,5 @@
         .collect();
     reboots.sort();
     assert_eq!(reboots, ["portal-0", "portal-2"]);
-    assert!(told.iter().all(|told| told.status == 200), "{:?}", first_refusal(&told));
+    assert!(outcome.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcome));
 }
