--- a/crates/cassiafold/examples/daemon.rs
+++ b/crates/cassiafold/examples/daemon.rs
@@ -53,9 +53,10 @@
         let region = if index < ZONE_COUNT / 2 { "east" } else { "west" };
         (zone(index), json!({ "region": region }))
     });
-    let services = (1..POOL_COUNT).map(|index| (format!("s{index}"), json!({ "floor_share": 0.75 })));
-    let pools =
-        (1..POOL_COUNT).map(|index| (format!("p{index}"), json!({ "service": format!("s{index}") })));
+    let services =
+        (1..POOL_COUNT).map(|index| (format!("s{index}"), json!({ "floor_share": 0.75 })));
+    let pools = (1..POOL_COUNT)
+        .map(|index| (format!("p{index}"), json!({ "service": format!("s{index}") })));
     let spare = std::iter::once(("spare".to_owned(), json!({})));
     let teams = (0..teams).map(|index| {
         let hash = KeyHash::of(&format!("key-{index}")).to_hex();
--- a/crates/cassiafold/src/change.rs
+++ b/crates/cassiafold/src/change.rs
@@ -1,11 +1,11 @@
-//! Output of accepted changes of the configuration.
+//! Prints accepted configuration changes.
 
 use cassiafold_operators::wire::ChangeAnswer;
 
 use crate::error::Result;
 use crate::output::{Output, print_json, print_table};
 
-/// Prints the answer to a change.
+/// Prints the response to a change.
 pub fn print_change(answer: &ChangeAnswer, output: Output) -> Result<()> {
     if output == Output::Json {
         return print_json(answer);
--- a/crates/cassiafold/src/check.rs
+++ b/crates/cassiafold/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks settings files and configuration files.
+//! The `check` command, which validates settings files and configuration files.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -10,7 +10,7 @@
 use crate::error::{Error, Result};
 use crate::output::{Output, print_json};
 
-/// Verdict on one file.
+/// Result of checking one file.
 #[derive(Debug, Serialize)]
 struct CheckResult {
     file: String,
@@ -18,7 +18,7 @@
     faults: Faults,
 }
 
-/// Checks each file, prints every fault, and fails when there is one.
+/// Checks each file, prints every fault and returns a failure code if there are any.
 pub fn run(options: &CheckOptions) -> Result<ExitCode> {
     let results: Vec<CheckResult> =
         options.files.iter().map(|path| check(path)).collect::<Result<_>>()?;
--- a/crates/cassiafold/src/cli.rs
+++ b/crates/cassiafold/src/cli.rs
@@ -1,4 +1,4 @@
-//! Definition of the command line.
+//! Command-line definition.
 
 mod operator_commands;
 
--- a/crates/cassiafold/src/cli/operator_commands.rs
+++ b/crates/cassiafold/src/cli/operator_commands.rs
@@ -1,11 +1,11 @@
-//! Definition of the operators' verbs.
+//! Command-line definition of the operator commands.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use clap::{Arg, ArgAction, ArgGroup, Command, value_parser};
 
-/// Every verb that speaks to the operators' interface of an entry instance.
+/// Returns every command that sends requests to the operators' interface of an entry instance.
 pub fn all() -> Vec<Command> {
     let commands = vec![status(), config(), key(), zone(), pool(), wave(), explain(), report()];
     commands.into_iter().map(|command| command.args(connection())).collect()
--- a/crates/cassiafold/src/client.rs
+++ b/crates/cassiafold/src/client.rs
@@ -1,4 +1,4 @@
-//! Client of the operators' interface.
+//! HTTP client of the operators' interface.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -23,10 +23,10 @@
 
 use crate::error::{Error, Result};
 
-/// Variable that holds the operators' credential.
+/// Environment variable that holds the operators' credential.
 const CREDENTIAL_VARIABLE: &str = "CASSIAFOLD_CREDENTIAL";
 
-/// Sends requests to the first entry instance that answers.
+/// Sends each request to the configured entry instances in turn until one responds.
 #[derive(Debug)]
 pub struct Client {
     addresses: Vec<SocketAddr>,
@@ -35,7 +35,9 @@
     timeout: Duration,
 }
 
-/// One request. A repeat at another entry instance finds the first by the write id.
+/// A request to the operators' interface.
+///
+/// The write id identifies a retry of the same write at another entry instance.
 #[derive(Debug, Clone)]
 pub struct ApiRequest {
     method: Method,
@@ -47,7 +49,7 @@
 }
 
 impl ApiRequest {
-    /// A request without a body.
+    /// Creates a request without a body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -59,30 +61,30 @@
         }
     }
 
-    /// A request that reads.
+    /// Creates a GET request.
     pub fn get(path: impl Into<String>) -> Self {
         Self::new(Method::GET, path)
     }
 
-    /// A request that changes something.
+    /// Creates a POST request.
     pub fn post(path: impl Into<String>) -> Self {
         Self::new(Method::POST, path)
     }
 
-    /// Adds a JSON body.
+    /// Sets the JSON body.
     pub fn with_body(mut self, body: &impl Serialize) -> Result<Self> {
         self.body = serde_json::to_vec(body)?.into();
         Ok(self)
     }
 
-    /// Makes the request a patch of `base_version`.
+    /// Makes the request a patch of configuration version `base_version`.
     pub fn with_patch(mut self, base_version: u64, media_type: &'static str) -> Self {
         self.base_version = Some(base_version);
         self.media_type = media_type;
         self
     }
 
-    /// Repeats an earlier request.
+    /// Replaces the write id, if one is given, to retry an earlier request.
     pub fn with_write_id(mut self, write_id: Option<&str>) -> Self {
         if let Some(write_id) = write_id {
             self.write_id = write_id.to_owned();
@@ -91,18 +93,20 @@
     }
 }
 
-/// How one try of a request failed.
+/// Failure of one attempt to send a request.
 enum AttemptError {
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent(String),
-    /// The answer was lost.
+    /// The request was sent, but no usable response was received.
     ResponseLost(String),
-    /// The entry instance refused.
+    /// The entry instance refused the request.
     Refused(Box<WireProblem>),
 }
 
 impl Client {
-    /// Sends a request and reads its answer.
+    /// Sends a request and decodes its JSON response.
+    ///
+    /// Returns `Error::OutcomeUnknown` if a write may have taken effect.
     pub async fn send<T: DeserializeOwned>(&self, api_request: &ApiRequest) -> Result<T> {
         let bytes = self.send_in_turn(api_request).await?;
         Ok(serde_json::from_slice(&bytes)?)
@@ -115,7 +119,8 @@
         for address in &self.addresses {
             let attempt =
                 timeout(self.timeout, self.attempt(*address, &credential, api_request)).await;
-            let timed_out = || Err(AttemptError::ResponseLost("no answer in time".into()));
+            let timed_out =
+                || Err(AttemptError::ResponseLost("no response before the timeout".into()));
             match attempt.unwrap_or_else(|_| timed_out()) {
                 Ok(bytes) => return Ok(bytes),
                 Err(AttemptError::NotSent(reason)) => {
@@ -201,14 +206,16 @@
     }
 }
 
-/// Whether a refusal settles the request. Once an answer was lost, only the one does that finds
-/// the version replaced by another write.
+/// Returns whether a refusal ends the request without a further attempt.
+///
+/// After a lost response, an earlier attempt may have taken effect. Then only a stale base version
+/// is conclusive, because another write has replaced that version.
 fn is_conclusive(problem: &WireProblem, response_lost: bool) -> bool {
     let stale = OperatorsCode::VersionStale.row().number;
     problem.status < 500 && (!response_lost || problem.code == stale)
 }
 
-/// Reads a secret from a file, without the line end.
+/// Reads a secret from a file, without trailing whitespace.
 pub fn read_secret(path: &Path) -> Result<String> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| Error::ReadFile { path: path.to_owned(), source })?;
--- a/crates/cassiafold/src/command.rs
+++ b/crates/cassiafold/src/command.rs
@@ -1,4 +1,4 @@
-//! Turns the matches of the command line into one checked value and runs it.
+//! Parses the command-line matches into a validated command and runs it.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,19 +14,19 @@
 use crate::output::Output;
 use crate::{check, completions, credential, demo, entry, load, serve, standin};
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text for each event.
+    /// One line of text per event.
     Text,
-    /// One JSON object for each event.
+    /// One JSON object per event.
     Json,
 }
 
-/// A checked command.
+/// A validated command.
 #[derive(Debug)]
 pub struct Command {
-    /// How log lines are written.
+    /// Format of log lines.
     pub log_format: LogFormat,
     action: Action,
 }
@@ -47,9 +47,9 @@
 /// Options of `demo`.
 #[derive(Debug)]
 pub struct DemoOptions {
-    /// Sends one request and stops.
+    /// Whether the demo stops after one request.
     pub once: bool,
-    /// Configuration file to serve.
+    /// Configuration file that replaces the built-in one.
     pub config: Option<PathBuf>,
 }
 
@@ -58,7 +58,7 @@
 pub struct CheckOptions {
     /// Files to check.
     pub files: Vec<PathBuf>,
-    /// How results are written.
+    /// Format of the results.
     pub output: Output,
 }
 
@@ -103,7 +103,8 @@
 }
 
 impl Command {
-    /// Where log lines go. An instance writes them to standard output, which the platform keeps.
+    /// Returns the destination of log lines. `serve` writes them to standard output, which the
+    /// platform collects; all other commands use standard error.
     pub fn log_target(&self) -> Target {
         match self.action {
             Action::Serve => Target::Stdout,
--- a/crates/cassiafold/src/completions.rs
+++ b/crates/cassiafold/src/completions.rs
@@ -1,4 +1,4 @@
-//! Completions of the command line for a shell.
+//! The `completions` command, which writes shell completions.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
 use crate::cli;
 use crate::error::Result;
 
-/// Writes the completions of `shell` to standard output.
+/// Writes the completion script for `shell` to standard output.
 pub fn run(shell: Shell) -> Result<ExitCode> {
     let mut command = cli::build();
     let name = command.get_name().to_owned();
--- a/crates/cassiafold/src/config.rs
+++ b/crates/cassiafold/src/config.rs
@@ -1,4 +1,4 @@
-//! `config get`, `config patch` and `config history`.
+//! The `config get`, `config patch` and `config history` commands.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -19,16 +19,16 @@
 
 const MILLISECONDS_PER_SECOND: u64 = 1_000;
 
-/// `config` and its subcommands.
+/// The `config` command and its subcommands.
 #[derive(Debug)]
 pub enum ConfigCommand {
     /// Prints the newest configuration.
     Get,
-    /// Makes the next version.
+    /// Patches the configuration, which creates the next version.
     Patch(PatchOptions),
-    /// Shows who made the last versions.
+    /// Shows the authors of recent versions.
     History {
-        /// Versions to show.
+        /// Maximum number of versions to show.
         limit: u16,
     },
 }
--- a/crates/cassiafold/src/credential.rs
+++ b/crates/cassiafold/src/credential.rs
@@ -1,4 +1,4 @@
-//! `credential`: a new operators' credential and its hash.
+//! The `credential` command, which generates an operators' credential and its hash.
 
 use std::process::ExitCode;
 
@@ -9,14 +9,14 @@
 use crate::error::Result;
 use crate::output::{Output, print_json};
 
-/// A new credential. It is shown once and kept nowhere.
+/// A new credential. It is shown once and not stored.
 #[derive(Serialize)]
 struct NewCredential {
     credential: String,
     operators_key_hash: String,
 }
 
-/// Prints a random credential with the hash that goes into the settings.
+/// Prints a random credential and its hash, which belongs in the settings file.
 pub fn run(output: Output) -> Result<ExitCode> {
     let credential = new_key();
     let operators_key_hash = KeyHash::of(&credential).to_hex();
--- a/crates/cassiafold/src/demo.rs
+++ b/crates/cassiafold/src/demo.rs
@@ -1,4 +1,4 @@
-//! Demo: the stand-in platform, backend servers and entry instances in one process.
+//! The `demo` command: a stand-in platform, backend servers and entry instances in one process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
@@ -25,15 +25,16 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const ENTRY_COUNT: usize = 3;
 const INSTANCE_COUNT: usize = 6;
-/// Longest wait until all entry instances are ready.
+/// Timeout for all entry instances to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which readiness and the first response are polled.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait until a backend server takes the first request.
+/// Timeout for the first response of a backend server.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 type DemoPlatform = Platform<MemoryStore, MemoryInstances, MemoryInstances>;
 
-/// Runs the demo until it is interrupted, or for one request.
+/// Runs the demo until it is interrupted, or for one request if `options.once` is set.
 pub fn run(options: &DemoOptions) -> Result<ExitCode> {
     let runtime = tokio::runtime::Runtime::new()?;
     runtime.block_on(run_fleet(options))
@@ -125,7 +126,7 @@
     ready.map_err(|_| Error::Usage("the entry instances did not become ready".into()))
 }
 
-/// Asks until a backend server has answered.
+/// Retries a request until a backend server responds with success and returns the body.
 async fn first_response(address: SocketAddr) -> Result<String> {
     let response = async {
         loop {
--- a/crates/cassiafold/src/dependencies.rs
+++ b/crates/cassiafold/src/dependencies.rs
@@ -1,4 +1,4 @@
-//! What the request path asks of the rest of the entry instance.
+//! Sources from which the request path reads limits, shares, peer load and failure domains.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,16 +20,16 @@
 use crate::isolation::Isolation;
 use crate::usage::LocalUsage;
 
-/// Time between two updates of weights and of the load by others.
+/// Interval at which weights and peer load are updated.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Part of a request by which a sum of targets may miss the capacity that it takes up.
+/// Tolerance, in requests, when a sum of targets is compared with the capacity.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The bundle of sources of the request path.
+/// Sources of the request path.
 pub type EntryDependencies = Sources<EscrowLimits, ShareWeights, ReportedLoad, FailureDomains>;
 
-/// Upper limits by escrow. Anonymous work at open queues has none.
+/// Upper limits of teams, enforced through the escrow. Anonymous requests to open queues have none.
 #[derive(Debug, Clone)]
 pub struct EscrowLimits {
     escrow: Escrow,
@@ -38,12 +38,13 @@
 }
 
 impl EscrowLimits {
-    /// Limits by `escrow`; keyed work stops when `isolation` has lasted too long.
+    /// Creates limits on `escrow`. Requests with a key are rejected while `isolation` has lasted
+    /// longer than its bound.
     pub fn new(escrow: Escrow, isolation: Isolation) -> Self {
         Self { escrow, isolation, changes: watch::Sender::new(()) }
     }
 
-    /// Passes changes of the escrow and of the suspension on until the escrow has gone.
+    /// Notifies subscribers when the escrow or the suspension changes, until the escrow is dropped.
     pub async fn run_updates(self) {
         let mut changed = self.escrow.changed();
         let mut suspended = self.are_suspended();
@@ -94,15 +95,15 @@
 
 type WeightTable = HashMap<ServiceId, HashMap<TeamId, TeamShare>>;
 
-/// Part of a service that falls to a team at this entry instance.
+/// Share of a service for one team at this entry instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct TeamShare {
     weight: f64,
-    /// Most requests that run here while teams want more slots than there are.
+    /// Maximum number of running requests while demand exceeds the slots.
     running_max: Option<u32>,
 }
 
-/// Local weights that steer towards weighted max-min over all entry instances.
+/// Local weights that converge to weighted max-min fairness over all entry instances.
 #[derive(Debug, Clone, Default)]
 pub struct ShareWeights {
     table: Arc<ArcSwap<WeightTable>>,
@@ -110,7 +111,7 @@
 }
 
 impl ShareWeights {
-    /// Keeps the weights up to date until dropped.
+    /// Updates the weights at an interval. Never returns.
     pub async fn run_updates(
         self,
         shares: Shares,
@@ -146,7 +147,7 @@
     capacities.into_iter().filter_map(compute_weights).collect()
 }
 
-/// Requests that each service runs at once on the instances that take work now.
+/// Returns the slots of each service on live instances in open zones.
 fn capacities<'a>(config: &'a Config, instances: &[Instance]) -> HashMap<&'a ServiceId, u32> {
     let mut capacities = HashMap::new();
     let live = instances.iter().filter(|instance| {
@@ -159,8 +160,10 @@
     capacities
 }
 
-/// Parts of the teams of a service that runs `capacity` requests at once. When their targets take
-/// up all of it, each team is held to its part, so that those at other entry instances find slots.
+/// Returns the shares of the teams of a service with `capacity` slots.
+///
+/// If the targets use the whole capacity, each team is limited to its share, so that slots remain
+/// for teams at other entry instances.
 fn team_shares(capacity: u32, weights: Vec<TeamWeight>) -> HashMap<TeamId, TeamShare> {
     let target_sum: f64 = weights.iter().map(|weight| weight.target).sum();
     let contended = target_sum + ROUNDING_TOLERANCE >= f64::from(capacity);
@@ -191,7 +194,7 @@
     entry_count: u32,
 }
 
-/// Load that other entry instances put on backend servers.
+/// Load on backend servers from other entry instances, as they report it.
 #[derive(Debug, Clone, Default)]
 pub struct ReportedLoad {
     table: Arc<ArcSwap<LoadTable>>,
@@ -199,7 +202,7 @@
 }
 
 impl ReportedLoad {
-    /// Keeps the load up to date until dropped.
+    /// Updates the load at an interval. Never returns.
     pub async fn run_updates(self, roster: Roster) {
         loop {
             let table = load_of_others(&roster);
@@ -237,14 +240,14 @@
     }
 }
 
-/// Suspected failure domains, as the fleet has learned them.
+/// Failure domains that the fleet suspects.
 #[derive(Debug, Clone)]
 pub struct FailureDomains {
     fleet: FleetHandle,
 }
 
 impl FailureDomains {
-    /// Domains of `fleet`.
+    /// Creates a source that reads the domains of `fleet`.
     pub fn new(fleet: FleetHandle) -> Self {
         Self { fleet }
     }
--- a/crates/cassiafold/src/entry.rs
+++ b/crates/cassiafold/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry instance: its tasks and how they are joined.
+//! Runs an entry instance: wires its tasks together and stops them gracefully.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -25,14 +25,14 @@
 use crate::event::EntryEvent;
 use crate::usage::LocalUsage;
 
-/// Timeout of calls to the instance list and the instance control.
+/// Timeout of requests to the instance list and the instance control.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two looks at readiness.
+/// Interval at which readiness is polled.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Exit code when a stop was forced and requests were cut off.
+/// Exit code when the stop was forced and requests were aborted.
 pub const EXIT_FORCED_STOP: u8 = 7;
 
-/// Runs an entry instance until SIGTERM or SIGINT; a second signal cuts off what still runs.
+/// Runs an entry instance until SIGTERM or SIGINT; a second signal aborts requests that still run.
 pub fn run(settings: &Settings) -> Result<ExitCode> {
     let runtime = tokio::runtime::Runtime::new()?;
     runtime.block_on(serve(settings))
@@ -92,7 +92,7 @@
     }
 }
 
-/// Clients of the platform.
+/// Clients of the platform's services.
 #[derive(Debug, Clone)]
 pub struct Platform<S, I, K> {
     /// Client of the key-value service.
@@ -108,17 +108,18 @@
     server: Server<EntryDependencies>,
     membership: Membership,
     operators_address: SocketAddr,
-    /// Ends the control loop and the operators' interface.
+    /// Stops the control loop and the operators' interface when cancelled.
     stop: CancellationToken,
-    /// Tasks that end with the process.
+    /// Update tasks, which are aborted when the instance stops.
     background_tasks: JoinSet<()>,
-    /// Tasks that end by themselves once `stop` is set.
+    /// Tasks that complete after `stop` is cancelled.
     stoppable_tasks: JoinSet<()>,
+    /// Task that publishes readiness to the other entry instances.
     readiness_task: AbortHandle,
 }
 
 impl Entry {
-    /// Starts an entry instance. Must be called within a runtime.
+    /// Starts an entry instance. Must be called within a Tokio runtime.
     pub async fn start<S, I, K>(
         settings: &Settings,
         platform: Platform<S, I, K>,
@@ -179,23 +180,23 @@
         })
     }
 
-    /// Address on which callers are served.
+    /// Returns the address on which callers are served.
     pub fn callers_address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Address on which operators are served.
+    /// Returns the address on which operators are served.
     pub fn operators_address(&self) -> SocketAddr {
         self.operators_address
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether this instance accepts requests from callers.
     pub fn is_ready(&self) -> bool {
         self.server.caller_api().is_ready()
     }
 
-    /// Stops gracefully, then leaves the fleet. When `forced` completes first, what still runs is
-    /// cut off.
+    /// Waits for running requests, then leaves the fleet. If `forced` completes first, requests that
+    /// still run are aborted.
     pub async fn close(mut self, wait: Duration, forced: impl Future<Output = ()>) -> StopReport {
         self.readiness_task.abort();
         self.membership.set_ready(false);
@@ -209,7 +210,7 @@
     }
 }
 
-/// Tells the other entry instances whether this one is ready.
+/// Publishes the readiness of this entry instance to the others, until aborted.
 async fn publish_readiness(
     caller_api: CallerApi<EntryDependencies>,
     ready: cassiafold_membership::Readiness,
--- a/crates/cassiafold/src/environment.rs
+++ b/crates/cassiafold/src/environment.rs
@@ -1,4 +1,4 @@
-//! What surrounds the fleet's control loop in an entry instance.
+//! Environment of the fleet's control loop in an entry instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 use crate::observer::Observer;
 
-/// Longest time for a trial request.
+/// Timeout of a trial request.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Environment of the control loop.
@@ -30,9 +30,9 @@
     pub control: K,
     /// Configuration in force.
     pub config: ActiveConfig,
-    /// Reports of the entry instances.
+    /// Merged reports of the entry instances.
     pub observer: Observer,
-    /// The control role.
+    /// Lease on the control role.
     pub lease: ControlLease,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Sends one request; any answer but a server error passes.
+/// Sends a HEAD request and returns whether a response other than a server error was received.
 async fn succeeds(instance: &ListedInstance) -> bool {
     let Ok(stream) = TcpStream::connect(instance.address).await else { return false };
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
--- a/crates/cassiafold/src/error.rs
+++ b/crates/cassiafold/src/error.rs
@@ -13,21 +13,21 @@
 /// Errors that end a command.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The command line cannot be understood.
+    /// The command line or an input is invalid.
     #[error("{0}")]
     Usage(String),
     /// A file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     ReadFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// Cause of the failure.
         source: std::io::Error,
     },
-    /// Settings or a configuration are at fault.
+    /// The settings or the configuration are invalid.
     #[error("{0}")]
     Faults(#[from] Faults),
-    /// The platform's settings cannot be used.
+    /// The platform's settings are invalid.
     #[error("{0}")]
     PlatformSettings(#[from] cassiafold_adapter::SettingsError),
     /// The network or the runtime failed.
@@ -36,10 +36,10 @@
     /// A request to an entry instance failed.
     #[error("request failed: {0}")]
     Request(#[from] hyper::Error),
-    /// JSON cannot be read or written.
+    /// JSON could not be parsed or serialized.
     #[error("malformed JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// No entry instance answered.
+    /// No entry instance responded.
     #[error("no entry instance answered: {0}")]
     Unreachable(String),
     /// The operators' interface refused the request.
@@ -50,7 +50,7 @@
     OutcomeUnknown {
         /// Write id with which the request can be repeated.
         write_id: String,
-        /// How the answer was lost.
+        /// Why no response was received.
         reason: String,
     },
 }
@@ -74,7 +74,7 @@
 pub struct ExitRow {
     /// Number of the exit code.
     pub number: u8,
-    /// What the exit code means.
+    /// Meaning of the exit code.
     pub meaning: &'static str,
 }
 
@@ -98,7 +98,7 @@
 ];
 
 impl Error {
-    /// Exit code of the program for this error, as listed in `docs/CODES.md`.
+    /// Returns the exit code for this error, as listed in `docs/CODES.md`.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Usage(_) => 2,
--- a/crates/cassiafold/src/explain.rs
+++ b/crates/cassiafold/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the last decisions about one thing.
+//! The `explain` command, which shows recent decisions about an instance, pool, team or wave.
 
 use cassiafold_operators::source::{Decision, Explanation, Fact, Inputs, WhyNot};
 use clap::ArgMatches;
@@ -8,7 +8,7 @@
 use crate::operator_command::required;
 use crate::output::{Output, or_dash, print_json, print_table, utc_time};
 
-/// `explain`.
+/// The `explain` command.
 #[derive(Debug)]
 pub struct ExplainCommand {
     subject: String,
@@ -20,7 +20,7 @@
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
         let (subject, id) = (required(matches, "subject")?, required(matches, "id")?);
-        // Ids of instances are the platform's, which may use other characters than ours.
+        // The platform assigns instance ids and may use characters that `is_valid_id` rejects.
         let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
         if !id.bytes().all(allowed) {
             return Err(Error::Usage(format!("{id} is no id of an instance")));
@@ -30,7 +30,7 @@
 }
 
 impl ExplainCommand {
-    /// Prints the last decisions, newest first.
+    /// Prints recent decisions, newest first.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
         let request = ApiRequest::get(format!("/explain/{}/{}", self.subject, self.id));
         let answer: Explanation = client.send(&request).await?;
--- a/crates/cassiafold/src/fleet_source.rs
+++ b/crates/cassiafold/src/fleet_source.rs
@@ -1,4 +1,4 @@
-//! State of the fleet for the operators' interface, from what this entry instance knows.
+//! Fleet state for the operators' interface, as known to this entry instance.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -21,29 +21,29 @@
 use crate::instances::InstanceView;
 use crate::observer::Observer;
 
-/// Longest time for the store calls of a move.
+/// Timeout of the store requests of a move.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// State of the fleet as this entry instance knows it.
+/// Fleet state as known to this entry instance.
 #[derive(Debug, Clone)]
 pub struct EntryFleetSource<S> {
     /// Client of the key-value service.
     pub store: S,
     /// Configuration in force.
     pub config: ActiveConfig,
-    /// The fleet document as last seen.
+    /// Last received fleet document.
     pub fleet: FleetHandle,
-    /// The platform's list.
+    /// Instances from the platform's list.
     pub instances: InstanceView,
-    /// Reports of the entry instances.
+    /// Merged reports of the entry instances.
     pub observer: Observer,
-    /// Bounds of the planner.
+    /// Limits of the planner.
     pub policy: Policy,
-    /// This entry instance, which signs its writes.
+    /// Id of this entry instance, recorded as the writer of its changes.
     pub instance_id: InstanceId,
 }
 
-/// What a view borrows from.
+/// Owned data from which a `View` borrows.
 struct FleetSnapshot {
     config: Arc<Config>,
     state: FleetState,
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Decisions as stored; none while the store cannot be reached.
+    /// Loads the stored decisions; empty if the store is unreachable.
     async fn history(&self) -> History {
         let Ok(stored) = self.store.list(DECISIONS_PREFIX).await else {
             return History::default();
@@ -163,7 +163,10 @@
 }
 
 impl<S: Store> EntryFleetSource<S> {
-    /// Starts the moves one after the other, each within the budgets that the last one left.
+    /// Plans the moves one by one, each within the budgets that remain after the previous one.
+    ///
+    /// Returns the next document and the moved instances, or the last refusal if fewer instances
+    /// than requested can move.
     fn plan_moves(
         &self,
         snapshot: &FleetSnapshot,
--- a/crates/cassiafold/src/lib.rs
+++ b/crates/cassiafold/src/lib.rs
@@ -1,4 +1,4 @@
-//! Fleet capacity and maintenance manager: the program behind the command line.
+//! Fleet capacity and maintenance manager: the implementation of the `cassiafold` command.
 
 mod change;
 mod check;
@@ -39,7 +39,7 @@
 
 use std::process::ExitCode;
 
-/// Runs the command that the command line asks for and returns the exit code.
+/// Parses the command line, runs the requested command and returns its exit code.
 pub fn run() -> ExitCode {
     let command = match command::Command::try_from(cli::build().get_matches()) {
         Ok(command) => command,
--- a/crates/cassiafold/src/operator_command.rs
+++ b/crates/cassiafold/src/operator_command.rs
@@ -1,4 +1,4 @@
-//! Verbs of operators, run against the operators' interface of an entry instance.
+//! Operator commands, run against the operators' interface of an entry instance.
 
 use std::process::ExitCode;
 
@@ -17,7 +17,7 @@
 use crate::wave::WaveCommand;
 use crate::zone::ZoneCommand;
 
-/// A verb with what it needs to run.
+/// An operator command with its client and output format.
 #[derive(Debug)]
 pub struct OperatorCommand {
     client: Client,
@@ -38,7 +38,9 @@
 }
 
 impl OperatorCommand {
-    /// Reads a verb from the matches of its subcommand.
+    /// Parses an operator command from the matches of its subcommand.
+    ///
+    /// Returns `Error::Usage` if the command or an argument is invalid.
     pub fn read(name: &str, matches: &ArgMatches) -> Result<Self> {
         let action = match name {
             "status" => Action::Status(StatusCommand),
@@ -55,7 +57,7 @@
         Ok(Self { client, output: Output::from(innermost(matches)), action })
     }
 
-    /// Runs the verb and prints its result.
+    /// Runs the command and prints its result.
     pub fn run(&self) -> Result<ExitCode> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         runtime.block_on(self.act())?;
@@ -77,18 +79,18 @@
     }
 }
 
-/// Matches of the innermost subcommand, which hold the global options.
+/// Returns the matches of the innermost subcommand, which hold the global options.
 fn innermost(matches: &ArgMatches) -> &ArgMatches {
     matches.subcommand().map_or(matches, |(_, inner)| innermost(inner))
 }
 
-/// A required argument of a subcommand.
+/// Returns a required argument of a subcommand.
 pub fn required(matches: &ArgMatches, id: &str) -> Result<String> {
     let value = matches.get_one::<String>(id).cloned();
     value.ok_or_else(|| Error::Usage(format!("{id} is missing")))
 }
 
-/// A required argument that names a zone, a pool, a team or a wave.
+/// Returns a required argument that is the id of a zone, pool, team or wave.
 pub fn required_id(matches: &ArgMatches, id: &str) -> Result<String> {
     let value = required(matches, id)?;
     if !is_valid_id(&value) {
@@ -97,7 +99,7 @@
     Ok(value)
 }
 
-/// The error for a verb without a known subcommand.
+/// Returns the error for a missing or unknown subcommand.
 pub fn unknown_subcommand() -> Error {
     Error::Usage("unknown subcommand".into())
 }
