--- a/crates/cassiafold/examples/daemon.rs
+++ b/crates/cassiafold/examples/daemon.rs
@@ -1,9 +1,8 @@
-//! Measures whole entry processes without requests: processor time, resident memory and calls to
-//! the key-value service, over the number of instances and of teams. Prints one JSON object a
-//! line for each size.
+//! Measures idle entry processes: CPU time, resident memory and requests to the key-value service,
+//! by number of instances and teams. Prints one line of JSON per size.
 //!
 //! `cargo build --release -p cassiafold && cargo run --release -p cassiafold --example daemon`;
-//! with an argument, only that many sizes from the first.
+//! an optional argument limits the number of sizes.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -22,11 +21,11 @@
 const POOL_COUNT: usize = 44;
 const WARM_UP: Duration = Duration::from_secs(15);
 const MEASUREMENT_TIME: Duration = Duration::from_secs(20);
-/// Processor clock ticks in a second, as `/proc` counts them.
+/// CPU clock ticks per second in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
 const PORT_FIRST: u16 = 30_000;
 
-/// Number of instances and of teams.
+/// Numbers of instances and teams.
 const SIZES: [(usize, usize); 7] =
     [(870, 200), (100, 200), (200, 200), (400, 200), (870, 50), (870, 100), (870, 400)];
 
@@ -128,7 +127,7 @@
     Ok(Entry { child, id })
 }
 
-/// Processor time in seconds and resident memory in bytes of a process.
+/// Returns the CPU time in seconds and the resident memory in bytes of a process.
 fn usage(process: u32) -> Result<(f64, u64)> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
--- a/crates/cassiafold/examples/fit.rs
+++ b/crates/cassiafold/examples/fit.rs
@@ -1,5 +1,5 @@
-//! Fits straight lines to the measurements in `docs/measurements.jsonl` and prints them as a
-//! Markdown table: slope, value at zero, and the largest distance of a measurement from the line.
+//! Fits linear regressions to the measurements in `docs/measurements.jsonl` and prints a Markdown
+//! table of slope, intercept and largest residual.
 //!
 //! `cargo run --release -p cassiafold --example fit [FILE]`
 
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 
-/// One line to fit: measurements that `matches` picks, `y` over `x`.
+/// A regression of field `y` over field `x`, for the results whose fields equal `matches`.
 struct Series {
     name: &'static str,
     command: &'static str,
@@ -81,7 +81,7 @@
     points
 }
 
-/// Least squares: slope and value at zero.
+/// Returns the slope and intercept of the least-squares line.
 fn fit(points: &BTreeMap<u64, f64>) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.keys().map(|x| *x as f64).sum::<f64>() / count;
--- a/crates/cassiafold/src/change.rs
+++ b/crates/cassiafold/src/change.rs
@@ -6,17 +6,17 @@
 use crate::output::{Output, print_json, print_table};
 
 /// Prints the response to a change.
-pub fn print_change(answer: &ChangeAnswer, output: Output) -> Result<()> {
+pub fn print_change(response: &ChangeAnswer, output: Output) -> Result<()> {
     if output == Output::Json {
-        return print_json(answer);
+        return print_json(response);
     }
-    let note = match (answer.unchanged, answer.repeated) {
+    let suffix = match (response.unchanged, response.repeated) {
         (true, _) => ", which was so before",
         (_, true) => ", by an earlier request",
         _ => "",
     };
-    println!("version {}{note}", answer.version);
-    if answer.unconfirmed.is_empty() {
+    println!("version {}{suffix}", response.version);
+    if response.unconfirmed.is_empty() {
         println!("confirmed by every entry instance");
         return Ok(());
     }
@@ -24,6 +24,6 @@
     let row = |entry: &cassiafold_operators::wire::Unconfirmed| {
         [entry.instance_id.to_string(), entry.zone.to_string(), entry.version.to_string()]
     };
-    print_table(["ENTRY", "ZONE", "VERSION"], answer.unconfirmed.iter().map(row));
+    print_table(["ENTRY", "ZONE", "VERSION"], response.unconfirmed.iter().map(row));
     Ok(())
 }
--- a/crates/cassiafold/src/components.rs
+++ b/crates/cassiafold/src/components.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one entry instance share, and how they are joined.
+//! Components shared by the tasks of an entry instance.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 use crate::symptoms::Symptoms;
 use crate::usage::LocalUsage;
 
-/// What the tasks of one entry instance share. Clones share one state.
+/// Components shared by the tasks of an entry instance. Clones share one state.
 #[derive(Clone)]
 pub struct EntryComponents {
     instance_id: InstanceId,
@@ -44,7 +44,7 @@
 }
 
 impl EntryComponents {
-    /// The parts around `membership`.
+    /// Creates the components from the settings and the handles of `membership`.
     pub fn new(
         settings: &Settings,
         membership: &Membership,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Starts the request path and the tasks that keep its sources up to date.
+    /// Starts the request path and the tasks that update its sources.
     pub fn start_caller_api(
         &self,
         metrics: Metrics,
@@ -96,7 +96,7 @@
         CallerApi::start(dependencies, self.config.clone(), instances, self.zone.clone(), metrics)
     }
 
-    /// Starts the tasks that follow the platform and the request path.
+    /// Starts the tasks that track the platform's state and the load of the request path.
     pub fn spawn_background_tasks<S, I, K>(
         &self,
         platform: &Platform<S, I, K>,
@@ -124,7 +124,7 @@
         ));
     }
 
-    /// The control loop of the fleet.
+    /// Creates the control loop of the fleet.
     pub fn controller<S, I, K>(
         &self,
         platform: &Platform<S, I, K>,
@@ -150,7 +150,7 @@
         )
     }
 
-    /// What the operators' interface shows and changes.
+    /// Creates the sources of the operators' interface.
     pub fn sources<S: Store>(
         &self,
         store: S,
--- a/crates/cassiafold/src/config.rs
+++ b/crates/cassiafold/src/config.rs
@@ -105,12 +105,12 @@
 }
 
 async fn history(client: &Client, limit: u16, output: Output) -> Result<()> {
-    let answer: HistoryAnswer =
+    let response: HistoryAnswer =
         client.send(&ApiRequest::get(format!("/config/history?limit={limit}"))).await?;
     if output == Output::Json {
-        return print_json(&answer);
+        return print_json(&response);
     }
-    print_table(["VERSION", "OPERATOR", "TIME", "PATCH"], answer.versions.iter().map(row));
+    print_table(["VERSION", "OPERATOR", "TIME", "PATCH"], response.versions.iter().map(row));
     Ok(())
 }
 
--- a/crates/cassiafold/src/dependencies/tests.rs
+++ b/crates/cassiafold/src/dependencies/tests.rs
@@ -11,11 +11,11 @@
 }
 
 #[test]
-fn teams_are_held_to_their_parts_while_their_targets_take_up_all_slots() {
+fn teams_are_limited_to_their_shares_while_targets_use_all_slots() {
     assert_eq!(running_limits(80), [Some(9), Some(20)]);
 }
 
 #[test]
-fn teams_have_no_bound_while_slots_are_left() {
+fn teams_are_not_limited_while_slots_are_free() {
     assert_eq!(running_limits(81), [None, None]);
 }
--- a/crates/cassiafold/src/explain.rs
+++ b/crates/cassiafold/src/explain.rs
@@ -33,11 +33,11 @@
     /// Prints recent decisions, newest first.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
         let request = ApiRequest::get(format!("/explain/{}/{}", self.subject, self.id));
-        let answer: Explanation = client.send(&request).await?;
+        let response: Explanation = client.send(&request).await?;
         if output == Output::Json {
-            return print_json(&answer);
+            return print_json(&response);
         }
-        print_explanation(&answer);
+        print_explanation(&response);
         Ok(())
     }
 }
--- a/crates/cassiafold/src/fleet_source.rs
+++ b/crates/cassiafold/src/fleet_source.rs
@@ -21,7 +21,7 @@
 use crate::instances::InstanceView;
 use crate::observer::Observer;
 
-/// Timeout of the store requests of a move.
+/// Time limit for storing a move, including retries.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Fleet state as known to this entry instance.
--- a/crates/cassiafold/src/instances.rs
+++ b/crates/cassiafold/src/instances.rs
@@ -1,5 +1,4 @@
-//! The instances of the fleet as the request path sees them: the platform's list joined with the
-//! fleet document.
+//! Instances available to the request path: the platform's list joined with the fleet document.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,13 +11,13 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// Time between two reads of the list.
+/// Interval at which the list is read.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// How long an instance that was listed as leaving must be listed as live before it counts as
-/// live: the list lags and may go back.
+/// Time for which an instance stays leaving after it was last listed as leaving. The list lags and
+/// may return older states.
 const LEAVING_DEBOUNCE: Duration = Duration::from_secs(10);
 
-/// Instances as the request path sees them.
+/// Shared view of the instances for the request path. Clones share one state.
 #[derive(Debug, Clone)]
 pub struct InstanceView {
     instances: watch::Sender<Arc<Vec<Instance>>>,
@@ -34,27 +33,27 @@
 }
 
 impl InstanceView {
-    /// Receiver of the instances with their pools.
+    /// Returns a receiver of the instances with their pools.
     pub fn subscribe(&self) -> watch::Receiver<Arc<Vec<Instance>>> {
         self.instances.subscribe()
     }
 
-    /// Instances with their pools.
+    /// Returns the instances with their pools.
     pub fn load(&self) -> Arc<Vec<Instance>> {
         self.instances.borrow().clone()
     }
 
-    /// The list as last read.
+    /// Returns the last list read.
     pub fn listed(&self) -> Arc<Vec<ListedInstance>> {
         self.listed.borrow().clone()
     }
 
-    /// Number of the fleet document on which the request path acts.
+    /// Returns the number of the fleet document that the published instances reflect.
     pub fn fleet_number(&self) -> u64 {
         self.fleet_number.load(Ordering::Acquire)
     }
 
-    /// Follows list and fleet until dropped.
+    /// Publishes changes of the list and the fleet document until the fleet handle is dropped.
     pub async fn run_updates<I: InstanceList>(&self, list: I, fleet: FleetHandle) {
         let mut states = fleet.subscribe();
         let mut debounce = LeavingDebounce::default();
@@ -78,7 +77,8 @@
         }
     }
 
-    /// Publishes the instances first and the number of the document after them.
+    /// Publishes the instances before the document number, so that the number never refers to a
+    /// document whose instances are not yet published.
     fn publish(&self, state: &FleetState) {
         let listed = self.listed();
         let joined = Arc::new(listed.iter().filter_map(|listed| state.instance(listed)).collect());
@@ -91,7 +91,7 @@
     }
 }
 
-/// Keeps instances leaving for a time after they were listed so.
+/// Keeps instances in the leaving state for `LEAVING_DEBOUNCE` after they were last listed as such.
 #[derive(Debug, Default)]
 struct LeavingDebounce {
     last_listed_leaving: HashMap<InstanceId, Instant>,
--- a/crates/cassiafold/src/instances/tests.rs
+++ b/crates/cassiafold/src/instances/tests.rs
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_instance_takes_work_once_the_fleet_has_adopted_it() {
+async fn an_instance_is_published_once_the_fleet_has_adopted_it() {
     let fixture = Fixture::start();
     list_intervals(2).await;
     assert_eq!(fixture.state(), None);
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_draining_instance_is_leaving_before_its_document_counts_as_followed() {
+async fn a_draining_instance_is_published_as_leaving_before_its_document_number() {
     let fixture = Fixture::start();
     fixture.fleet.update_if_newer(document(1, false));
     list_intervals(1).await;
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_list_that_goes_back_does_not_bring_a_leaving_instance_to_life() {
+async fn a_leaving_instance_stays_leaving_when_the_list_reverts() {
     let fixture = Fixture::start();
     fixture.fleet.update_if_newer(document(1, false));
     fixture.list_as(InstanceState::Leaving);
--- a/crates/cassiafold/src/isolation.rs
+++ b/crates/cassiafold/src/isolation.rs
@@ -1,4 +1,4 @@
-//! How long this entry instance may have missed a change of the configuration.
+//! Tracks how long this entry instance may have missed configuration changes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use cassiafold_membership::{Roster, StoreContact};
 use tokio::time::Instant;
 
-/// Time between two looks.
+/// Interval at which contact is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time since this entry instance was surely up to date. Clones share it.
+/// Time since the configuration of this entry instance was known to be current. Clones share it.
 ///
-/// It is up to date while it, or an entry instance that it hears, reaches the key-value service;
-/// and also while it hears entry instances of every zone, as then nobody can have changed the
-/// configuration.
+/// The configuration is current while this instance, or a peer from which it receives reports,
+/// reaches the key-value service. It is also current while reports arrive from every zone, because
+/// then no entry instance can have changed it.
 #[derive(Debug, Clone)]
 pub struct Isolation {
     start: Instant,
@@ -25,29 +25,29 @@
 }
 
 impl Isolation {
-    /// Keyed work is forbidden after `keyed_requests_max` without touch.
+    /// Creates a tracker that rejects requests with a key after `keyed_requests_max` without contact.
     pub fn new(keyed_requests_max: Duration) -> Self {
         Self { start: Instant::now(), last_contact_ms: Arc::default(), keyed_requests_max }
     }
 
-    /// Time since this entry instance was surely up to date.
+    /// Returns the time since the configuration was known to be current.
     pub fn time_since_contact(&self) -> Duration {
         let last = Duration::from_millis(self.last_contact_ms.load(Ordering::Relaxed));
         self.start.elapsed().saturating_sub(last)
     }
 
-    /// Whether keys may have been withdrawn too long ago for keyed work to start.
+    /// Returns whether requests with a key must be rejected, because a withdrawal of the key may have
+    /// been missed for longer than the bound.
     pub fn rejects_keyed_requests(&self) -> bool {
         self.time_since_contact() > self.keyed_requests_max
     }
 
-    /// Notes touch.
     fn record_contact(&self) {
         let now_ms = self.start.elapsed().as_millis() as u64;
         self.last_contact_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Looks at an interval until dropped.
+    /// Checks contact at an interval. Never returns.
     pub async fn run_updates(self, contact: StoreContact, roster: Roster, config: ActiveConfig) {
         loop {
             if contact.is_reachable() || has_peer_contact(&roster, &config) {
--- a/crates/cassiafold/src/isolation/tests.rs
+++ b/crates/cassiafold/src/isolation/tests.rs
@@ -35,19 +35,20 @@
         fixture
     }
 
-    /// Hears an entry instance of each of `zones` for a time, then nobody.
+    /// Receives heartbeats from one entry instance in each of `zones` for `time`.
     async fn receive_heartbeats(&self, zones: &[&str], store_reachable: bool, time: Duration) {
         let heartbeats = time.as_secs() / HEARD_MAX.as_secs() * 2;
         for heartbeat in 0..heartbeats {
             for zone in zones {
-                self.roster.hear(heard(zone, heartbeat + 1, store_reachable), Route::OtherZone);
+                self.roster
+                    .hear(heard_peer(zone, heartbeat + 1, store_reachable), Route::OtherZone);
             }
             tokio::time::sleep(HEARD_MAX / 2).await;
         }
     }
 }
 
-fn heard(zone: &str, heartbeat: u64, store_reachable: bool) -> Heard {
+fn heard_peer(zone: &str, heartbeat: u64, store_reachable: bool) -> Heard {
     Heard {
         id: format!("{zone}1").into(),
         zone: zone.into(),
@@ -74,7 +75,7 @@
 const LONG: Duration = Duration::from_secs(1_200);
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_instance_that_hears_nobody_stops_keyed_work_after_the_bound() {
+async fn requests_with_a_key_are_rejected_after_the_bound_without_contact() {
     let fixture = Fixture::start();
     fixture.contact.note();
     tokio::time::sleep(KEYED_REQUESTS_MAX).await;
@@ -84,28 +85,28 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_of_the_store_alone_stops_nothing() {
+async fn a_store_outage_alone_does_not_reject_requests() {
     let fixture = Fixture::start();
     fixture.receive_heartbeats(&["b", "c"], false, LONG).await;
     assert!(!fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_zones_cut_off_together_do_not_count_as_in_touch() {
+async fn two_isolated_zones_have_no_contact() {
     let fixture = Fixture::start();
     fixture.receive_heartbeats(&["b"], false, LONG).await;
     assert!(fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_reaches_the_store_keeps_one_in_touch() {
+async fn a_peer_that_reaches_the_store_keeps_contact() {
     let fixture = Fixture::start();
     fixture.receive_heartbeats(&["b"], true, LONG).await;
     assert!(!fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
-async fn keyed_work_goes_on_after_the_return() {
+async fn requests_with_a_key_are_accepted_after_contact_returns() {
     let fixture = Fixture::start();
     tokio::time::sleep(LONG).await;
     assert!(fixture.isolation.rejects_keyed_requests());
--- a/crates/cassiafold/src/key.rs
+++ b/crates/cassiafold/src/key.rs
@@ -1,4 +1,4 @@
-//! `key grant` and `key withdraw`.
+//! The `key grant` and `key withdraw` commands.
 
 use std::path::PathBuf;
 
@@ -15,10 +15,10 @@
 use crate::operator_command::{required_id, unknown_subcommand};
 use crate::output::{Output, print_json};
 
-/// `key` and its subcommands.
+/// The `key` command and its subcommands.
 #[derive(Debug)]
 pub enum KeyCommand {
-    /// Makes a key and grants it.
+    /// Generates a key and grants it to a team.
     Grant {
         /// Team of the key.
         team: String,
@@ -27,7 +27,7 @@
     Withdraw {
         /// Team of the keys.
         team: String,
-        /// Which keys.
+        /// Keys to withdraw.
         selection: KeySelection,
     },
 }
@@ -43,7 +43,7 @@
     All,
 }
 
-/// A granted key. It is shown once and kept nowhere.
+/// A granted key. It is shown once and not stored.
 #[derive(Serialize)]
 struct GrantedKey<'a> {
     key: &'a str,
@@ -93,12 +93,12 @@
     let key = new_key();
     let key_hash = KeyHash::of(&key).to_hex();
     let body = KeyBody { team: team.into(), key_hash: key_hash.clone() };
-    let answer: Result<ChangeAnswer> =
+    let response: Result<ChangeAnswer> =
         client.send(&ApiRequest::post("/keys").with_body(&body)?).await;
-    if let Err(Error::OutcomeUnknown { .. }) = &answer {
+    if let Err(Error::OutcomeUnknown { .. }) = &response {
         eprintln!("the key with hash {key_hash} may have been granted; withdraw it by its hash");
     }
-    let change = &answer?;
+    let change = &response?;
     if output == Output::Json {
         return print_json(&GrantedKey { key: &key, key_hash: &key_hash, change });
     }
--- a/crates/cassiafold/src/load.rs
+++ b/crates/cassiafold/src/load.rs
@@ -1,8 +1,8 @@
-//! Small load tool: sends requests at a fixed rate to entry instances on loopback.
+//! The `load` command, which sends requests at a fixed rate to entry instances on loopback.
 //!
-//! Each request has a time at which it is due, and its latency counts from that time, so that a
-//! slow answer shows in the latency of the requests that wait behind it. Requests that are still
-//! unsent one timeout after the planned end of the run are given up.
+//! Latency is measured from the scheduled send time of a request, so that a slow response also
+//! counts towards the latency of the requests queued behind it. Requests that are still unsent one
+//! timeout after the planned end of the run are abandoned.
 
 pub mod options;
 mod report;
@@ -23,7 +23,7 @@
 use self::stats::RunStats;
 use crate::error::Result;
 
-/// Sends the requests and prints what became of them.
+/// Sends the requests and prints a report of their outcomes.
 pub fn run(options: &LoadOptions) -> Result<ExitCode> {
     let runtime = tokio::runtime::Runtime::new()?;
     let report = runtime.block_on(run_load(options))?;
@@ -31,7 +31,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// When each request is due.
+/// Send times of the requests of a run.
 struct Schedule {
     start: Instant,
     interval: Duration,
@@ -41,7 +41,8 @@
 }
 
 impl Schedule {
-    /// Waits until the next request is due; `None` once all are taken or the run has ended.
+    /// Waits for the send time of the next request and returns it, or `None` if no requests remain or
+    /// the run has ended.
     async fn next_due(&self) -> Option<Instant> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         if number >= self.requests {
@@ -75,7 +76,7 @@
     Ok(Report::new(&total, options.requests, start.elapsed()))
 }
 
-/// Sends requests, one at a time, as they fall due.
+/// Sends scheduled requests one at a time on one connection and returns their statistics.
 async fn send_due(mut sender: Sender, schedule: Arc<Schedule>) -> RunStats {
     let mut stats = RunStats::default();
     while let Some(due) = schedule.next_due().await {
--- a/crates/cassiafold/src/load/options.rs
+++ b/crates/cassiafold/src/load/options.rs
@@ -1,4 +1,4 @@
-//! Checked options of the load tool, with its bounds.
+//! Options of the load tool and their limits.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,41 +12,41 @@
 use crate::error::{Error, Result};
 use crate::output::Output;
 
-/// Most requests in one run.
+/// Maximum number of requests in one run.
 const REQUESTS_MAX: u64 = 200_000;
-/// Longest run, in seconds.
+/// Maximum duration of a run, in seconds.
 const DURATION_S_MAX: u64 = 600;
-/// Highest rate, in requests per second.
+/// Maximum rate, in requests per second.
 const RATE_PER_S_MAX: u64 = 5_000;
-/// Most requests that are sent at once.
+/// Maximum number of concurrent requests.
 const CONCURRENCY_MAX: u64 = 256;
-/// Longest timeout of one request, in milliseconds.
+/// Maximum timeout of one request, in milliseconds.
 const TIMEOUT_MS_MAX: u64 = 60_000;
-/// Variable that holds the key of a team.
+/// Environment variable that holds the key of a team.
 const KEY_VARIABLE: &str = "CASSIAFOLD_KEY";
 
-/// Options of `load`.
+/// Validated options of `load`.
 #[derive(Debug)]
 pub struct LoadOptions {
     /// Entry instances on the loopback interface.
     pub addresses: Vec<SocketAddr>,
-    /// What each request holds.
+    /// Template of the requests.
     pub request: RequestTemplate,
     /// Requests per second.
     pub rate_per_s: u32,
     /// Number of requests.
     pub requests: u64,
-    /// Planned length of the run.
+    /// Planned duration of the run.
     pub duration: Duration,
-    /// Requests that are sent at once.
+    /// Number of concurrent requests.
     pub concurrency: usize,
     /// Timeout of one request.
     pub timeout: Duration,
-    /// How results are written.
+    /// Format of the report.
     pub output: Output,
 }
 
-/// Defines the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     let number = |name: &'static str, help: &'static str, default: &'static str, max: u64| {
         Arg::new(name)
@@ -103,7 +103,7 @@
         let addresses: Vec<SocketAddr> =
             matches.get_many::<SocketAddr>("address").unwrap_or_default().copied().collect();
         if addresses.is_empty() || !addresses.iter().all(|address| address.ip().is_loopback()) {
-            return Err(Error::Usage("load goes to loopback addresses only".into()));
+            return Err(Error::Usage("load accepts only loopback addresses".into()));
         }
         let rate_per_s = number("rate");
         let duration_s = number("duration-s");
--- a/crates/cassiafold/src/load/report.rs
+++ b/crates/cassiafold/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Report of a run: a table for people, JSON for programs.
+//! Report of a run, as text tables or JSON.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     latency_ms: Latencies,
 }
 
-/// Requests with one outcome.
+/// Number of requests with one outcome.
 #[derive(Debug, Serialize)]
 struct Row {
     #[serde(flatten)]
@@ -30,7 +30,7 @@
     count: u64,
 }
 
-/// Quantiles of the time to the whole answer.
+/// Quantiles of the time from the scheduled send time to the end of the response, in milliseconds.
 #[derive(Debug, Serialize)]
 struct Latencies {
     p50: f64,
@@ -56,7 +56,7 @@
 }
 
 impl Report {
-    /// The report of a run of `planned` requests that took `duration`.
+    /// Creates the report of a run of `planned` requests that took `duration`.
     pub fn new(stats: &RunStats, planned: u64, duration: Duration) -> Self {
         let requests: u64 = stats.counts.values().sum();
         let duration_s = duration.as_secs_f64();
--- a/crates/cassiafold/src/load/sender.rs
+++ b/crates/cassiafold/src/load/sender.rs
@@ -1,4 +1,4 @@
-//! Sends requests one after the other on a connection of its own.
+//! Sends the requests of the load tool sequentially over one connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use super::stats::{Outcome, RunState};
 use crate::error::{Error, Result};
 
-/// Size of the largest answer that is read, in bytes.
+/// Maximum size of a response body, in bytes.
 const RESPONSE_BYTES_MAX: usize = 1024 * 1024;
-/// Media type of a refusal (RFC 9457).
+/// Media type of a problem document (RFC 9457).
 const PROBLEM_JSON: &str = "application/problem+json";
 
-/// What each request holds.
+/// Content shared by all requests of a run.
 #[derive(Debug, Clone)]
 pub struct RequestTemplate {
     method: Method,
@@ -30,19 +30,21 @@
 }
 
 impl RequestTemplate {
-    /// A request to a queue with the key of a team.
+    /// Creates a template for requests to a queue, with the key of a team if one is given.
+    ///
+    /// Returns `Error::Usage` if the queue or the key cannot be used in an HTTP request.
     pub fn new(method: Method, queue: &str, key: Option<&str>) -> Result<Self> {
         let uri = format!("/queues/{queue}/").parse();
-        let uri = uri.map_err(|_| Error::Usage("the queue cannot stand in a path".into()))?;
+        let uri = uri.map_err(|_| Error::Usage("the queue is not valid in a URL path".into()))?;
         let header = |key: &str| HeaderValue::try_from(format!("Bearer {key}"));
         let authorization = key.map(header).transpose();
-        let authorization =
-            authorization.map_err(|_| Error::Usage("the key cannot stand in a header".into()))?;
+        let authorization = authorization
+            .map_err(|_| Error::Usage("the key is not valid in an HTTP header".into()))?;
         Ok(Self { method, uri, authorization })
     }
 }
 
-/// The part of a refusal that is counted.
+/// Fields of a problem document that are counted.
 #[derive(Deserialize)]
 struct Problem {
     code: u16,
@@ -68,7 +70,7 @@
 
 type Connection = SendRequest<Empty<Bytes>>;
 
-/// Sends requests to one entry instance.
+/// Sends requests to one entry instance and reconnects when needed.
 pub struct Sender {
     address: SocketAddr,
     template: RequestTemplate,
@@ -77,12 +79,12 @@
 }
 
 impl Sender {
-    /// A sender that connects when it is first used.
+    /// Creates a sender that connects on first use.
     pub fn new(address: SocketAddr, template: RequestTemplate, timeout: Duration) -> Self {
         Self { address, template, timeout, connection: None }
     }
 
-    /// Sends one request and reads its whole answer.
+    /// Sends one request and reads the whole response.
     pub async fn send(&mut self) -> Outcome {
         let deadline = Instant::now() + self.timeout;
         let mut connection = match timeout_at(deadline, self.connection()).await {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The open connection, or a new one.
+    /// Returns the open connection, or opens a new one.
     async fn connection(&mut self) -> Result<Connection> {
         if let Some(mut connection) = self.connection.take()
             && connection.ready().await.is_ok()
--- a/crates/cassiafold/src/load/stats.rs
+++ b/crates/cassiafold/src/load/stats.rs
@@ -1,4 +1,4 @@
-//! Counts of outcomes and their latencies.
+//! Statistics of a load run: outcomes and latencies.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Significant digits of recorded latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// Longest latency that is told apart, in microseconds.
+/// Largest distinguishable latency, in microseconds; larger ones are recorded as this value.
 const LATENCY_US_MAX: u64 = 3_600_000_000;
 
-/// What an answer says about the run of its request.
+/// Run state of a request, as reported by its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// It says nothing, as the answer of a backend server.
+    /// The response does not contain a run state, as with responses of backend servers.
     #[serde(rename = "unsaid")]
     Unspecified,
     /// The request was not run.
@@ -24,24 +24,24 @@
     OutcomeUnknown,
 }
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum Outcome {
-    /// A whole answer came.
+    /// A complete response was received.
     Answered {
         /// HTTP status.
         status: u16,
         /// Result code of a refusal.
         code: Option<u16>,
-        /// What the answer says about the run.
+        /// Run state that the response reports.
         run: RunState,
     },
-    /// No connection could be made.
+    /// No connection could be established.
     NotConnected,
-    /// The connection broke before the whole answer had come.
+    /// The connection failed before the response was complete.
     Broken,
-    /// The timeout came before the whole answer.
+    /// The request timed out before the response was complete.
     TimedOut,
 }
 
@@ -51,12 +51,13 @@
     }
 }
 
-/// Outcomes of many requests.
+/// Statistics of the requests of a run.
 #[derive(Debug, Clone)]
 pub struct RunStats {
     /// Number of requests by outcome.
     pub counts: BTreeMap<Outcome, u64>,
-    /// Time from due to the whole answer, of the answered requests, in microseconds.
+    /// Time from the scheduled send time to the end of the response, in microseconds, of the requests
+    /// with a complete response.
     pub latencies_us: Histogram<u64>,
 }
 
@@ -69,7 +70,7 @@
 }
 
 impl RunStats {
-    /// Counts one request.
+    /// Records the outcome of one request, and its latency if the response was complete.
     pub fn record(&mut self, outcome: Outcome, latency: Duration) {
         *self.counts.entry(outcome).or_default() += 1;
         if outcome.is_answered() {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Adds the requests of another tally.
+    /// Adds the statistics of `other`.
     pub fn merge(&mut self, other: &Self) {
         for (outcome, count) in &other.counts {
             *self.counts.entry(*outcome).or_default() += count;
--- a/crates/cassiafold/src/logs.rs
+++ b/crates/cassiafold/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log output.
+//! Logger setup.
 
 use std::io::Write;
 
@@ -10,7 +10,7 @@
 
 const DEFAULT_FILTER: &str = "info";
 
-/// Starts logging; the variable `RUST_LOG` sets the filter.
+/// Initializes the logger. The environment variable `RUST_LOG` overrides the default filter.
 pub fn init(format: &LogFormat, target: Target) {
     let mut builder =
         env_logger::Builder::from_env(Env::default().default_filter_or(DEFAULT_FILTER));
@@ -32,6 +32,7 @@
     builder.init();
 }
 
+/// Key-value pairs of a log record, collected for JSON output.
 struct Fields(Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
--- a/crates/cassiafold/src/observer.rs
+++ b/crates/cassiafold/src/observer.rs
@@ -1,4 +1,4 @@
-//! Reports of all entry instances, merged for the planner.
+//! Merges the usage reports of all entry instances for the planner.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,10 +12,10 @@
 
 use crate::instances::InstanceView;
 
-/// How long a zone without a live entry instance counts as silent after one was heard there.
+/// Time for which a zone without a live entry instance counts as unconfirmed after its last report.
 const SILENT_ZONE_MAX: Duration = Duration::from_secs(3_600);
 
-/// Merges reports. Clones share what they remember.
+/// Merges reports of the entry instances. Clones share one state.
 #[derive(Debug, Clone)]
 pub struct Observer {
     roster: Roster,
@@ -24,12 +24,12 @@
 }
 
 impl Observer {
-    /// An observer over the entry instances of `roster`.
+    /// Creates an observer of the entry instances in `roster`.
     pub fn new(roster: Roster, instances: InstanceView) -> Self {
         Self { roster, instances, zones_last_live: Arc::default() }
     }
 
-    /// What all live entry instances report now.
+    /// Returns the merged reports of all live entry instances.
     pub fn observe(&self) -> Observations {
         let usages = self.roster.usages();
         let live = self.roster.live(None);
@@ -42,9 +42,11 @@
         }
     }
 
-    /// Symptoms that an entry instance in the zone of the failing instance sees; where its zone
-    /// has none, those that more than half of all live ones see. So a partition between zones
-    /// does not look like a failure of instances.
+    /// Returns the symptoms of failing instances.
+    ///
+    /// A report counts if it comes from the zone of the failing instance. If that zone has no live
+    /// entry instance, a symptom counts only when more than half of all live entry instances report
+    /// one. Otherwise a partition between zones would look like failing instances.
     fn symptoms(
         &self,
         usages: &[(InstanceId, Arc<Usage>)],
@@ -70,18 +72,20 @@
         symptoms
     }
 
-    /// Zones whose entry instances may be at work without being heard.
+    /// Returns the zones whose entry instances may still send requests without reporting here.
     fn unconfirmed_zones(&self, live: &[LiveEntry]) -> BTreeSet<ZoneId> {
         let now = Instant::now();
-        let mut heard = self.zones_last_live.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut last_live = self.zones_last_live.lock().unwrap_or_else(PoisonError::into_inner);
         for entry in live {
-            heard.insert(entry.zone.clone(), now);
+            last_live.insert(entry.zone.clone(), now);
         }
-        heard.retain(|_, last| now.duration_since(*last) < SILENT_ZONE_MAX);
-        let lost = heard.iter().filter(|(_, last)| **last < now).map(|(zone, _)| zone.clone());
+        last_live.retain(|_, last| now.duration_since(*last) < SILENT_ZONE_MAX);
+        let silent_zones =
+            last_live.iter().filter(|(_, last)| **last < now).map(|(zone, _)| zone.clone());
         let confirmations = self.roster.confirmations();
-        let unheard = confirmations.list.into_iter().filter(|entry| entry.ready.is_none());
-        lost.chain(unheard.map(|entry| entry.zone)).collect()
+        let unconfirmed_entries =
+            confirmations.list.into_iter().filter(|entry| entry.ready.is_none());
+        silent_zones.chain(unconfirmed_entries.map(|entry| entry.zone)).collect()
     }
 }
 
@@ -93,7 +97,8 @@
     }
 }
 
-/// Requests on each instance. Reports across zones hold those on draining instances only.
+/// Returns the running requests of each instance. Reports from other zones contain only those on
+/// draining instances.
 fn running(usages: &[(InstanceId, Arc<Usage>)]) -> BTreeMap<InstanceId, u32> {
     let mut running = BTreeMap::new();
     for (_, usage) in usages {
--- a/crates/cassiafold/src/observer/tests.rs
+++ b/crates/cassiafold/src/observer/tests.rs
@@ -22,7 +22,7 @@
 }
 
 fn receive_usage(roster: &Roster, id: &str, zone: &str, usage: Usage) {
-    let heard = Heard {
+    let heard_peer = Heard {
         id: id.into(),
         zone: zone.into(),
         incarnation: 1,
@@ -31,7 +31,7 @@
         ready: true,
         usage: Arc::new(usage),
     };
-    roster.hear(heard, Route::OtherZone);
+    roster.hear(heard_peer, Route::OtherZone);
 }
 
 fn usage(fleet_number: u64) -> Usage {
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_document_counts_as_confirmed_only_when_all_have_it() {
+async fn the_lowest_reported_document_number_is_confirmed() {
     let roster = roster();
     roster.beat(Arc::new(usage(7)), 1, true);
     receive_usage(&roster, "b1", "b", usage(5));
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_partition_between_zones_is_no_symptom() {
+async fn a_partition_between_zones_causes_no_symptom() {
     let roster = roster();
     roster.beat(Arc::new(usage_with_symptom(ReportedSymptom::Unreachable)), 1, true);
     receive_usage(&roster, "b1", "b", Usage::default());
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_symptom_seen_in_the_own_zone_counts() {
+async fn a_symptom_reported_from_the_same_zone_counts() {
     let roster = roster();
     receive_usage(&roster, "b1", "b", usage_with_symptom(ReportedSymptom::Hanging));
     let symptoms = observer(&roster).await.observe().symptoms;
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_zone_whose_entry_instances_fall_silent_is_silent() {
+async fn a_zone_without_recent_reports_is_unconfirmed() {
     let roster = roster();
     receive_usage(&roster, "b1", "b", Usage::default());
     let observer = observer(&roster).await;
--- a/crates/cassiafold/src/output.rs
+++ b/crates/cassiafold/src/output.rs
@@ -1,4 +1,4 @@
-//! Output of results: tables for people, JSON for programs.
+//! Prints results as text tables or JSON.
 
 use clap::ArgMatches;
 use jiff::Timestamp;
@@ -6,10 +6,10 @@
 
 use crate::error::Result;
 
-/// How results are written.
+/// Format of results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// Tables and sentences.
+    /// Text with tables.
     Text,
     /// One JSON document.
     Json,
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-/// Prints rows below a heading, each column as wide as its widest cell.
+/// Prints a heading and rows with aligned columns.
 pub fn print_table<const N: usize>(
     heading: [&str; N],
     rows: impl IntoIterator<Item = [String; N]>,
@@ -56,14 +56,14 @@
     text
 }
 
-/// Time in UTC as people read it, from milliseconds since the Unix epoch.
+/// Formats a time in milliseconds since the Unix epoch as RFC 3339 in UTC.
 pub fn utc_time(unix_ms: u64) -> String {
     let unix_ms = i64::try_from(unix_ms).unwrap_or(i64::MAX);
     Timestamp::from_millisecond(unix_ms)
         .map_or_else(|_| unix_ms.to_string(), |time| time.to_string())
 }
 
-/// Text of a value that may be absent.
+/// Formats an optional value, with `-` for `None`.
 pub fn or_dash<T: ToString>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
--- a/crates/cassiafold/src/pool.rs
+++ b/crates/cassiafold/src/pool.rs
@@ -1,4 +1,4 @@
-//! `pool list` and `pool move`.
+//! The `pool list` and `pool move` commands.
 
 use cassiafold_operators::source::{MoveAnswer, PoolStatus, Selection};
 use cassiafold_operators::wire::{MoveBody, PoolsAnswer};
@@ -9,16 +9,16 @@
 use crate::operator_command::{required, required_id, unknown_subcommand};
 use crate::output::{Output, or_dash, print_json, print_table};
 
-/// `pool` and its subcommands.
+/// The `pool` command and its subcommands.
 #[derive(Debug)]
 pub enum PoolCommand {
     /// Shows pools.
     List,
-    /// Moves instances.
+    /// Moves instances to another pool.
     Move {
-        /// Pool that gives.
+        /// Source pool.
         from: String,
-        /// Pool that takes, and which instances.
+        /// Destination pool and the instances to move.
         body: MoveBody,
     },
 }
@@ -58,9 +58,9 @@
 }
 
 async fn list(client: &Client, output: Output) -> Result<()> {
-    let answer: PoolsAnswer = client.send(&ApiRequest::get("/pools")).await?;
+    let response: PoolsAnswer = client.send(&ApiRequest::get("/pools")).await?;
     if output == Output::Json {
-        return print_json(&answer);
+        return print_json(&response);
     }
     let heading = [
         "POOL",
@@ -72,7 +72,7 @@
         "FAILING",
         "ARRIVING",
     ];
-    print_table(heading, answer.pools.iter().map(row));
+    print_table(heading, response.pools.iter().map(row));
     Ok(())
 }
 
@@ -96,11 +96,11 @@
     output: Output,
 ) -> Result<()> {
     let request = ApiRequest::post(format!("/pools/{from}/move")).with_body(body)?;
-    let answer: MoveAnswer = client.send(&request).await?;
+    let response: MoveAnswer = client.send(&request).await?;
     if output == Output::Json {
-        return print_json(&answer);
+        return print_json(&response);
     }
     println!("moving from {from} to {}:", body.to);
-    answer.instances.iter().for_each(|instance| println!("{instance}"));
+    response.instances.iter().for_each(|instance| println!("{instance}"));
     Ok(())
 }
--- a/crates/cassiafold/src/report.rs
+++ b/crates/cassiafold/src/report.rs
@@ -1,4 +1,4 @@
-//! `report`.
+//! The `report` command, which writes an HTML page about the fleet.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 use crate::error::{Error, Result};
 use crate::output::{Output, print_json};
 
-/// `report`, with the file that it writes.
+/// The `report` command with its output file.
 #[derive(Debug)]
 pub struct ReportCommand {
     file: PathBuf,
@@ -27,12 +27,12 @@
 }
 
 impl ReportCommand {
-    /// Writes the page and prints where it is.
+    /// Writes the page and prints its path.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let answer: ReportAnswer = client.send(&ApiRequest::get("/report")).await?;
-        std::fs::write(&self.file, &answer.page)?;
+        let response: ReportAnswer = client.send(&ApiRequest::get("/report")).await?;
+        std::fs::write(&self.file, &response.page)?;
         if output == Output::Json {
-            return print_json(&json!({ "file": self.file, "bytes": answer.page.len() }));
+            return print_json(&json!({ "file": self.file, "bytes": response.page.len() }));
         }
         println!("wrote {}", self.file.display());
         Ok(())
--- a/crates/cassiafold/src/serve.rs
+++ b/crates/cassiafold/src/serve.rs
@@ -1,4 +1,4 @@
-//! One entry instance on the users' platform: its tasks and how they are joined.
+//! The `serve` command, which runs an entry instance on the platform of its settings file.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -33,27 +33,28 @@
 
 use crate::error::Result;
 
-/// Time to live of the lease on the ownership.
+/// Minimum time to live of the owner lease; the settings may require a longer one.
 const OWNER_LEASE_TTL: Duration = Duration::from_millis(1_200);
-/// Longest random delay before a free ownership is claimed.
+/// Upper bound of the random delay before free ownership is claimed.
 const CLAIM_DELAY_MAX: Duration = Duration::from_millis(80);
-/// Delay for each time that a machine is weaker than a strong one.
+/// Claim delay per unit of resource deficit relative to a reference machine.
 const CLAIM_DELAY_PER_DEFICIT: Duration = Duration::from_millis(50);
-/// Most such delays.
+/// Upper bound of the resource deficit that counts towards the claim delay.
 const CLAIM_DEFICIT_MAX: f64 = 10.0;
-/// Share of a core with which a machine claims without delay.
+/// Share of a core from which a machine has no CPU deficit.
 const REFERENCE_CPU_SHARE: f64 = 0.25;
-/// Link with which a machine claims without delay.
+/// Link speed, in Mbit/s, from which a machine has no link deficit.
 const REFERENCE_LINK_MBPS: f64 = 100.0;
-/// An instance whose view of the store is older than this takes no new callers.
+/// Age of the desired state above which the instance is not ready for new callers.
 const DESIRED_STATE_AGE_MAX: Duration = Duration::from_millis(2_600);
-/// Time after a stop in which callers are still sent here: two readiness checks and a bit.
+/// Time after SIGTERM during which callers are still served, because the platform stops sending
+/// them only after two readiness checks. Includes a margin.
 const SHUTDOWN_DELAY: Duration = Duration::from_millis(2_300);
-/// Time that requests in progress have to end after that.
+/// Time after the shutdown delay for requests in progress to complete.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Longest time in which a caller must send the head of a request.
+/// Timeout for receiving the header of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a connection could not be accepted.
+/// Delay before accepting again after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 type PlatformJobApi = Arc<JobApi<PlatformSite>>;
@@ -115,7 +116,7 @@
     let serving = tokio::spawn(serve_callers(callers, api, stop_accepting.clone()));
     terminate.recv().await;
     stop.cancel();
-    // The ownership is given back while callers are still sent here.
+    // Ownership is released while callers are still served.
     let shutdown_at = tokio::time::Instant::now() + SHUTDOWN_DELAY;
     let _ = owner.await;
     tokio::time::sleep_until(shutdown_at).await;
@@ -125,15 +126,17 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Delay before a free ownership is claimed: an owner reads all jobs and orders all tasks, so the
-/// machines with more of a core and a faster link come first.
+/// Returns the fixed delay before free ownership is claimed.
+///
+/// The owner reads all jobs and sends the commands for all tasks, so machines with a larger CPU share and a faster
+/// link claim first.
 fn claim_delay(settings: &PlatformSettings) -> Duration {
     let cpu_deficit = (REFERENCE_CPU_SHARE / settings.cpu_share.max(0.01) - 1.0).max(0.0);
     let link_deficit = (REFERENCE_LINK_MBPS / settings.link_mbps.max(1.0) - 1.0).max(0.0);
     CLAIM_DELAY_PER_DEFICIT.mul_f64((cpu_deficit + link_deficit).min(CLAIM_DEFICIT_MAX))
 }
 
-/// Reads the settings again on SIGHUP and tells what came of it. The addresses stay.
+/// Reads the settings again on SIGHUP and logs the result. Addresses are not changed.
 async fn validate_on_reload(mut reload: Signal) {
     while reload.recv().await.is_some() {
         match read_settings(settings_path()) {
@@ -177,11 +180,11 @@
         .half_close(true)
         .serve_connection(TokioIo::new(stream), service);
     let connection = graceful.watch(connection);
-    // A connection that the caller breaks off needs no more than to be forgotten.
+    // Errors of a connection that the caller closes are ignored.
     tokio::spawn(async move { drop(connection.await) });
 }
 
-/// Serves the metrics as text; without them the instance works on.
+/// Serves the metrics as text. If the address cannot be bound, the instance runs without them.
 async fn serve_metrics(
     address: SocketAddr,
     registry: Registry,
@@ -228,7 +231,7 @@
     }
 }
 
-/// Answers readiness checks: 200 while this instance can serve callers.
+/// Serves readiness checks on `/ready`: 200 while the instance can serve callers, else 503.
 async fn serve_readiness(listener: TcpListener, api: PlatformJobApi, stop: CancellationToken) {
     loop {
         let (stream, _) = match listener.accept().await {
--- a/crates/cassiafold/src/sources.rs
+++ b/crates/cassiafold/src/sources.rs
@@ -1,4 +1,4 @@
-//! Everything that the operators' interface of an entry instance shows or changes.
+//! Data sources of the operators' interface of an entry instance.
 
 use std::sync::Arc;
 
@@ -16,11 +16,11 @@
 pub struct EntrySources<S> {
     /// Client of the key-value service.
     pub store: S,
-    /// State of the entry instances.
+    /// Source of the state of the entry instances.
     pub status: EntryStatusSource<EntryDependencies>,
-    /// State of the fleet.
+    /// Source of the state of the fleet.
     pub fleet: EntryFleetSource<S>,
-    /// Metrics.
+    /// Metrics of this process.
     pub registry: Arc<Registry>,
 }
 
--- a/crates/cassiafold/src/standin.rs
+++ b/crates/cassiafold/src/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform and backend servers in a process of their own.
+//! The `standin` command, which runs a stand-in platform and backend servers.
 
 mod settings;
 
@@ -17,7 +17,7 @@
 use self::settings::{BackendGroup, RawStandinSettings, StandinSettings};
 use crate::error::{Error, Result};
 
-/// What is printed once all servers listen.
+/// Message printed as one line of JSON once all servers listen.
 #[derive(Debug, Serialize)]
 struct ReadyMessage {
     platform: PlatformAddresses,
@@ -32,7 +32,7 @@
     rack: RackId,
 }
 
-/// Runs the stand-ins until the process is interrupted or terminated.
+/// Runs the stand-ins until SIGINT or SIGTERM.
 pub fn run(path: &Path) -> Result<ExitCode> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| Error::ReadFile { path: path.to_owned(), source })?;
--- a/crates/cassiafold/src/standin/settings.rs
+++ b/crates/cassiafold/src/standin/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the stand-ins, from their YAML file.
+//! Settings of the stand-ins, read from a YAML file.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use cassiafold_standin::platform::FREE_PORT;
 use serde::Deserialize;
 
-/// Most backend servers in all groups.
+/// Maximum number of backend servers over all groups.
 const BACKENDS_MAX: usize = 1_000;
-/// Number of instances in one rack.
+/// Number of backend servers in one rack.
 const RACK_SIZE: usize = 4;
 
-/// Settings as written in the file.
+/// Unvalidated settings from the file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawStandinSettings {
@@ -28,25 +28,25 @@
     /// Address of the instance control.
     #[serde(default = "free_port")]
     instance_control_address: SocketAddr,
-    /// Groups of equal backend servers.
+    /// Groups of identical backend servers.
     #[serde(default)]
     backends: Vec<RawBackendGroup>,
 }
 
-/// A group of equal backend servers as written in the file.
+/// Unvalidated group of identical backend servers from the file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawBackendGroup {
-    /// First part of their ids.
+    /// Prefix of the ids.
     name: Arc<str>,
     /// Number of backend servers.
     count: usize,
-    /// Availability zones, to which they are dealt in turn.
+    /// Availability zones, assigned round-robin.
     zones: Vec<ZoneId>,
-    /// Requests that each runs at once.
+    /// Maximum number of concurrent requests per server.
     #[serde(default = "default_slots")]
     slots: u32,
-    /// Time that a run takes, in milliseconds.
+    /// Time to process a request, in milliseconds.
     #[serde(default)]
     run_time_ms: u64,
 }
@@ -59,31 +59,31 @@
     8
 }
 
-/// Checked settings of the stand-ins.
+/// Validated settings of the stand-ins.
 #[derive(Debug)]
 pub struct StandinSettings {
-    /// Addresses of the platform.
+    /// Addresses of the platform's services.
     pub addresses: PlatformAddresses,
-    /// Groups of equal backend servers.
+    /// Groups of identical backend servers.
     pub backends: Vec<BackendGroup>,
 }
 
-/// A group of equal backend servers.
+/// A group of identical backend servers.
 #[derive(Debug)]
 pub struct BackendGroup {
-    /// First part of their ids.
+    /// Prefix of the ids.
     pub name: Arc<str>,
     /// Number of backend servers.
     pub count: usize,
-    /// Availability zones, to which they are dealt in turn.
+    /// Availability zones, assigned round-robin.
     pub zones: Vec<ZoneId>,
-    /// Requests that each runs at once.
+    /// Maximum number of concurrent requests per server.
     pub slots: u32,
-    /// Time that a run takes.
+    /// Time to process a request.
     pub run_time: Duration,
 }
 
-/// Where one backend server stands.
+/// Id and location of one backend server.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BackendIdentity {
     /// Identifier of the instance.
@@ -95,7 +95,9 @@
 }
 
 impl BackendGroup {
-    /// Where the backend server with this number stands.
+    /// Returns the id and location of the backend server with this index.
+    ///
+    /// Servers are distributed round-robin over the zones, then grouped into racks.
     pub fn identity(&self, index: usize) -> BackendIdentity {
         let zone = self.zones[index % self.zones.len()].clone();
         let rack = index / self.zones.len() / RACK_SIZE;
--- a/crates/cassiafold/src/standin/settings/tests.rs
+++ b/crates/cassiafold/src/standin/settings/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn backend_servers_are_dealt_to_zones_and_racks() {
+fn backend_servers_are_distributed_over_zones_and_racks() {
     let text = "backends: [{name: portal, count: 9, zones: [a, b]}]";
     let settings = read(text).unwrap();
     let identity = |index| {
--- a/crates/cassiafold/src/status.rs
+++ b/crates/cassiafold/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: versions in force, readiness, upper limits.
+//! The `status` command, which shows configuration versions, readiness and upper limits.
 
 use cassiafold_operators::source::{EntryStatus, TeamStatus};
 use cassiafold_operators::wire::StatusAnswer;
@@ -7,35 +7,35 @@
 use crate::error::Result;
 use crate::output::{Output, or_dash, print_json, print_table};
 
-/// `status`.
+/// The `status` command.
 #[derive(Debug)]
 pub struct StatusCommand;
 
 impl StatusCommand {
-    /// Prints the state of the entry instances.
+    /// Prints the state of the entry instances and the teams.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let answer: StatusAnswer = client.send(&ApiRequest::get("/status")).await?;
+        let response: StatusAnswer = client.send(&ApiRequest::get("/status")).await?;
         if output == Output::Json {
-            return print_json(&answer);
+            return print_json(&response);
         }
-        print_status(&answer);
+        print_status(&response);
         Ok(())
     }
 }
 
-fn print_status(answer: &StatusAnswer) {
-    let status = &answer.status;
+fn print_status(response: &StatusAnswer) {
+    let status = &response.status;
     println!("answered by {} in zone {}", status.instance_id, status.zone);
-    println!("version {} in force, {}", answer.version, readiness(Some(status.ready)));
-    if answer.newest_version > answer.version {
-        println!("version {} in force elsewhere", answer.newest_version);
+    println!("version {} in force, {}", response.version, readiness(Some(status.ready)));
+    if response.newest_version > response.version {
+        println!("version {} in force elsewhere", response.newest_version);
     }
     let store = if status.store_reachable { "reachable" } else { "out of reach" };
     println!("key-value service {store}\n");
     let heading = ["ENTRY", "ZONE", "VERSION", "CONFIRMED", "READY", "HEARD_MS_AGO"];
     print_table(
         heading,
-        status.entries.iter().map(|entry| entry_row(entry, answer.newest_version)),
+        status.entries.iter().map(|entry| entry_row(entry, response.newest_version)),
     );
     if !status.teams.is_empty() {
         println!();
--- a/crates/cassiafold/src/status_source.rs
+++ b/crates/cassiafold/src/status_source.rs
@@ -1,4 +1,4 @@
-//! State of the entry instances for the operators' interface.
+//! State of the entry instances, as shown by the operators' interface.
 
 use cassiafold_config::ActiveConfig;
 use cassiafold_dispatch::{CallerApi, Dependencies};
@@ -8,19 +8,19 @@
 
 use crate::usage::LocalUsage;
 
-/// State of the entry instances as this one knows it.
+/// State of the entry instances as known to this one.
 pub struct EntryStatusSource<E: Dependencies> {
     /// The request path.
     pub caller_api: CallerApi<E>,
     /// Configuration in force.
     pub config: ActiveConfig,
-    /// All entry instances.
+    /// Membership of the entry instances.
     pub roster: Roster,
-    /// Upper limits.
+    /// Escrow of the upper limits.
     pub escrow: Escrow,
-    /// Contact with the key-value service.
+    /// Reachability of the key-value service.
     pub contact: StoreContact,
-    /// Requests here.
+    /// Usage of this entry instance.
     pub usage: LocalUsage,
 }
 
--- a/crates/cassiafold/src/symptoms.rs
+++ b/crates/cassiafold/src/symptoms.rs
@@ -1,4 +1,4 @@
-//! Symptoms of failing instances, from the attempts of the request path.
+//! Detects symptoms of failing instances from the attempts of the request path.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,13 +10,13 @@
 use tokio::sync::broadcast;
 use tokio::time::Instant;
 
-/// Failed connects in a row that make an instance unreachable.
+/// Consecutive failed connects after which an instance counts as unreachable.
 const FAILED_CONNECTS_MIN: u32 = 3;
-/// Silent attempts in a row that make an instance hang.
+/// Consecutive attempts without a response after which an instance counts as hanging.
 const UNANSWERED_MIN: u32 = 2;
-/// Failed answers in a row that make an instance fail everything.
+/// Consecutive failed responses after which an instance counts as failing all requests.
 const FAILED_RESPONSES_MIN: u32 = 5;
-/// How long evidence counts without new evidence.
+/// Time after the last failure at which the failures of an instance expire.
 const EVIDENCE_TTL: Duration = Duration::from_secs(180);
 
 /// Failures of one instance since its last success.
@@ -46,7 +46,7 @@
     }
 }
 
-/// Symptoms that this entry instance has seen. Clones share them.
+/// Symptoms that this entry instance has detected. Clones share one state.
 #[derive(Debug, Clone, Default)]
 pub struct Symptoms {
     failures: Arc<Mutex<HashMap<InstanceId, FailureCounts>>>,
@@ -57,7 +57,7 @@
         self.failures.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes the result of one attempt.
+    /// Records the result of one attempt.
     pub fn record(&self, observation: &Observation) {
         let mut failures = self.lock();
         let now = observation.at;
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Forgets what was seen of an instance on which a step is in progress.
+    /// Clears the failures of an instance on which a step is in progress.
     pub fn clear(&self, id: &InstanceId) {
         self.lock().remove(id);
     }
 
-    /// Instances with symptoms now.
+    /// Returns the instances that have symptoms now.
     pub fn current(&self) -> BTreeMap<InstanceId, Symptom> {
         let mut failures = self.lock();
         failures.retain(|_, counts| counts.last_failure.elapsed() < EVIDENCE_TTL);
@@ -95,7 +95,7 @@
         failing.collect()
     }
 
-    /// Follows the attempts until their source has gone.
+    /// Records attempts until their channel is closed.
     pub async fn run_updates(self, mut observations: broadcast::Receiver<Observation>) {
         loop {
             match observations.recv().await {
--- a/crates/cassiafold/src/symptoms/tests.rs
+++ b/crates/cassiafold/src/symptoms/tests.rs
@@ -26,15 +26,15 @@
 
 symptom_cases! {
     failed_connects_mean_unreachable: [ConnectFailed; 3] => Some(Symptom::Unreachable);
-    silence_on_new_connections_means_hanging: [Silent; 2] => Some(Symptom::Hanging);
-    failed_answers_mean_failing_all: [ServerError, Broken, ServerError, Broken, ServerError]
+    missing_responses_mean_hanging: [Silent; 2] => Some(Symptom::Hanging);
+    failed_responses_mean_failing_all: [ServerError, Broken, ServerError, Broken, ServerError]
         => Some(Symptom::FailingAll);
-    a_success_clears_the_evidence: [ConnectFailed, ConnectFailed, Ok, ConnectFailed] => None;
-    refusals_say_nothing: [Refused; 20] => None;
+    a_success_clears_the_failures: [ConnectFailed, ConnectFailed, Ok, ConnectFailed] => None;
+    refusals_are_not_counted: [Refused; 20] => None;
 }
 
 #[tokio::test(start_paused = true)]
-async fn old_evidence_is_forgotten() {
+async fn old_failures_expire() {
     let symptoms = Symptoms::default();
     record(&symptoms, &[ConnectFailed; 3]);
     tokio::time::sleep(EVIDENCE_TTL).await;
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn evidence_on_an_instance_with_a_step_is_forgotten() {
+async fn failures_of_an_instance_with_a_step_are_cleared() {
     let symptoms = Symptoms::default();
     record(&symptoms, &[ConnectFailed; 3]);
     symptoms.clear(&"portal-1".into());
--- a/crates/cassiafold/src/usage.rs
+++ b/crates/cassiafold/src/usage.rs
@@ -1,4 +1,4 @@
-//! What this entry instance tells the others: its requests, drains and symptoms.
+//! Usage that this entry instance reports to the others: requests, drains and symptoms.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use crate::instances::InstanceView;
 use crate::symptoms::Symptoms;
 
-/// Time between two samples.
+/// Interval at which usage is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Usage as last sampled. Clones share it.
+/// Last sampled usage. Clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct LocalUsage {
     usage: Arc<ArcSwap<Usage>>,
@@ -28,12 +28,12 @@
 }
 
 impl LocalUsage {
-    /// Usage as last sampled.
+    /// Returns the last sampled usage.
     pub fn load(&self) -> Arc<Usage> {
         self.usage.load_full()
     }
 
-    /// Samples until dropped.
+    /// Samples the usage at an interval. Never returns.
     pub async fn run_updates<E: Dependencies>(
         self,
         dispatcher: Dispatcher<E>,
@@ -48,8 +48,10 @@
     }
 }
 
-/// Reads the number of the fleet document before the counts, so that a count never misses a start
-/// that an older document allowed.
+/// Samples the usage now.
+///
+/// Reads the number of the fleet document before the counts, so that the counts include every
+/// request that was started under an older document.
 fn sample<E: Dependencies>(
     dispatcher: &Dispatcher<E>,
     instances: &InstanceView,
--- a/crates/cassiafold/src/wave.rs
+++ b/crates/cassiafold/src/wave.rs
@@ -1,4 +1,4 @@
-//! `wave start`, `wave pause`, `wave resume` and `wave status`.
+//! The `wave start`, `wave pause`, `wave resume` and `wave status` commands.
 
 use cassiafold_operators::source::WaveStatus;
 use cassiafold_operators::wire::WavesAnswer;
@@ -10,16 +10,16 @@
 use crate::operator_command::{required_id, unknown_subcommand};
 use crate::output::{Output, or_dash, print_json, print_table};
 
-/// `wave` and its subcommands.
+/// The `wave` command and its subcommands.
 #[derive(Debug)]
 pub enum WaveCommand {
     /// Shows waves.
     Status,
     /// Starts, pauses or resumes a wave.
     Change {
-        /// The wave.
+        /// Id of the wave.
         wave: String,
-        /// What is done with it.
+        /// Name of the action: `start`, `pause` or `resume`.
         action: String,
     },
 }
@@ -52,12 +52,12 @@
 }
 
 async fn status(client: &Client, output: Output) -> Result<()> {
-    let answer: WavesAnswer = client.send(&ApiRequest::get("/waves")).await?;
+    let response: WavesAnswer = client.send(&ApiRequest::get("/waves")).await?;
     if output == Output::Json {
-        return print_json(&answer);
+        return print_json(&response);
     }
     let heading = ["WAVE", "ZONE", "TOTAL", "DONE", "IN_PROGRESS", "SET_BACK", "LATE", "HELD_BACK"];
-    print_table(heading, answer.waves.iter().map(row));
+    print_table(heading, response.waves.iter().map(row));
     Ok(())
 }
 
--- a/crates/cassiafold/src/zone.rs
+++ b/crates/cassiafold/src/zone.rs
@@ -1,4 +1,4 @@
-//! `zone out` and `zone in`.
+//! The `zone out` and `zone in` commands.
 
 use clap::ArgMatches;
 
@@ -8,7 +8,7 @@
 use crate::operator_command::{required_id, unknown_subcommand};
 use crate::output::Output;
 
-/// `zone` and its subcommands.
+/// The `zone` command and its subcommands.
 #[derive(Debug)]
 pub struct ZoneCommand {
     zone: String,
--- a/crates/cassiafold/tests/catalogue.rs
+++ b/crates/cassiafold/tests/catalogue.rs
@@ -1,6 +1,6 @@
-//! The pages `docs/EVENTS.md` and `docs/CODES.md` against the code.
+//! Compares the pages `docs/EVENTS.md` and `docs/CODES.md` with the code.
 //!
-//! `UPDATE_EXPECT=1 cargo test -p cassiafold --test catalogue` writes the pages anew.
+//! `UPDATE_EXPECT=1 cargo test -p cassiafold --test catalogue` regenerates the pages.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -16,7 +16,7 @@
 use cassiafold_platform::PlatformEvent;
 use expect_test::expect_file;
 
-/// Packages with the first number of their range, and their events.
+/// Packages with the first number of their range and their events.
 const EVENTS: &[(&str, u16, &[EventRow])] = &[
     ("platform", 1100, PlatformEvent::ROWS),
     ("membership", 1200, MembershipEvent::ROWS),
@@ -27,14 +27,14 @@
     ("cassiafold", 1700, EntryEvent::ROWS),
 ];
 
-/// Packages with the first number of their range, and their result codes.
+/// Packages with the first number of their range and their result codes.
 const CODES: &[(&str, u16, &[CodeRow])] = &[
     ("dispatch", 300, DispatchCode::ROWS),
     ("fleet", 400, FleetCode::ROWS),
     ("operators", 500, OperatorsCode::ROWS),
 ];
 
-/// Numbers that one package may use.
+/// Size of the number range of a package.
 const RANGE: u16 = 100;
 
 const EVENTS_HEAD: &str = "# Log events
@@ -81,7 +81,7 @@
     expect_file!["../../../docs/CODES.md"].assert_eq(&page);
 }
 
-/// Exit codes as the help text lists them.
+/// Returns the exit codes and meanings from the help text.
 fn exit_codes() -> Vec<(String, String)> {
     let output = Command::new(env!("CARGO_BIN_EXE_cassiafold")).arg("--help").output();
     let help = String::from_utf8(output.expect("the program starts").stdout).expect("text");
--- a/crates/cassiafold/tests/command_line.rs
+++ b/crates/cassiafold/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line, run as a program.
+//! Runs the program and checks the command line.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -80,17 +80,17 @@
 
 #[test]
 fn a_new_credential_comes_with_the_hash_for_the_settings() {
-    let made = || -> serde_json::Value {
+    let generated = || -> serde_json::Value {
         let output = cassiafold(&["credential", "--output", "json"]);
         assert!(output.status.success());
         serde_json::from_slice(&output.stdout).unwrap()
     };
-    let made = [made(), made()];
-    for one in &made {
+    let generated = [generated(), generated()];
+    for one in &generated {
         let credential = one["credential"].as_str().unwrap();
         assert_eq!(one["operators_key_hash"], KeyHash::of(credential).to_hex());
     }
-    assert_ne!(made[0]["credential"], made[1]["credential"]);
+    assert_ne!(generated[0]["credential"], generated[1]["credential"]);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     assert!(String::from_utf8(output.stdout).unwrap().contains("_cassiafold"));
 }
 
-/// Text of a file under `examples/`.
+/// Reads a file under `examples/`.
 fn example(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(name);
     std::fs::read_to_string(path).expect("the sample can be read")
@@ -118,12 +118,12 @@
 }
 
 #[test]
-fn the_sample_of_casa_liwayway_has_the_sizes_of_the_brief() {
+fn the_sample_of_casa_liwayway_has_the_expected_sizes() {
     assert_deployment("casa-liwayway", 3);
 }
 
 #[test]
-fn the_sample_of_al_batinah_has_the_sizes_of_the_brief() {
+fn the_sample_of_al_batinah_has_the_expected_sizes() {
     assert_deployment("al-batinah", 4);
 }
 
--- a/crates/cassiafold/tests/load.rs
+++ b/crates/cassiafold/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against a scripted entry instance.
+//! Runs the load tool against a scripted entry instance.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,11 +14,12 @@
 use tokio::process::Command;
 
 const REQUESTS: u32 = 90;
-const ANSWER_TIME: Duration = Duration::from_millis(50);
+const RESPONSE_DELAY: Duration = Duration::from_millis(50);
 const PROBLEM: [(header::HeaderName, &str); 1] =
     [(header::CONTENT_TYPE, "application/problem+json")];
 
-/// Answers, refuses as not run and refuses as unknown in turn.
+/// Starts a server that alternates between success, a refusal that was not run and a refusal whose
+/// outcome is unknown. Returns its address and the number of requests served.
 async fn entry() -> (SocketAddr, Arc<AtomicU32>) {
     let served = Arc::new(AtomicU32::new(0));
     let count = served.clone();
@@ -75,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn the_length_of_a_run_bounds_its_requests() {
+async fn the_duration_of_a_run_limits_its_requests() {
     let (address, served) = entry().await;
     let output = load(address, &["--duration-s", "1", "--rate", "20"]).await;
     assert!(output.status.success());
@@ -83,8 +84,8 @@
 }
 
 #[tokio::test]
-async fn latency_counts_from_the_time_at_which_a_request_is_due() {
-    let router = Router::new().fallback(async || tokio::time::sleep(ANSWER_TIME).await);
+async fn latency_is_measured_from_the_scheduled_send_time() {
+    let router = Router::new().fallback(async || tokio::time::sleep(RESPONSE_DELAY).await);
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move { axum::serve(listener, router).await });
@@ -92,13 +93,13 @@
     let arguments: Vec<&str> = arguments.split(' ').collect();
     let output = load(address, &arguments).await;
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
-    let last = ANSWER_TIME * 10 - Duration::from_millis(10);
+    let min_latency = RESPONSE_DELAY * 10 - Duration::from_millis(10);
     let longest_ms = report["latency_ms"]["max"].as_f64().unwrap();
-    assert!(longest_ms >= last.as_secs_f64() * 1_000.0 * 0.99, "{longest_ms} ms");
+    assert!(longest_ms >= min_latency.as_secs_f64() * 1_000.0 * 0.99, "{longest_ms} ms");
 }
 
 #[tokio::test]
-async fn a_silent_entry_instance_does_not_prolong_the_run() {
+async fn an_unresponsive_entry_instance_does_not_prolong_the_run() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
     let arguments = "--concurrency 1 --duration-s 1 --timeout-ms 500 --rate 1000 --output json";
@@ -126,5 +127,5 @@
     too_many_requests_are_refused: "127.0.0.1:80", ["--requests", "200001"];
     too_high_a_rate_is_refused: "127.0.0.1:80", ["--rate", "5001"];
     too_long_a_run_is_refused: "127.0.0.1:80", ["--duration-s", "601"];
-    too_many_at_once_are_refused: "127.0.0.1:80", ["--concurrency", "257"];
+    too_many_concurrent_requests_are_refused: "127.0.0.1:80", ["--concurrency", "257"];
 }
--- a/crates/cassiafold/tests/processes/caller.rs
+++ b/crates/cassiafold/tests/processes/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of an entry instance.
+//! Test client that sends requests to an entry instance.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,22 +13,22 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What a caller was told.
+/// Response to a request, or its absence.
 #[derive(Debug, Clone, Default)]
 pub struct CallerOutcome {
     /// Id of the request.
     pub request_id: String,
-    /// HTTP status; zero without an answer.
+    /// HTTP status; zero without a response.
     pub status: u16,
-    /// Number of the problem, if it was one.
+    /// Result code, if the response is a problem document.
     pub code: Option<u64>,
-    /// Run state of the problem, if it was one.
+    /// Run state, if the response is a problem document.
     pub run_state: Option<String>,
-    /// Body of the answer.
+    /// Body of the response.
     pub body: String,
 }
 
-/// Sends one request on a connection of its own.
+/// Sends one request on a new connection.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -37,8 +37,8 @@
     request_id: String,
 ) -> CallerOutcome {
     let id = request_id.clone();
-    let answered = timeout(CALL_TIMEOUT, exchange(address, method, path, key, id)).await;
-    let outcome = answered.ok().flatten().unwrap_or_default();
+    let received = timeout(CALL_TIMEOUT, exchange(address, method, path, key, id)).await;
+    let outcome = received.ok().flatten().unwrap_or_default();
     CallerOutcome { request_id, ..outcome }
 }
 
@@ -61,9 +61,9 @@
         .header("x-request-id", request_id)
         .body(Full::new(Bytes::new()))
         .ok()?;
-    let answer = sender.send_request(request).await.ok()?;
-    let status = answer.status().as_u16();
-    let body = answer.into_body().collect().await.ok()?.to_bytes();
+    let response = sender.send_request(request).await.ok()?;
+    let status = response.status().as_u16();
+    let body = response.into_body().collect().await.ok()?.to_bytes();
     let body = String::from_utf8_lossy(&body).into_owned();
     let problem: serde_json::Value = serde_json::from_str(&body).unwrap_or_default();
     let code = problem["code"].as_u64();
--- a/crates/cassiafold/tests/processes/fleet.rs
+++ b/crates/cassiafold/tests/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet: stand-ins in this process, entry instances as processes of their own.
+//! A small fleet: stand-ins in this process, entry instances in separate processes.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::process::{Child, Command, Output, Stdio};
@@ -28,7 +28,7 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `condition` holds, `limit` at most.
+/// Polls until `condition` holds or `limit` has passed and returns whether it holds.
 pub async fn until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + limit;
     while Instant::now() < deadline {
@@ -40,12 +40,12 @@
     condition()
 }
 
-/// Seconds since the Unix epoch.
+/// Returns the seconds since the Unix epoch.
 pub fn unix_s() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_secs())
 }
 
-/// A process of an entry instance; killed when dropped.
+/// An entry instance process, killed when dropped.
 pub struct EntryProcess {
     /// Address for callers.
     pub callers: SocketAddr,
@@ -77,7 +77,7 @@
         Self { callers, operators, child: spawn(&path), settings: path }
     }
 
-    /// Sends one request with a new id.
+    /// Sends one request with a unique id.
     pub fn call(
         &self,
         method: Method,
@@ -98,7 +98,7 @@
         self.child.wait().expect("the process ends");
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the process to exit and returns its exit code.
     pub async fn exit_code(&mut self) -> Option<i32> {
         let mut code = None;
         let ended = || {
@@ -128,8 +128,8 @@
         .expect("the program starts")
 }
 
-/// First port of the range from which addresses are taken. It lies below the ports that the
-/// system gives to outgoing connections.
+/// First port of the range for listeners. The range lies below the ephemeral ports, which the
+/// system assigns to outgoing connections.
 const PORT_FIRST: u16 = 10_000;
 const PORT_COUNT: u32 = 20_000;
 
@@ -159,8 +159,8 @@
 }
 
 impl Fleet {
-    /// Starts `entries` entry instances and `backends` backend servers, dealt to the zones, and
-    /// waits until requests are answered.
+    /// Starts `entries` entry instances and `backends` backend servers, distributed over the zones,
+    /// and waits until requests succeed.
     pub async fn start(
         entries: usize,
         backends: usize,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Starts a killed entry instance again with the same settings.
+    /// Restarts a killed entry instance with the same settings.
     pub async fn restart(&mut self, index: usize) {
         let entry = &mut self.entries[index];
         entry.child = spawn(&entry.settings);
@@ -206,7 +206,7 @@
         assert!(until(READY_TIMEOUT, listens).await, "the entry instance does not listen");
     }
 
-    /// Runs an operators' verb at the entry instances.
+    /// Runs an operator command against the entry instances.
     pub fn operate(&self, arguments: &[&str]) -> Output {
         self.operate_at(&self.entries.iter().collect::<Vec<_>>(), arguments)
     }
@@ -221,14 +221,14 @@
             .expect("the program starts")
     }
 
-    /// Version in force at an entry instance; zero where it does not tell.
+    /// Returns the configuration version in force at an entry instance, or zero if unknown.
     pub fn version_at(&self, index: usize) -> u64 {
         let output = self.operate_at(&[&self.entries[index]], &["status", "--output", "json"]);
         let status: Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
         status["version"].as_u64().unwrap_or(0)
     }
 
-    /// Sends requests to every entry instance, `parallel` at a time to each, for `time`.
+    /// Sends requests to every entry instance for `time`, with `parallel` concurrent callers each.
     pub fn load(
         &self,
         method: Method,
@@ -239,7 +239,7 @@
         load(callers.collect(), &method, KEY, time)
     }
 
-    /// Sends requests of the team with `key` to one entry instance.
+    /// Sends requests with `key` to one entry instance for `time`, with `parallel` concurrent callers.
     pub fn load_at(
         &self,
         index: usize,
@@ -258,33 +258,33 @@
     time: Duration,
 ) -> JoinHandle<Vec<CallerOutcome>> {
     let end = Instant::now() + time;
-    let repeated = |address| tokio::spawn(repeat(address, method.clone(), key, end));
+    let repeated = |address| tokio::spawn(send_until(address, method.clone(), key, end));
     let callers: Vec<_> = callers.into_iter().map(repeated).collect();
     tokio::spawn(async move {
-        let mut outcome = Vec::new();
+        let mut outcomes = Vec::new();
         for caller in callers {
-            outcome.extend(caller.await.expect("the caller ends"));
+            outcomes.extend(caller.await.expect("the caller ends"));
         }
-        outcome
+        outcomes
     })
 }
 
-async fn repeat(
+async fn send_until(
     address: SocketAddr,
     method: Method,
     key: &'static str,
     end: Instant,
 ) -> Vec<CallerOutcome> {
-    let mut outcome = Vec::new();
+    let mut outcomes = Vec::new();
     while Instant::now() < end {
         let path = "/queues/portal/order".to_owned();
-        let answer = call(address, method.clone(), path, key.to_owned(), new_id()).await;
-        if answer.status != 200 {
+        let outcome = call(address, method.clone(), path, key.to_owned(), new_id()).await;
+        if outcome.status != 200 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        outcome.push(answer);
+        outcomes.push(outcome);
     }
-    outcome
+    outcomes
 }
 
 async fn start_backends(
--- a/crates/cassiafold/tests/processes/main.rs
+++ b/crates/cassiafold/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Entry instances as separate processes, under kills, freezes, outages and operators' changes.
+//! Runs entry instances as separate processes under kills, pauses, outages and operator commands.
 
 mod caller;
 mod fleet;
@@ -12,9 +12,9 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-/// Time within which a change must be in force everywhere.
+/// Time within which a change must be in force at every entry instance.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time after which nothing may start in a zone taken out, or on a leaving instance.
+/// Time after which no request may start in a closed zone or on a leaving instance.
 const START_CUTOFF: Duration = Duration::from_secs(2);
 
 fn runs_for(run_time: Duration) -> BackendOptions {
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_goes_through_separate_processes_and_comes_back_whole() {
+async fn a_request_is_served_through_separate_processes() {
     let fleet = Fleet::start(3, 6, BackendOptions::default(), |_| {}).await;
     for entry in &fleet.entries {
         let outcome = entry.call(Method::POST, "order", KEY).await;
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_withdrawn_key_stops_working_at_every_entry_instance_in_time() {
+async fn a_withdrawn_key_is_rejected_at_every_entry_instance_after_propagation() {
     let fleet = Fleet::start(3, 3, BackendOptions::default(), |_| {}).await;
     let output = fleet.operate(&["key", "withdraw", "--team", "parishes", "--all"]);
     assert!(output.status.success(), "{output:?}");
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_upper_limit_holds_through_a_kill_and_a_freeze() {
+async fn the_upper_limit_holds_while_entry_instances_are_killed_and_paused() {
     const LIMIT: u32 = 6;
     let options = runs_for(Duration::from_millis(200));
     let mut fleet = Fleet::start(3, 1, options, |config| {
@@ -61,28 +61,28 @@
     fleet.entries[1].kill();
     tokio::time::sleep(Duration::from_secs(5)).await;
     fleet.entries[2].signal(Signal::SIGCONT);
-    let outcome = load.await.unwrap();
-    assert!(outcome.iter().any(|outcome| outcome.status == 200));
+    let outcomes = load.await.unwrap();
+    assert!(outcomes.iter().any(|outcome| outcome.status == 200));
     let running_max = fleet.backends[0].running_max();
     assert!(running_max <= LIMIT, "{running_max} requests ran at once");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_run_at_most_once_and_refusals_are_true_while_an_entry_instance_is_killed() {
+async fn requests_run_at_most_once_and_run_states_are_correct_while_an_entry_instance_is_killed() {
     let options = runs_for(Duration::from_millis(30));
     let mut fleet = Fleet::start(3, 6, options, |_| {}).await;
     let load = fleet.load(Method::POST, 8, Duration::from_secs(4));
     tokio::time::sleep(Duration::from_secs(2)).await;
     fleet.entries[0].kill();
-    let outcome = load.await.unwrap();
+    let outcomes = load.await.unwrap();
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert!(outcome.len() > 100, "only {} requests", outcome.len());
-    for outcome in &outcome {
+    assert!(outcomes.len() > 100, "only {} requests", outcomes.len());
+    for outcome in &outcomes {
         assert_outcome_matches_runs(outcome, fleet.counts.runs(&outcome.request_id));
     }
 }
 
-/// What the caller was told against how often the request was run.
+/// Checks the outcome reported to the caller against the number of runs of the request.
 fn assert_outcome_matches_runs(outcome: &CallerOutcome, runs: u32) {
     assert!(runs <= 1, "{outcome:?} ran {runs} times");
     if outcome.status == 200 {
@@ -94,11 +94,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_of_the_store_stops_no_request_and_refuses_patches() {
+async fn requests_succeed_and_patches_are_refused_during_a_store_outage() {
     let fleet = Fleet::start(3, 3, BackendOptions::default(), |_| {}).await;
     fleet.platform.store.faults().set_outage(true);
-    let outcome = fleet.load(Method::POST, 4, Duration::from_secs(5)).await.unwrap();
-    assert!(outcome.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcome));
+    let outcomes = fleet.load(Method::POST, 4, Duration::from_secs(5)).await.unwrap();
+    assert!(outcomes.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcomes));
     let output = fleet.operate(&["zone", "out", "b"]);
     assert!(!output.status.success(), "{output:?}");
     fleet.platform.store.faults().set_outage(false);
@@ -106,12 +106,12 @@
     assert!(until(PROPAGATION_TIMEOUT, accepted).await, "the patch was not accepted");
 }
 
-fn first_refusal(outcome: &[CallerOutcome]) -> Option<&CallerOutcome> {
-    outcome.iter().find(|outcome| outcome.status != 200)
+fn first_refusal(outcomes: &[CallerOutcome]) -> Option<&CallerOutcome> {
+    outcomes.iter().find(|outcome| outcome.status != 200)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_entry_instance_finishes_what_it_accepted() {
+async fn a_stopped_entry_instance_completes_accepted_requests() {
     let options = runs_for(Duration::from_millis(1_500));
     let mut fleet = Fleet::start(2, 2, options, |_| {}).await;
     let calls: Vec<_> =
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_starts_in_a_zone_taken_out_and_its_callers_are_served_elsewhere() {
+async fn no_request_starts_in_a_closed_zone_and_its_callers_are_served_elsewhere() {
     let fleet = Fleet::start(3, 6, BackendOptions::default(), |_| {}).await;
     let output = fleet.operate(&["zone", "out", "a"]);
     assert!(output.status.success(), "{output:?}");
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_backend_server_gets_no_new_work_and_finishes_what_it_runs() {
+async fn a_leaving_backend_server_gets_no_new_requests_and_completes_running_ones() {
     let options = runs_for(Duration::from_millis(40));
     let fleet = Fleet::start(2, 2, options, |_| {}).await;
     let load = fleet.load(Method::POST, 4, Duration::from_secs(6));
@@ -158,8 +158,8 @@
         assert_eq!(fleet.backends[0].running(), 0);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let outcome = load.await.unwrap();
-    assert!(outcome.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcome));
+    let outcomes = load.await.unwrap();
+    assert!(outcomes.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcomes));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -172,17 +172,17 @@
     let time = Duration::from_secs(8);
     let large = fleet.load_at(0, KEY, 60, time);
     let small = fleet.load_at(1, OTHER_KEY, 12, time);
-    let whole = |outcome: Vec<CallerOutcome>| {
-        outcome.iter().filter(|outcome| outcome.status == 200).count()
+    let succeeded = |outcomes: Vec<CallerOutcome>| {
+        outcomes.iter().filter(|outcome| outcome.status == 200).count()
     };
-    let (large, small) = (whole(large.await.unwrap()), whole(small.await.unwrap()));
+    let (large, small) = (succeeded(large.await.unwrap()), succeeded(small.await.unwrap()));
     println!("whole answers: large {large}, small {small}");
     let share = (large + small) / 2;
     assert!(2 * small >= share, "the small team got {small} of its share of {share}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_entry_instance_catches_up_and_never_reverts() {
+async fn a_paused_entry_instance_catches_up_without_reverting() {
     let fleet = Fleet::start(3, 3, BackendOptions::default(), |_| {}).await;
     fleet.entries[2].signal(Signal::SIGSTOP);
     for zone in ["b", "c"] {
@@ -204,7 +204,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_instance_that_starts_during_an_outage_learns_the_configuration_from_a_peer() {
+async fn an_entry_instance_that_starts_during_a_store_outage_gets_the_configuration_from_a_peer() {
     let mut fleet = Fleet::start(3, 3, BackendOptions::default(), |_| {}).await;
     fleet.platform.store.faults().set_outage(true);
     fleet.entries[1].kill();
@@ -216,7 +216,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wave_reboots_each_instance_once_and_cuts_off_no_request() {
+async fn a_wave_reboots_each_instance_once_without_aborting_requests() {
     let options = runs_for(Duration::from_millis(100));
     let now_s = fleet::unix_s();
     let fleet = Fleet::start(2, 4, options, |config| {
@@ -227,7 +227,7 @@
     })
     .await;
     let load = fleet.load(Method::POST, 4, Duration::from_secs(45));
-    let outcome = load.await.unwrap();
+    let outcomes = load.await.unwrap();
     let mut reboots: Vec<String> = fleet
         .platform
         .instances
@@ -237,5 +237,5 @@
         .collect();
     reboots.sort();
     assert_eq!(reboots, ["portal-0", "portal-2"]);
-    assert!(outcome.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcome));
+    assert!(outcomes.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcomes));
 }
--- a/crates/cassiafold/tests/serve.rs
+++ b/crates/cassiafold/tests/serve.rs
@@ -1,4 +1,4 @@
-//! `cassiafold serve` as a process on loopback, where nothing of the platform answers.
+//! Runs `cassiafold serve` on loopback, where the platform is unreachable.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -8,14 +8,14 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// Port of the metrics, as in `deploy/system.toml`.
+/// Port of the metrics endpoint, as in `deploy/system.toml`.
 const METRICS_PORT: u16 = 7_001;
 
 struct Instance {
     process: Child,
     ip: Ipv4Addr,
-    front: u16,
-    ready: u16,
+    callers_port: u16,
+    ready_port: u16,
 }
 
 fn free_port(ip: Ipv4Addr) -> u16 {
@@ -25,9 +25,9 @@
 
 impl Instance {
     fn start(ip: Ipv4Addr) -> Self {
-        let (front, ready, store) = (free_port(ip), free_port(ip), free_port(ip));
+        let (callers_port, ready_port, store) = (free_port(ip), free_port(ip), free_port(ip));
         let settings = format!(
-            "Node: n\nZone: z\nListen:\n  Front: \"{ip}:{front}\"\n  Ready: \"{ip}:{ready}\"\n\
+            "Node: n\nZone: z\nListen:\n  Front: \"{ip}:{callers_port}\"\n  Ready: \"{ip}:{ready_port}\"\n\
              platform:\n  Addr: \"{ip}:{store}\"\nCloud:\n  Addr: \"{ip}:{store}\"\nBounds: {{}}\n"
         );
         let path = std::env::temp_dir().join(format!("cassiafold-serve-{ip}.yaml"));
@@ -40,7 +40,7 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("process");
-        Self { process, ip, front, ready }
+        Self { process, ip, callers_port, ready_port }
     }
 
     fn get(&self, port: u16, path: &str) -> String {
@@ -64,21 +64,21 @@
 fn exchange(mut stream: TcpStream, path: &str) -> String {
     let request = format!("GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).expect("request");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("answer");
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("answer");
+    response
 }
 
 #[test]
-fn an_instance_without_store_is_not_ready_refuses_at_once_and_stops_when_told() {
+fn an_instance_without_a_store_is_not_ready_rejects_requests_and_stops_on_sigterm() {
     let mut instance = Instance::start(Ipv4Addr::new(127, 77, 1, 1));
-    let ready = instance.get(instance.ready, "/ready");
-    assert!(ready.starts_with("HTTP/1.1 503"), "{ready}");
-    let began = Instant::now();
-    let refused = instance.get(instance.front, "/q/0000000000000001");
-    assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
-    assert!(refused.contains("retry-after: 1"), "{refused}");
-    assert!(began.elapsed() < Duration::from_secs(1));
+    let readiness = instance.get(instance.ready_port, "/ready");
+    assert!(readiness.starts_with("HTTP/1.1 503"), "{readiness}");
+    let started = Instant::now();
+    let rejected = instance.get(instance.callers_port, "/q/0000000000000001");
+    assert!(rejected.starts_with("HTTP/1.1 503"), "{rejected}");
+    assert!(rejected.contains("retry-after: 1"), "{rejected}");
+    assert!(started.elapsed() < Duration::from_secs(1));
     instance.signal(Signal::SIGHUP);
     let metrics = instance.get(METRICS_PORT, "/metrics");
     assert!(metrics.contains("cassiafold_tenures_total 0"), "{metrics}");
--- a/crates/cassiafold/tests/standin.rs
+++ b/crates/cassiafold/tests/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a process of their own.
+//! Runs the stand-ins as a separate process.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,7 +15,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 const SETTINGS: &str = "backends: [{name: portal, count: 3, zones: [a, b, c], slots: 2}]";
 
-/// A running process, ended when dropped.
+/// A running stand-in process, killed when dropped.
 struct Standin {
     child: Child,
     ready: serde_json::Value,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Sends a request and returns the status line and the body of its answer.
+/// Sends a request and returns the status line and the body of the response.
 fn post(address: SocketAddr, path: &str, body: &str) -> (String, String) {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -60,14 +60,14 @@
          content-length: {length}\r\n\r\n{body}"
     );
     stream.write_all(request.as_bytes()).unwrap();
-    let mut answer = BufReader::new(stream);
+    let mut response = BufReader::new(stream);
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        assert!(answer.read_line(&mut head).unwrap() > 0, "{head}");
+        assert!(response.read_line(&mut head).unwrap() > 0, "{head}");
     }
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
     let mut body = vec![0; length.map_or(0, |length| length.parse().unwrap())];
-    answer.read_exact(&mut body).unwrap();
+    response.read_exact(&mut body).unwrap();
     (head.lines().next().unwrap().to_owned(), String::from_utf8(body).unwrap())
 }
 
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn its_backend_servers_are_listed_and_answer() {
+async fn backend_servers_are_listed_and_respond() {
     let standin = Standin::start("list", SETTINGS);
     let list = HttpInstanceList::new(standin.address("instance_list"), "entry", TIMEOUT);
     let listed = list.list().await.unwrap();
--- a/crates/cassiafold/tests/verbs.rs
+++ b/crates/cassiafold/tests/verbs.rs
@@ -1,4 +1,4 @@
-//! Operators' verbs, run as a program against the operators' interface.
+//! Runs the operator commands against the operators' interface.
 
 #[allow(dead_code, reason = "the fake serves another test too, which uses all of it")]
 #[path = "../../operators/tests/http/fake.rs"]
@@ -15,7 +15,7 @@
 
 use crate::fake::{CREDENTIAL, Entry};
 
-/// An entry instance that serves its operators' interface.
+/// A fake entry instance that serves the operators' interface.
 struct Server {
     entry: Entry,
     address: SocketAddr,
@@ -50,8 +50,8 @@
         .expect("the program starts")
 }
 
-/// Exit code and output of a run.
-fn shown(output: &Output) -> String {
+/// Returns the standard output, standard error and exit code of a run.
+fn exit_code_and_output(output: &Output) -> String {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let code = output.status.code().unwrap_or_default();
     format!("{}{}exit {code}\n", text(&output.stdout), text(&output.stderr))
@@ -64,7 +64,7 @@
 }
 
 fn check(arguments: &[&str], expected: Expect) {
-    expected.assert_eq(&shown(&Server::start().run(arguments)));
+    expected.assert_eq(&exit_code_and_output(&Server::start().run(arguments)));
 }
 
 macro_rules! cases {
@@ -77,7 +77,7 @@
 }
 
 cases! {
-    status_shows_versions_and_who_has_not_confirmed: ["status"] => expect![[r#"
+    status_shows_versions_and_confirmations: ["status"] => expect![[r#"
         answered by e1 in zone a
         version 1 in force, not ready
         key-value service out of reach
@@ -87,14 +87,14 @@
         e2     b     1        yes        -      0
         exit 0
     "#]];
-    zone_out_names_who_has_not_confirmed: ["zone", "out", "a"] => expect![[r#"
+    zone_out_lists_unconfirmed_entry_instances: ["zone", "out", "a"] => expect![[r#"
         version 2
         not confirmed by:
         ENTRY  ZONE  VERSION
         e2     b     1
         exit 0
     "#]];
-    zone_in_of_a_zone_that_is_in_changes_nothing:
+    zone_in_of_an_open_zone_changes_nothing:
         ["zone", "in", "a", "--output", "json"] => expect![[r#"
             {
               "version": 1,
@@ -159,7 +159,7 @@
         1970-01-01T00:00:00.001Z  1400   drain started  i1        -     w     floor=8
         exit 0
     "#]];
-    a_key_is_withdrawn_by_one_way_only: ["key", "withdraw", "--team", "t"] => expect![[r#"
+    key_withdrawal_requires_exactly_one_selection: ["key", "withdraw", "--team", "t"] => expect![[r#"
         error: the following required arguments were not provided:
           <--key-hash <HEXADECIMAL>|--key-file <FILE>|--all>
 
@@ -175,9 +175,9 @@
     let server = Server::start();
     let patch = file("patch.yaml", "teams: {t: {share: 5}}\n");
     let faulty = file("faulty-patch.yaml", "teams: {t: {share: 0}}\n");
-    let patched = shown(&server.run(&["config", "patch", &patch, "--base", "1"]));
-    let stale = shown(&server.run(&["config", "patch", &patch, "--base", "1"]));
-    let invalid = shown(&server.run(&["config", "patch", &faulty, "--base", "2"]));
+    let patched = exit_code_and_output(&server.run(&["config", "patch", &patch, "--base", "1"]));
+    let stale = exit_code_and_output(&server.run(&["config", "patch", &patch, "--base", "1"]));
+    let invalid = exit_code_and_output(&server.run(&["config", "patch", &faulty, "--base", "2"]));
     expect![[r#"
         version 2
         not confirmed by:
