--- a/crates/cassiafold/src/command.rs
+++ b/crates/cassiafold/src/command.rs
@@ -94,7 +94,7 @@
             Some(("credential", matches)) => Action::Credential(Output::from(matches)),
             Some(("completions", matches)) => Action::Completions(shell(matches)?),
             Some((name, matches)) => {
-                Action::OperatorCommand(Box::new(OperatorCommand::read(name, matches)?))
+                Action::OperatorCommand(Box::new(OperatorCommand::from_matches(name, matches)?))
             }
             None => return Err(Error::Usage("no command given".into())),
         };
--- a/crates/cassiafold/src/dependencies.rs
+++ b/crates/cassiafold/src/dependencies.rs
@@ -140,11 +140,11 @@
 ) -> WeightTable {
     let local = usage.load();
     let capacities = capacities(config, instances);
-    let compute_weights = |(service, capacity): (&ServiceId, u32)| {
+    let service_weights = |(service, capacity): (&ServiceId, u32)| {
         let weights = shares.weights(service, capacity, &local);
         (!weights.is_empty()).then(|| (service.clone(), team_shares(capacity, weights)))
     };
-    capacities.into_iter().filter_map(compute_weights).collect()
+    capacities.into_iter().filter_map(service_weights).collect()
 }
 
 /// Returns the slots of each service on live instances in open zones.
--- a/crates/cassiafold/src/entry.rs
+++ b/crates/cassiafold/src/entry.rs
@@ -190,13 +190,13 @@
         self.operators_address
     }
 
-    /// Returns whether this instance accepts requests from callers.
+    /// Returns whether callers should be routed to this instance.
     pub fn is_ready(&self) -> bool {
         self.server.caller_api().is_ready()
     }
 
-    /// Waits for running requests, then leaves the fleet. If `forced` completes first, requests that
-    /// still run are aborted.
+    /// Waits for running requests, then leaves the fleet. If `forced` completes first, requests
+    /// that still run are aborted.
     pub async fn close(mut self, wait: Duration, forced: impl Future<Output = ()>) -> StopReport {
         self.readiness_task.abort();
         self.membership.set_ready(false);
--- a/crates/cassiafold/src/isolation.rs
+++ b/crates/cassiafold/src/isolation.rs
@@ -25,7 +25,8 @@
 }
 
 impl Isolation {
-    /// Creates a tracker that rejects requests with a key after `keyed_requests_max` without contact.
+    /// Creates a tracker that rejects requests with a key after `keyed_requests_max` without
+    /// contact.
     pub fn new(keyed_requests_max: Duration) -> Self {
         Self { start: Instant::now(), last_contact_ms: Arc::default(), keyed_requests_max }
     }
@@ -36,8 +37,8 @@
         self.start.elapsed().saturating_sub(last)
     }
 
-    /// Returns whether requests with a key must be rejected, because a withdrawal of the key may have
-    /// been missed for longer than the bound.
+    /// Returns whether requests with a key must be rejected, because a withdrawal of the key may
+    /// have been missed for longer than the bound.
     pub fn rejects_keyed_requests(&self) -> bool {
         self.time_since_contact() > self.keyed_requests_max
     }
--- a/crates/cassiafold/src/load.rs
+++ b/crates/cassiafold/src/load.rs
@@ -41,8 +41,8 @@
 }
 
 impl Schedule {
-    /// Waits for the send time of the next request and returns it, or `None` if no requests remain or
-    /// the run has ended.
+    /// Waits for the send time of the next request and returns it, or `None` if no requests remain
+    /// or the run has ended.
     async fn next_due(&self) -> Option<Instant> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         if number >= self.requests {
--- a/crates/cassiafold/src/load/stats.rs
+++ b/crates/cassiafold/src/load/stats.rs
@@ -56,8 +56,8 @@
 pub struct RunStats {
     /// Number of requests by outcome.
     pub counts: BTreeMap<Outcome, u64>,
-    /// Time from the scheduled send time to the end of the response, in microseconds, of the requests
-    /// with a complete response.
+    /// Time from the scheduled send time to the end of the response, in microseconds, of the
+    /// requests with a complete response.
     pub latencies_us: Histogram<u64>,
 }
 
--- a/crates/cassiafold/src/operator_command.rs
+++ b/crates/cassiafold/src/operator_command.rs
@@ -41,7 +41,7 @@
     /// Parses an operator command from the matches of its subcommand.
     ///
     /// Returns `Error::Usage` if the command or an argument is invalid.
-    pub fn read(name: &str, matches: &ArgMatches) -> Result<Self> {
+    pub fn from_matches(name: &str, matches: &ArgMatches) -> Result<Self> {
         let action = match name {
             "status" => Action::Status(StatusCommand),
             "config" => Action::Config(matches.try_into()?),
@@ -53,18 +53,18 @@
             "explain" => Action::Explain(matches.try_into()?),
             _ => return Err(Error::Usage(format!("unknown command {name}"))),
         };
-        let client = innermost(matches).try_into()?;
-        Ok(Self { client, output: Output::from(innermost(matches)), action })
+        let client = innermost_matches(matches).try_into()?;
+        Ok(Self { client, output: Output::from(innermost_matches(matches)), action })
     }
 
     /// Runs the command and prints its result.
     pub fn run(&self) -> Result<ExitCode> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        runtime.block_on(self.act())?;
+        runtime.block_on(self.run_action())?;
         Ok(ExitCode::SUCCESS)
     }
 
-    async fn act(&self) -> Result<()> {
+    async fn run_action(&self) -> Result<()> {
         let (client, output) = (&self.client, self.output);
         match &self.action {
             Action::Status(command) => command.run(client, output).await,
@@ -80,8 +80,8 @@
 }
 
 /// Returns the matches of the innermost subcommand, which hold the global options.
-fn innermost(matches: &ArgMatches) -> &ArgMatches {
-    matches.subcommand().map_or(matches, |(_, inner)| innermost(inner))
+fn innermost_matches(matches: &ArgMatches) -> &ArgMatches {
+    matches.subcommand().map_or(matches, |(_, inner)| innermost_matches(inner))
 }
 
 /// Returns a required argument of a subcommand.
--- a/crates/cassiafold/src/serve.rs
+++ b/crates/cassiafold/src/serve.rs
@@ -128,8 +128,8 @@
 
 /// Returns the fixed delay before free ownership is claimed.
 ///
-/// The owner reads all jobs and sends the commands for all tasks, so machines with a larger CPU share and a faster
-/// link claim first.
+/// The owner reads all jobs and sends the commands for all tasks, so machines with a larger CPU
+/// share and a faster link claim first.
 fn claim_delay(settings: &PlatformSettings) -> Duration {
     let cpu_deficit = (REFERENCE_CPU_SHARE / settings.cpu_share.max(0.01) - 1.0).max(0.0);
     let link_deficit = (REFERENCE_LINK_MBPS / settings.link_mbps.max(1.0) - 1.0).max(0.0);
--- a/crates/cassiafold/src/symptoms.rs
+++ b/crates/cassiafold/src/symptoms.rs
@@ -17,7 +17,7 @@
 /// Consecutive failed responses after which an instance counts as failing all requests.
 const FAILED_RESPONSES_MIN: u32 = 5;
 /// Time after the last failure at which the failures of an instance expire.
-const EVIDENCE_TTL: Duration = Duration::from_secs(180);
+const FAILURES_TTL: Duration = Duration::from_secs(180);
 
 /// Failures of one instance since its last success.
 #[derive(Debug, Clone, Copy)]
@@ -89,7 +89,7 @@
     /// Returns the instances that have symptoms now.
     pub fn current(&self) -> BTreeMap<InstanceId, Symptom> {
         let mut failures = self.lock();
-        failures.retain(|_, counts| counts.last_failure.elapsed() < EVIDENCE_TTL);
+        failures.retain(|_, counts| counts.last_failure.elapsed() < FAILURES_TTL);
         let failing =
             failures.iter().filter_map(|(id, counts)| Some((id.clone(), counts.symptom()?)));
         failing.collect()
--- a/crates/cassiafold/src/symptoms/tests.rs
+++ b/crates/cassiafold/src/symptoms/tests.rs
@@ -2,7 +2,7 @@
 use cassiafold_membership::usage::Symptom;
 use tokio::time::Instant;
 
-use super::{EVIDENCE_TTL, Symptoms};
+use super::{FAILURES_TTL, Symptoms};
 
 fn record(symptoms: &Symptoms, results: &[AttemptResult]) {
     for result in results {
@@ -37,7 +37,7 @@
 async fn old_failures_expire() {
     let symptoms = Symptoms::default();
     record(&symptoms, &[ConnectFailed; 3]);
-    tokio::time::sleep(EVIDENCE_TTL).await;
+    tokio::time::sleep(FAILURES_TTL).await;
     assert!(symptoms.current().is_empty());
 }
 
--- a/crates/cassiafold/tests/processes/fleet.rs
+++ b/crates/cassiafold/tests/processes/fleet.rs
@@ -239,7 +239,8 @@
         load(callers.collect(), &method, KEY, time)
     }
 
-    /// Sends requests with `key` to one entry instance for `time`, with `parallel` concurrent callers.
+    /// Sends requests with `key` to one entry instance for `time`, with `parallel` concurrent
+    /// callers.
     pub fn load_at(
         &self,
         index: usize,
