--- a/crates/cassiafold/src/change.rs
+++ b/crates/cassiafold/src/change.rs
@@ -11,7 +11,7 @@
         return print_json(response);
     }
     let suffix = match (response.unchanged, response.repeated) {
-        (true, _) => ", which was so before",
+        (true, _) => ", unchanged",
         (_, true) => ", by an earlier request",
         _ => "",
     };
--- a/crates/cassiafold/src/check.rs
+++ b/crates/cassiafold/src/check.rs
@@ -26,8 +26,8 @@
         Output::Text => results.iter().for_each(print_result),
         Output::Json => print_json(&results)?,
     }
-    let sound = results.iter().all(|result| result.faults.is_empty());
-    if sound { Ok(ExitCode::SUCCESS) } else { Ok(Error::Faults(Faults::default()).exit_code()) }
+    let no_faults = results.iter().all(|result| result.faults.is_empty());
+    if no_faults { Ok(ExitCode::SUCCESS) } else { Ok(Error::Faults(Faults::default()).exit_code()) }
 }
 
 fn check(path: &Path) -> Result<CheckResult> {
--- a/crates/cassiafold/src/isolation/tests.rs
+++ b/crates/cassiafold/src/isolation/tests.rs
@@ -72,7 +72,7 @@
     active
 }
 
-const LONG: Duration = Duration::from_secs(1_200);
+const OUTAGE_DURATION: Duration = Duration::from_secs(1_200);
 
 #[tokio::test(start_paused = true)]
 async fn requests_with_a_key_are_rejected_after_the_bound_without_contact() {
@@ -87,28 +87,28 @@
 #[tokio::test(start_paused = true)]
 async fn a_store_outage_alone_does_not_reject_requests() {
     let fixture = Fixture::start();
-    fixture.receive_heartbeats(&["b", "c"], false, LONG).await;
+    fixture.receive_heartbeats(&["b", "c"], false, OUTAGE_DURATION).await;
     assert!(!fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
 async fn two_isolated_zones_have_no_contact() {
     let fixture = Fixture::start();
-    fixture.receive_heartbeats(&["b"], false, LONG).await;
+    fixture.receive_heartbeats(&["b"], false, OUTAGE_DURATION).await;
     assert!(fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_peer_that_reaches_the_store_keeps_contact() {
     let fixture = Fixture::start();
-    fixture.receive_heartbeats(&["b"], true, LONG).await;
+    fixture.receive_heartbeats(&["b"], true, OUTAGE_DURATION).await;
     assert!(!fixture.isolation.rejects_keyed_requests());
 }
 
 #[tokio::test(start_paused = true)]
 async fn requests_with_a_key_are_accepted_after_contact_returns() {
     let fixture = Fixture::start();
-    tokio::time::sleep(LONG).await;
+    tokio::time::sleep(OUTAGE_DURATION).await;
     assert!(fixture.isolation.rejects_keyed_requests());
     fixture.contact.note();
     tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/cassiafold/src/observer/tests.rs
+++ b/crates/cassiafold/src/observer/tests.rs
@@ -51,8 +51,8 @@
         rack: "b-1".into(),
         state: cassiafold_config::InstanceState::Live,
     });
-    let followed = view.clone();
-    tokio::spawn(async move { followed.run_updates(list, FleetHandle::default()).await });
+    let updated_view = view.clone();
+    tokio::spawn(async move { updated_view.run_updates(list, FleetHandle::default()).await });
     tokio::time::sleep(Duration::from_millis(1)).await;
     Observer::new(roster.clone(), view)
 }
--- a/crates/cassiafold/src/standin.rs
+++ b/crates/cassiafold/src/standin.rs
@@ -24,6 +24,7 @@
     backends: Vec<ReadyBackend>,
 }
 
+/// A started backend server.
 #[derive(Debug, Serialize)]
 struct ReadyBackend {
     id: InstanceId,
--- a/crates/cassiafold/tests/load.rs
+++ b/crates/cassiafold/tests/load.rs
@@ -20,7 +20,7 @@
 
 /// Starts a server that alternates between success, a refusal that was not run and a refusal whose
 /// outcome is unknown. Returns its address and the number of requests served.
-async fn entry() -> (SocketAddr, Arc<AtomicU32>) {
+async fn start_entry() -> (SocketAddr, Arc<AtomicU32>) {
     let served = Arc::new(AtomicU32::new(0));
     let count = served.clone();
     let router = Router::new().fallback(async move |headers: HeaderMap| -> Response {
@@ -59,7 +59,7 @@
 
 #[tokio::test]
 async fn outcomes_are_counted_by_status_code_and_run_state() {
-    let (address, served) = entry().await;
+    let (address, served) = start_entry().await;
     let requests = REQUESTS.to_string();
     let arguments = ["--requests", &requests, "--rate", "1000", "--output", "json"];
     let output = load(address, &arguments).await;
@@ -77,7 +77,7 @@
 
 #[tokio::test]
 async fn the_duration_of_a_run_limits_its_requests() {
-    let (address, served) = entry().await;
+    let (address, served) = start_entry().await;
     let output = load(address, &["--duration-s", "1", "--rate", "20"]).await;
     assert!(output.status.success());
     assert_eq!(served.load(Ordering::SeqCst), 20);
--- a/crates/cassiafold/tests/processes/fleet.rs
+++ b/crates/cassiafold/tests/processes/fleet.rs
@@ -29,7 +29,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Polls until `condition` holds or `limit` has passed and returns whether it holds.
-pub async fn until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
+pub async fn wait_until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + limit;
     while Instant::now() < deadline {
         if condition() {
@@ -105,7 +105,7 @@
             code = self.child.try_wait().expect("a child").and_then(|status| status.code());
             code.is_some()
         };
-        until(READY_TIMEOUT, ended).await;
+        wait_until(READY_TIMEOUT, ended).await;
         code
     }
 }
@@ -203,15 +203,15 @@
         entry.child = spawn(&entry.settings);
         let callers = entry.callers;
         let listens = || std::net::TcpStream::connect(callers).is_ok();
-        assert!(until(READY_TIMEOUT, listens).await, "the entry instance does not listen");
+        assert!(wait_until(READY_TIMEOUT, listens).await, "the entry instance does not listen");
     }
 
     /// Runs an operator command against the entry instances.
-    pub fn operate(&self, arguments: &[&str]) -> Output {
-        self.operate_at(&self.entries.iter().collect::<Vec<_>>(), arguments)
+    pub fn run_operator_command(&self, arguments: &[&str]) -> Output {
+        self.run_operator_command_at(&self.entries.iter().collect::<Vec<_>>(), arguments)
     }
 
-    fn operate_at(&self, entries: &[&EntryProcess], arguments: &[&str]) -> Output {
+    fn run_operator_command_at(&self, entries: &[&EntryProcess], arguments: &[&str]) -> Output {
         let addresses = entries.iter().map(|entry| entry.operators.to_string());
         Command::new(env!("CARGO_BIN_EXE_cassiafold"))
             .args(arguments)
@@ -223,32 +223,33 @@
 
     /// Returns the configuration version in force at an entry instance, or zero if unknown.
     pub fn version_at(&self, index: usize) -> u64 {
-        let output = self.operate_at(&[&self.entries[index]], &["status", "--output", "json"]);
+        let output =
+            self.run_operator_command_at(&[&self.entries[index]], &["status", "--output", "json"]);
         let status: Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
         status["version"].as_u64().unwrap_or(0)
     }
 
-    /// Sends requests to every entry instance for `time`, with `parallel` concurrent callers each.
+    /// Sends requests to every entry instance for `time`, with `concurrency` concurrent callers each.
     pub fn load(
         &self,
         method: Method,
-        parallel: usize,
+        concurrency: usize,
         time: Duration,
     ) -> JoinHandle<Vec<CallerOutcome>> {
-        let callers = self.entries.iter().flat_map(|entry| vec![entry.callers; parallel]);
+        let callers = self.entries.iter().flat_map(|entry| vec![entry.callers; concurrency]);
         load(callers.collect(), &method, KEY, time)
     }
 
-    /// Sends requests with `key` to one entry instance for `time`, with `parallel` concurrent
+    /// Sends requests with `key` to one entry instance for `time`, with `concurrency` concurrent
     /// callers.
     pub fn load_at(
         &self,
         index: usize,
         key: &'static str,
-        parallel: usize,
+        concurrency: usize,
         time: Duration,
     ) -> JoinHandle<Vec<CallerOutcome>> {
-        load(vec![self.entries[index].callers; parallel], &Method::POST, key, time)
+        load(vec![self.entries[index].callers; concurrency], &Method::POST, key, time)
     }
 }
 
--- a/crates/cassiafold/tests/processes/main.rs
+++ b/crates/cassiafold/tests/processes/main.rs
@@ -7,7 +7,7 @@
 
 use caller::CallerOutcome;
 use cassiafold_standin::BackendOptions;
-use fleet::{Fleet, KEY, OTHER_KEY, until};
+use fleet::{Fleet, KEY, OTHER_KEY, wait_until};
 use http::Method;
 use nix::sys::signal::Signal;
 use serde_json::json;
@@ -35,7 +35,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_withdrawn_key_is_rejected_at_every_entry_instance_after_propagation() {
     let fleet = Fleet::start(3, 3, BackendOptions::default(), |_| {}).await;
-    let output = fleet.operate(&["key", "withdraw", "--team", "parishes", "--all"]);
+    let output = fleet.run_operator_command(&["key", "withdraw", "--team", "parishes", "--all"]);
     assert!(output.status.success(), "{output:?}");
     tokio::time::sleep(PROPAGATION_TIMEOUT).await;
     for entry in &fleet.entries {
@@ -99,11 +99,11 @@
     fleet.platform.store.faults().set_outage(true);
     let outcomes = fleet.load(Method::POST, 4, Duration::from_secs(5)).await.unwrap();
     assert!(outcomes.iter().all(|outcome| outcome.status == 200), "{:?}", first_refusal(&outcomes));
-    let output = fleet.operate(&["zone", "out", "b"]);
+    let output = fleet.run_operator_command(&["zone", "out", "b"]);
     assert!(!output.status.success(), "{output:?}");
     fleet.platform.store.faults().set_outage(false);
-    let accepted = || fleet.operate(&["zone", "out", "b"]).status.success();
-    assert!(until(PROPAGATION_TIMEOUT, accepted).await, "the patch was not accepted");
+    let accepted = || fleet.run_operator_command(&["zone", "out", "b"]).status.success();
+    assert!(wait_until(PROPAGATION_TIMEOUT, accepted).await, "the patch was not accepted");
 }
 
 fn first_refusal(outcomes: &[CallerOutcome]) -> Option<&CallerOutcome> {
@@ -117,7 +117,7 @@
     let calls: Vec<_> =
         (0..8).map(|_| tokio::spawn(fleet.entries[0].call(Method::POST, "slow", KEY))).collect();
     let running = || fleet.backends.iter().map(|backend| backend.running()).sum::<u32>() == 8;
-    assert!(until(PROPAGATION_TIMEOUT, running).await, "the requests did not start");
+    assert!(wait_until(PROPAGATION_TIMEOUT, running).await, "the requests did not start");
     fleet.entries[0].signal(Signal::SIGTERM);
     for call in calls {
         let outcome = call.await.unwrap();
@@ -129,7 +129,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn no_request_starts_in_a_closed_zone_and_its_callers_are_served_elsewhere() {
     let fleet = Fleet::start(3, 6, BackendOptions::default(), |_| {}).await;
-    let output = fleet.operate(&["zone", "out", "a"]);
+    let output = fleet.run_operator_command(&["zone", "out", "a"]);
     assert!(output.status.success(), "{output:?}");
     tokio::time::sleep(START_CUTOFF).await;
     for _ in 0..40 {
@@ -153,7 +153,7 @@
     tokio::time::sleep(START_CUTOFF).await;
     let outcome = fleet.entries[0].call(Method::POST, "order", KEY).await;
     assert!(outcome.body.contains("portal-1"), "{outcome:?}");
-    assert!(until(START_CUTOFF, || fleet.backends[0].running() == 0).await);
+    assert!(wait_until(START_CUTOFF, || fleet.backends[0].running() == 0).await);
     for _ in 0..20 {
         assert_eq!(fleet.backends[0].running(), 0);
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -176,7 +176,7 @@
         outcomes.iter().filter(|outcome| outcome.status == 200).count()
     };
     let (large, small) = (succeeded(large.await.unwrap()), succeeded(small.await.unwrap()));
-    println!("whole answers: large {large}, small {small}");
+    println!("successful responses: large {large}, small {small}");
     let share = (large + small) / 2;
     assert!(2 * small >= share, "the small team got {small} of its share of {share}");
 }
@@ -186,20 +186,20 @@
     let fleet = Fleet::start(3, 3, BackendOptions::default(), |_| {}).await;
     fleet.entries[2].signal(Signal::SIGSTOP);
     for zone in ["b", "c"] {
-        let output = fleet.operate(&["zone", "out", zone]);
+        let output = fleet.run_operator_command(&["zone", "out", zone]);
         assert!(output.status.success(), "{output:?}");
     }
     fleet.entries[2].signal(Signal::SIGCONT);
     let mut highest = 0;
-    let caught_up = || {
+    let has_caught_up = || {
         let version = fleet.version_at(2);
         assert!(version >= highest, "went back from {highest} to {version}");
         highest = version;
         version == 3
     };
     assert!(
-        until(PROPAGATION_TIMEOUT, caught_up).await,
-        "the frozen entry instance did not catch up"
+        wait_until(PROPAGATION_TIMEOUT, has_caught_up).await,
+        "the paused entry instance did not catch up"
     );
 }
 
@@ -211,8 +211,11 @@
     fleet.restart(1).await;
     let outcome = fleet.entries[1].call(Method::GET, "order", "wrong-key").await;
     assert!([302, 300].contains(&outcome.code.unwrap_or(0)), "{outcome:?}");
-    let knows = || fleet.version_at(1) == 1;
-    assert!(until(2 * PROPAGATION_TIMEOUT, knows).await, "no configuration came from the peers");
+    let has_configuration = || fleet.version_at(1) == 1;
+    assert!(
+        wait_until(2 * PROPAGATION_TIMEOUT, has_configuration).await,
+        "no configuration came from the peers"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
