--- a/crates/cassiafold/examples/fit.rs
+++ b/crates/cassiafold/examples/fit.rs
@@ -1,5 +1,5 @@
-//! Fits straight lines to the measurements in `docs/measurements.jsonl` and prints them as a
-//! Markdown table: slope, value at zero, and the largest distance of a measurement from the line.
+//! Fits linear regressions to the measurements in `docs/measurements.jsonl` and prints a Markdown
+//! table of slope, intercept and largest residual.
 //!
 //! `cargo run --release -p cassiafold --example fit [FILE]`
 
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 
-/// One line to fit: measurements that `matches` picks, `y` over `x`.
+/// A regression of field `y` over field `x`, for the results whose fields equal `matches`.
 struct Series {
     name: &'static str,
     command: &'static str,
@@ -60,7 +60,7 @@
     ),
 ];
 
-fn at<'a>(value: &'a Value, path: &str) -> Option<&'a Value> {
+fn field_at<'a>(value: &'a Value, path: &str) -> Option<&'a Value> {
     path.split('.').try_fold(value, |value, field| value.get(field))
 }
 
@@ -68,11 +68,11 @@
     let mut points = BTreeMap::new();
     for line in lines.iter().filter(|line| line["command"] == series.command) {
         let result = &line["result"];
-        let chosen = series.matches.iter().all(|(field, wanted)| {
-            at(result, field).is_some_and(|value| value.as_f64() == Some(*wanted))
+        let is_match = series.matches.iter().all(|(field, wanted)| {
+            field_at(result, field).is_some_and(|value| value.as_f64() == Some(*wanted))
         });
-        let pair = (at(result, series.x), at(result, series.y));
-        if let (true, (Some(x), Some(y))) = (chosen, pair)
+        let pair = (field_at(result, series.x), field_at(result, series.y));
+        if let (true, (Some(x), Some(y))) = (is_match, pair)
             && let (Some(x), Some(y)) = (x.as_u64(), y.as_f64())
         {
             points.entry(x).or_insert(y);
@@ -81,7 +81,7 @@
     points
 }
 
-/// Least squares: slope and value at zero.
+/// Returns the slope and intercept of the least-squares line.
 fn fit(points: &BTreeMap<u64, f64>) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.keys().map(|x| *x as f64).sum::<f64>() / count;
--- a/crates/cassiafold/src/config.rs
+++ b/crates/cassiafold/src/config.rs
@@ -1,4 +1,4 @@
-//! `config get`, `config patch` and `config history`.
+//! The `config get`, `config patch` and `config history` commands.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -12,23 +12,23 @@
 use serde_json::Value;
 
 use crate::change::print_change;
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::{Error, Result};
+use crate::operator_command::unknown_subcommand;
 use crate::output::{Output, or_dash, print_json, print_table, utc_time};
-use crate::verb::unknown_subcommand;
 
 const MILLISECONDS_PER_SECOND: u64 = 1_000;
 
-/// `config` and its subcommands.
+/// The `config` command and its subcommands.
 #[derive(Debug)]
-pub enum ConfigVerb {
+pub enum ConfigCommand {
     /// Prints the newest configuration.
     Get,
-    /// Makes the next version.
+    /// Patches the configuration, which creates the next version.
     Patch(PatchOptions),
-    /// Shows who made the last versions.
+    /// Shows the authors of recent versions.
     History {
-        /// Versions to show.
+        /// Maximum number of versions to show.
         limit: u16,
     },
 }
@@ -41,7 +41,7 @@
     write_id: Option<String>,
 }
 
-impl TryFrom<&ArgMatches> for ConfigVerb {
+impl TryFrom<&ArgMatches> for ConfigCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
@@ -61,7 +61,7 @@
     }
 }
 
-impl ConfigVerb {
+impl ConfigCommand {
     /// Runs the subcommand and prints its result.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
         match self {
@@ -73,7 +73,7 @@
 }
 
 async fn get(client: &Client, output: Output) -> Result<()> {
-    let config: RawConfig = client.call(&Call::get("/config")).await?;
+    let config: RawConfig = client.send(&ApiRequest::get("/config")).await?;
     if output == Output::Json {
         return print_json(&config);
     }
@@ -85,11 +85,11 @@
 async fn patch(client: &Client, options: &PatchOptions, output: Output) -> Result<()> {
     let patch = read_patch(&options.file)?;
     let media_type = if patch.is_array() { JSON_PATCH } else { MERGE_PATCH };
-    let call = Call::new(Method::PATCH, "/config")
+    let request = ApiRequest::new(Method::PATCH, "/config")
         .with_body(&patch)?
         .with_patch(options.base_version, media_type)
         .with_write_id(options.write_id.as_deref());
-    print_change(&client.call(&call).await?, output)
+    print_change(&client.send(&request).await?, output)
 }
 
 fn read_patch(path: &Path) -> Result<Value> {
@@ -105,12 +105,12 @@
 }
 
 async fn history(client: &Client, limit: u16, output: Output) -> Result<()> {
-    let answer: HistoryAnswer =
-        client.call(&Call::get(format!("/config/history?limit={limit}"))).await?;
+    let response: HistoryAnswer =
+        client.send(&ApiRequest::get(format!("/config/history?limit={limit}"))).await?;
     if output == Output::Json {
-        return print_json(&answer);
+        return print_json(&response);
     }
-    print_table(["VERSION", "OPERATOR", "TIME", "PATCH"], answer.versions.iter().map(row));
+    print_table(["VERSION", "OPERATOR", "TIME", "PATCH"], response.versions.iter().map(row));
     Ok(())
 }
 
--- a/crates/cassiafold/src/lib.rs
+++ b/crates/cassiafold/src/lib.rs
@@ -1,4 +1,4 @@
-//! Fleet capacity and maintenance manager: the program behind the command line.
+//! Fleet capacity and maintenance manager: the implementation of the `cassiafold` command.
 
 mod change;
 mod check;
@@ -6,6 +6,7 @@
 mod client;
 mod command;
 mod completions;
+mod components;
 mod config;
 mod credential;
 mod demo;
@@ -22,8 +23,8 @@
 mod load;
 mod logs;
 mod observer;
+mod operator_command;
 mod output;
-mod parts;
 mod pool;
 mod report;
 mod serve;
@@ -33,19 +34,18 @@
 mod status_source;
 mod symptoms;
 mod usage;
-mod verb;
 mod wave;
 mod zone;
 
 use std::process::ExitCode;
 
-/// Runs the command that the command line asks for and returns the exit code.
+/// Parses the command line, runs the requested command and returns its exit code.
 pub fn run() -> ExitCode {
     let command = match command::Command::try_from(cli::build().get_matches()) {
         Ok(command) => command,
         Err(error) => return error::report(&error),
     };
-    logs::init(&command.logs, command.log_target());
+    logs::init(&command.log_format, command.log_target());
     match command.run() {
         Ok(code) => code,
         Err(error) => error::report(&error),
--- a/crates/cassiafold/src/report.rs
+++ b/crates/cassiafold/src/report.rs
@@ -1,4 +1,4 @@
-//! `report`.
+//! The `report` command, which writes an HTML page about the fleet.
 
 use std::path::PathBuf;
 
@@ -6,17 +6,17 @@
 use clap::ArgMatches;
 use serde_json::json;
 
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::{Error, Result};
 use crate::output::{Output, print_json};
 
-/// `report`, with the file that it writes.
+/// The `report` command with its output file.
 #[derive(Debug)]
-pub struct ReportVerb {
+pub struct ReportCommand {
     file: PathBuf,
 }
 
-impl TryFrom<&ArgMatches> for ReportVerb {
+impl TryFrom<&ArgMatches> for ReportCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
@@ -26,13 +26,13 @@
     }
 }
 
-impl ReportVerb {
-    /// Writes the page and prints where it is.
+impl ReportCommand {
+    /// Writes the page and prints its path.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let answer: ReportAnswer = client.call(&Call::get("/report")).await?;
-        std::fs::write(&self.file, &answer.page)?;
+        let response: ReportAnswer = client.send(&ApiRequest::get("/report")).await?;
+        std::fs::write(&self.file, &response.page)?;
         if output == Output::Json {
-            return print_json(&json!({ "file": self.file, "bytes": answer.page.len() }));
+            return print_json(&json!({ "file": self.file, "bytes": response.page.len() }));
         }
         println!("wrote {}", self.file.display());
         Ok(())
--- a/crates/cassiafold/src/symptoms/tests.rs
+++ b/crates/cassiafold/src/symptoms/tests.rs
@@ -2,12 +2,12 @@
 use cassiafold_membership::usage::Symptom;
 use tokio::time::Instant;
 
-use super::{EVIDENCE_KEPT, Symptoms};
+use super::{FAILURES_TTL, Symptoms};
 
-fn note(symptoms: &Symptoms, results: &[AttemptResult]) {
+fn record(symptoms: &Symptoms, results: &[AttemptResult]) {
     for result in results {
         let at = Instant::now();
-        symptoms.note(&Observation { instance: "portal-1".into(), result: *result, at });
+        symptoms.record(&Observation { instance: "portal-1".into(), result: *result, at });
     }
 }
 
@@ -16,8 +16,8 @@
         #[tokio::test(start_paused = true)]
         async fn $name() {
             let symptoms = Symptoms::default();
-            note(&symptoms, &$results);
-            assert_eq!(symptoms.now().get("portal-1").copied(), $symptom);
+            record(&symptoms, &$results);
+            assert_eq!(symptoms.current().get("portal-1").copied(), $symptom);
         }
     )+};
 }
@@ -26,25 +26,25 @@
 
 symptom_cases! {
     failed_connects_mean_unreachable: [ConnectFailed; 3] => Some(Symptom::Unreachable);
-    silence_on_new_connections_means_hanging: [Silent; 2] => Some(Symptom::Hanging);
-    failed_answers_mean_failing_all: [ServerError, Broken, ServerError, Broken, ServerError]
+    missing_responses_mean_hanging: [Silent; 2] => Some(Symptom::Hanging);
+    failed_responses_mean_failing_all: [ServerError, Broken, ServerError, Broken, ServerError]
         => Some(Symptom::FailingAll);
-    a_success_clears_the_evidence: [ConnectFailed, ConnectFailed, Ok, ConnectFailed] => None;
-    refusals_say_nothing: [Refused; 20] => None;
+    a_success_clears_the_failures: [ConnectFailed, ConnectFailed, Ok, ConnectFailed] => None;
+    refusals_are_not_counted: [Refused; 20] => None;
 }
 
 #[tokio::test(start_paused = true)]
-async fn old_evidence_is_forgotten() {
+async fn old_failures_expire() {
     let symptoms = Symptoms::default();
-    note(&symptoms, &[ConnectFailed; 3]);
-    tokio::time::sleep(EVIDENCE_KEPT).await;
-    assert!(symptoms.now().is_empty());
+    record(&symptoms, &[ConnectFailed; 3]);
+    tokio::time::sleep(FAILURES_TTL).await;
+    assert!(symptoms.current().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn evidence_on_an_instance_with_a_step_is_forgotten() {
+async fn failures_of_an_instance_with_a_step_are_cleared() {
     let symptoms = Symptoms::default();
-    note(&symptoms, &[ConnectFailed; 3]);
-    symptoms.forget(&"portal-1".into());
-    assert!(symptoms.now().is_empty());
+    record(&symptoms, &[ConnectFailed; 3]);
+    symptoms.clear(&"portal-1".into());
+    assert!(symptoms.current().is_empty());
 }
--- a/crates/cassiafold/tests/processes/fleet.rs
+++ b/crates/cassiafold/tests/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet: stand-ins in this process, entry instances as processes of their own.
+//! A small fleet: stand-ins in this process, entry instances in separate processes.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::process::{Child, Command, Output, Stdio};
@@ -18,7 +18,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::caller::{Told, call};
+use crate::caller::{CallerOutcome, call};
 
 /// Key of the team `parishes`.
 pub const KEY: &str = "the-key";
@@ -26,10 +26,10 @@
 pub const OTHER_KEY: &str = "the-other-key";
 const CREDENTIAL: &str = "the-credential";
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const READY_MAX: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `condition` holds, `limit` at most.
-pub async fn until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
+/// Polls until `condition` holds or `limit` has passed and returns whether it holds.
+pub async fn wait_until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + limit;
     while Instant::now() < deadline {
         if condition() {
@@ -40,12 +40,12 @@
     condition()
 }
 
-/// Seconds since the Unix epoch.
+/// Returns the seconds since the Unix epoch.
 pub fn unix_s() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_secs())
 }
 
-/// A process of an entry instance; killed when dropped.
+/// An entry instance process, killed when dropped.
 pub struct EntryProcess {
     /// Address for callers.
     pub callers: SocketAddr,
@@ -77,13 +77,13 @@
         Self { callers, operators, child: spawn(&path), settings: path }
     }
 
-    /// Sends one request with a new id.
+    /// Sends one request with a unique id.
     pub fn call(
         &self,
         method: Method,
         path: &str,
         key: &str,
-    ) -> impl Future<Output = Told> + Send + 'static {
+    ) -> impl Future<Output = CallerOutcome> + Send + 'static {
         call(self.callers, method, format!("/queues/portal/{path}"), key.to_owned(), new_id())
     }
 
@@ -98,14 +98,14 @@
         self.child.wait().expect("the process ends");
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the process to exit and returns its exit code.
     pub async fn exit_code(&mut self) -> Option<i32> {
         let mut code = None;
         let ended = || {
             code = self.child.try_wait().expect("a child").and_then(|status| status.code());
             code.is_some()
         };
-        until(READY_MAX, ended).await;
+        wait_until(READY_TIMEOUT, ended).await;
         code
     }
 }
@@ -128,8 +128,8 @@
         .expect("the program starts")
 }
 
-/// First port of the range from which addresses are taken. It lies below the ports that the
-/// system gives to outgoing connections.
+/// First port of the range for listeners. The range lies below the ephemeral ports, which the
+/// system assigns to outgoing connections.
 const PORT_FIRST: u16 = 10_000;
 const PORT_COUNT: u32 = 20_000;
 
@@ -159,8 +159,8 @@
 }
 
 impl Fleet {
-    /// Starts `entries` entry instances and `backends` backend servers, dealt to the zones, and
-    /// waits until requests are answered.
+    /// Starts `entries` entry instances and `backends` backend servers, distributed over the zones,
+    /// and waits until requests succeed.
     pub async fn start(
         entries: usize,
         backends: usize,
@@ -188,7 +188,7 @@
     }
 
     async fn wait_ready(&self) {
-        let deadline = Instant::now() + READY_MAX;
+        let deadline = Instant::now() + READY_TIMEOUT;
         for entry in &self.entries {
             while entry.call(Method::HEAD, "ready", KEY).await.status != 200 {
                 assert!(Instant::now() < deadline, "an entry instance did not become ready");
@@ -197,21 +197,21 @@
         }
     }
 
-    /// Starts a killed entry instance again with the same settings.
+    /// Restarts a killed entry instance with the same settings.
     pub async fn restart(&mut self, index: usize) {
         let entry = &mut self.entries[index];
         entry.child = spawn(&entry.settings);
         let callers = entry.callers;
         let listens = || std::net::TcpStream::connect(callers).is_ok();
-        assert!(until(READY_MAX, listens).await, "the entry instance does not listen");
+        assert!(wait_until(READY_TIMEOUT, listens).await, "the entry instance does not listen");
     }
 
-    /// Runs an operators' verb at the entry instances.
-    pub fn operate(&self, arguments: &[&str]) -> Output {
-        self.operate_at(&self.entries.iter().collect::<Vec<_>>(), arguments)
+    /// Runs an operator command against the entry instances.
+    pub fn run_operator_command(&self, arguments: &[&str]) -> Output {
+        self.run_operator_command_at(&self.entries.iter().collect::<Vec<_>>(), arguments)
     }
 
-    fn operate_at(&self, entries: &[&EntryProcess], arguments: &[&str]) -> Output {
+    fn run_operator_command_at(&self, entries: &[&EntryProcess], arguments: &[&str]) -> Output {
         let addresses = entries.iter().map(|entry| entry.operators.to_string());
         Command::new(env!("CARGO_BIN_EXE_cassiafold"))
             .args(arguments)
@@ -221,28 +221,35 @@
             .expect("the program starts")
     }
 
-    /// Version in force at an entry instance; zero where it does not tell.
+    /// Returns the configuration version in force at an entry instance, or zero if unknown.
     pub fn version_at(&self, index: usize) -> u64 {
-        let output = self.operate_at(&[&self.entries[index]], &["status", "--output", "json"]);
+        let output =
+            self.run_operator_command_at(&[&self.entries[index]], &["status", "--output", "json"]);
         let status: Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
         status["version"].as_u64().unwrap_or(0)
     }
 
-    /// Sends requests to every entry instance, `parallel` at a time to each, for `time`.
-    pub fn load(&self, method: Method, parallel: usize, time: Duration) -> JoinHandle<Vec<Told>> {
-        let callers = self.entries.iter().flat_map(|entry| vec![entry.callers; parallel]);
+    /// Sends requests to every entry instance for `time`, with `concurrency` concurrent callers each.
+    pub fn load(
+        &self,
+        method: Method,
+        concurrency: usize,
+        time: Duration,
+    ) -> JoinHandle<Vec<CallerOutcome>> {
+        let callers = self.entries.iter().flat_map(|entry| vec![entry.callers; concurrency]);
         load(callers.collect(), &method, KEY, time)
     }
 
-    /// Sends requests of the team with `key` to one entry instance.
+    /// Sends requests with `key` to one entry instance for `time`, with `concurrency` concurrent
+    /// callers.
     pub fn load_at(
         &self,
         index: usize,
         key: &'static str,
-        parallel: usize,
+        concurrency: usize,
         time: Duration,
-    ) -> JoinHandle<Vec<Told>> {
-        load(vec![self.entries[index].callers; parallel], &Method::POST, key, time)
+    ) -> JoinHandle<Vec<CallerOutcome>> {
+        load(vec![self.entries[index].callers; concurrency], &Method::POST, key, time)
     }
 }
 
@@ -251,30 +258,35 @@
     method: &Method,
     key: &'static str,
     time: Duration,
-) -> JoinHandle<Vec<Told>> {
+) -> JoinHandle<Vec<CallerOutcome>> {
     let end = Instant::now() + time;
-    let repeated = |address| tokio::spawn(repeat(address, method.clone(), key, end));
+    let repeated = |address| tokio::spawn(send_until(address, method.clone(), key, end));
     let callers: Vec<_> = callers.into_iter().map(repeated).collect();
     tokio::spawn(async move {
-        let mut told = Vec::new();
+        let mut outcomes = Vec::new();
         for caller in callers {
-            told.extend(caller.await.expect("the caller ends"));
+            outcomes.extend(caller.await.expect("the caller ends"));
         }
-        told
+        outcomes
     })
 }
 
-async fn repeat(address: SocketAddr, method: Method, key: &'static str, end: Instant) -> Vec<Told> {
-    let mut told = Vec::new();
+async fn send_until(
+    address: SocketAddr,
+    method: Method,
+    key: &'static str,
+    end: Instant,
+) -> Vec<CallerOutcome> {
+    let mut outcomes = Vec::new();
     while Instant::now() < end {
         let path = "/queues/portal/order".to_owned();
-        let answer = call(address, method.clone(), path, key.to_owned(), new_id()).await;
-        if answer.status != 200 {
+        let outcome = call(address, method.clone(), path, key.to_owned(), new_id()).await;
+        if outcome.status != 200 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        told.push(answer);
+        outcomes.push(outcome);
     }
-    told
+    outcomes
 }
 
 async fn start_backends(
