--- a/crates/cassiafold/src/entry.rs
+++ b/crates/cassiafold/src/entry.rs
@@ -8,7 +8,7 @@
 use cassiafold_dispatch::{CallerApi, Metrics, Server, StopReport};
 use cassiafold_event::emit;
 use cassiafold_membership::{Membership, MembershipSettings};
-use cassiafold_operators::{Limits as OperatorsLimits, Operators};
+use cassiafold_operators::{Limits as OperatorsLimits, OperatorApi};
 use cassiafold_platform::{
     EtcdSettings, EtcdStore, HttpInstanceControl, HttpInstanceList, InstanceControl, InstanceList,
     Store, StoreMetrics,
@@ -154,7 +154,7 @@
         ending.spawn(parts.controller(&platform).run(stop.clone().cancelled_owned()));
         let sources = parts.sources(platform.store, caller_api.clone(), registry);
         let operators_address = operators_listener.local_addr()?;
-        let operators = Operators::new(
+        let operators = OperatorApi::new(
             sources,
             config,
             settings.operators_key_hash,
--- a/crates/operators/src/config_routes.rs
+++ b/crates/operators/src/config_routes.rs
@@ -21,7 +21,7 @@
 use crate::event::OperatorsEvent;
 use crate::history::{self, HistoryRecord};
 use crate::problem::Problem;
-use crate::router::{Operators, read_json};
+use crate::router::{OperatorApi, read_json};
 use crate::source::Sources;
 use crate::versions::{PatchError, PatchOutcome, PatchRequest};
 use crate::wire::{ChangeAnswer, HistoryAnswer, SOURCE_HEADER, WRITE_ID_HEADER};
@@ -32,7 +32,7 @@
 /// The newest configuration known: the stored one, or the one in force here when the store cannot
 /// be reached.
 pub(crate) async fn get<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
 ) -> Result<Response, Problem> {
     let deadline = operators.limits.change_deadline();
     let (config, source) = match operators.configs.newest_before(deadline).await {
@@ -48,21 +48,21 @@
 
 /// Makes the next version by a patch.
 pub(crate) async fn patch<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<Json<ChangeAnswer>, Problem> {
     let base_version = base_version(&headers)?;
     let write_id = write_id(&headers)?;
     let patch = read_patch(&headers, body)?;
-    let editor = operators.editor(&headers).await?;
+    let context = operators.edit_context(&headers).await?;
     let request = PatchRequest {
         base_version,
         patch,
         write_id,
-        operator: editor.operator,
-        unix_s: editor.unix_s,
-        known_version: editor.known_version,
+        operator: context.operator,
+        unix_s: context.unix_s,
+        known_version: context.known_version,
     };
     let outcome = operators.configs.patch(&request, operators.limits.change_deadline()).await;
     match outcome {
@@ -90,7 +90,7 @@
     Problem { write_id: Some(request.write_id), ..error.into() }
 }
 
-impl<S: Sources> Operators<S> {
+impl<S: Sources> OperatorApi<S> {
     /// Answer to a change that made `version`, once it is in force or the wait is over.
     pub(crate) async fn change_answer(
         &self,
@@ -138,7 +138,7 @@
 
 /// Who made the last versions and how, newest first.
 pub(crate) async fn history<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     query: Result<Query<HistoryQuery>, QueryRejection>,
 ) -> Result<Json<HistoryAnswer>, Problem> {
     let limit = query.map_err(Problem::malformed)?.limit.unwrap_or(HISTORY_LIMIT);
--- a/crates/operators/src/confirm.rs
+++ b/crates/operators/src/confirm.rs
@@ -23,11 +23,11 @@
 /// Highest version that any entry instance is known to have in force.
 pub async fn known_version(source: &impl StatusSource) -> Version {
     let status = timeout(STATUS_TIMEOUT, source.status()).await.unwrap_or_default();
-    highest(&status)
+    highest_version(&status)
 }
 
 /// Highest version that any entry instance has in force according to `status`.
-pub fn highest(status: &Status) -> Version {
+pub fn highest_version(status: &Status) -> Version {
     status.entries.iter().map(|entry| entry.version).max().unwrap_or(0)
 }
 
--- a/crates/operators/src/edit.rs
+++ b/crates/operators/src/edit.rs
@@ -13,7 +13,7 @@
 
 /// Who makes a small change, and when.
 #[derive(Debug, Clone)]
-pub struct Editor {
+pub struct EditContext {
     /// Who asks for the change.
     pub operator: Arc<str>,
     /// When the change is asked for, in seconds since the Unix epoch.
@@ -24,7 +24,7 @@
 
 /// Result of a small change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Edited {
+pub struct EditOutcome {
     /// Version that holds the change.
     pub version: Version,
     /// Whether the configuration was as wanted before.
@@ -55,27 +55,27 @@
     /// none. It must name the wanted state, so that a repeat after an unknown outcome is safe.
     pub async fn edit<R>(
         &self,
-        editor: &Editor,
+        context: &EditContext,
         deadline: Instant,
         merge_patch: impl Fn(&Config) -> Result<Option<Value>, R>,
-    ) -> Result<Edited, EditError<R>> {
+    ) -> Result<EditOutcome, EditError<R>> {
         while Instant::now() < deadline {
             let config = self.newest_before(deadline).await?.ok_or(EditError::NoConfig)?;
             let patch = merge_patch(&config).map_err(EditError::Refused)?;
             let Some(patch) = patch else {
-                return Ok(Edited { version: config.version, unchanged: true });
+                return Ok(EditOutcome { version: config.version, unchanged: true });
             };
             let request = PatchRequest {
                 base_version: config.version,
                 patch: Patch::Merge(patch),
                 write_id: new_write_id(),
-                operator: editor.operator.clone(),
-                unix_s: editor.unix_s,
-                known_version: editor.known_version,
+                operator: context.operator.clone(),
+                unix_s: context.unix_s,
+                known_version: context.known_version,
             };
             match self.patch(&request, deadline).await? {
                 PatchOutcome::Accepted { version, .. } => {
-                    return Ok(Edited { version, unchanged: false });
+                    return Ok(EditOutcome { version, unchanged: false });
                 }
                 PatchOutcome::Stale { .. } => {}
                 PatchOutcome::Invalid(faults) => return Err(EditError::Invalid(faults)),
--- a/crates/operators/src/fleet_routes.rs
+++ b/crates/operators/src/fleet_routes.rs
@@ -11,10 +11,10 @@
 use serde_json::{Value, json};
 
 use crate::code::OperatorsCode;
-use crate::edit::Editor;
+use crate::edit::EditContext;
 use crate::event::OperatorsEvent;
 use crate::problem::Problem;
-use crate::router::{Operators, read_json};
+use crate::router::{OperatorApi, read_json};
 use crate::source::{Explanation, FleetSource, MoveAnswer, MoveRequest, Sources, Subject};
 use crate::wire::{
     ChangeAnswer, MoveBody, PoolsAnswer, ReportAnswer, WRITE_ID_HEADER, WavesAnswer,
@@ -24,7 +24,7 @@
 
 /// Writes a page of the fleet over time.
 pub(crate) async fn report<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
 ) -> Answer<ReportAnswer> {
     let page = operators.sources.fleet().report().await;
     Ok(Json(ReportAnswer { page: page.ok_or(OperatorsCode::StoreUnavailable)? }))
@@ -32,7 +32,7 @@
 
 /// Takes a zone out.
 pub(crate) async fn zone_out<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     Path(zone): Path<ZoneId>,
     headers: HeaderMap,
 ) -> Answer<ChangeAnswer> {
@@ -41,7 +41,7 @@
 
 /// Brings a zone back.
 pub(crate) async fn zone_in<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     Path(zone): Path<ZoneId>,
     headers: HeaderMap,
 ) -> Answer<ChangeAnswer> {
@@ -50,58 +50,58 @@
 
 /// Lets a wave begin now.
 pub(crate) async fn wave_start<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     Path(wave): Path<WaveId>,
     headers: HeaderMap,
 ) -> Answer<ChangeAnswer> {
-    let editor = operators.editor(&headers).await?;
-    let now_unix_s = editor.unix_s;
+    let context = operators.edit_context(&headers).await?;
+    let now_unix_s = context.unix_s;
     let started = |config: &Config| start_patch(config, &wave, now_unix_s);
-    operators.change(&editor, started).await
+    operators.change(&context, started).await
 }
 
 /// Pauses a wave: no step of it starts.
 pub(crate) async fn wave_pause<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     Path(wave): Path<WaveId>,
     headers: HeaderMap,
 ) -> Answer<ChangeAnswer> {
-    let editor = operators.editor(&headers).await?;
-    operators.change(&editor, |config| pause_patch(config, &wave, true)).await
+    let context = operators.edit_context(&headers).await?;
+    operators.change(&context, |config| pause_patch(config, &wave, true)).await
 }
 
 /// Lets a paused wave go on.
 pub(crate) async fn wave_resume<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     Path(wave): Path<WaveId>,
     headers: HeaderMap,
 ) -> Answer<ChangeAnswer> {
-    let editor = operators.editor(&headers).await?;
-    operators.change(&editor, |config| pause_patch(config, &wave, false)).await
+    let context = operators.edit_context(&headers).await?;
+    operators.change(&context, |config| pause_patch(config, &wave, false)).await
 }
 
-impl<S: Sources> Operators<S> {
+impl<S: Sources> OperatorApi<S> {
     async fn set_zone(&self, zone: ZoneId, out: bool, headers: &HeaderMap) -> Answer<ChangeAnswer> {
-        let editor = self.editor(headers).await?;
+        let context = self.edit_context(headers).await?;
         let wanted = |config: &Config| {
             let current = config.zones.get(&zone).ok_or(OperatorsCode::ZoneUnknown)?;
             Ok((current.out != out).then(|| json!({"zones": {&*zone: {"out": out}}})))
         };
-        self.change(&editor, wanted).await
+        self.change(&context, wanted).await
     }
 
     async fn change(
         &self,
-        editor: &Editor,
+        context: &EditContext,
         merge_patch: impl Fn(&Config) -> Result<Option<Value>, Problem>,
     ) -> Answer<ChangeAnswer> {
         let deadline = self.limits.change_deadline();
-        let edited = self.configs.edit(editor, deadline, merge_patch).await?;
-        let (version, operator) = (edited.version, &editor.operator);
-        if !edited.unchanged {
+        let outcome = self.configs.edit(context, deadline, merge_patch).await?;
+        let (version, operator) = (outcome.version, &context.operator);
+        if !outcome.unchanged {
             emit!(OperatorsEvent::PatchAccepted, version = version, operator = operator);
         }
-        Ok(Json(self.change_answer(version, edited.unchanged, false).await))
+        Ok(Json(self.change_answer(version, outcome.unchanged, false).await))
     }
 }
 
@@ -124,18 +124,22 @@
 }
 
 /// Pools with their instances.
-pub(crate) async fn pools<S: Sources>(State(operators): State<Operators<S>>) -> Json<PoolsAnswer> {
+pub(crate) async fn pools<S: Sources>(
+    State(operators): State<OperatorApi<S>>,
+) -> Json<PoolsAnswer> {
     Json(PoolsAnswer { pools: operators.sources.fleet().pools().await })
 }
 
 /// Maintenance waves with their progress.
-pub(crate) async fn waves<S: Sources>(State(operators): State<Operators<S>>) -> Json<WavesAnswer> {
+pub(crate) async fn waves<S: Sources>(
+    State(operators): State<OperatorApi<S>>,
+) -> Json<WavesAnswer> {
     Json(WavesAnswer { waves: operators.sources.fleet().waves().await })
 }
 
 /// Last decisions about an instance, a pool, a team or a wave.
 pub(crate) async fn explain<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     Path((subject, id)): Path<(String, String)>,
 ) -> Answer<Explanation> {
     let subject = Subject::ALL.into_iter().find(|known| known.name() == subject);
@@ -146,7 +150,7 @@
 
 /// Asks for a move of instances to another pool.
 pub(crate) async fn move_instances<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     Path(from): Path<PoolId>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
@@ -159,7 +163,7 @@
     if from == to {
         return Err(Problem::from(OperatorsCode::MoveRefused).with_detail("the pools are the same"));
     }
-    let operator = operators.editor(&headers).await?.operator;
+    let operator = operators.edit_context(&headers).await?.operator;
     let request_id = headers.get(WRITE_ID_HEADER).and_then(|value| value.to_str().ok());
     let request_id = request_id.map_or_else(new_write_id, str::to_owned).into();
     emit!(OperatorsEvent::MoveRequested, from = from, to = to, operator = operator);
--- a/crates/operators/src/history.rs
+++ b/crates/operators/src/history.rs
@@ -42,7 +42,7 @@
 }
 
 /// Keeps the changes that made `configs`, unless they are kept already.
-pub async fn keep<S: Store>(
+pub async fn save<S: Store>(
     store: &S,
     configs: impl Iterator<Item = &Arc<Config>>,
 ) -> Result<(), StoreError> {
--- a/crates/operators/src/key_routes.rs
+++ b/crates/operators/src/key_routes.rs
@@ -12,23 +12,23 @@
 use crate::code::OperatorsCode;
 use crate::event::OperatorsEvent;
 use crate::problem::Problem;
-use crate::router::{Operators, read_json};
+use crate::router::{OperatorApi, read_json};
 use crate::source::Sources;
 use crate::wire::{ChangeAnswer, KeyBody, KeyQuery};
 
 /// Grants a key to a team. The body holds the hash only.
 pub(crate) async fn grant<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<Json<ChangeAnswer>, Problem> {
     let body: KeyBody = read_json(body)?;
     let hash = parse_hash(&body.key_hash)?;
-    let editor = operators.editor(&headers).await?;
+    let context = operators.edit_context(&headers).await?;
     let deadline = operators.limits.change_deadline();
-    let edited = operators
+    let outcome = operators
         .configs
-        .edit(&editor, deadline, |config| {
+        .edit(&context, deadline, |config| {
             let team = find_team(config, &body.team)?;
             if team.key_hashes.contains(&hash) {
                 return Ok(None);
@@ -36,23 +36,23 @@
             Ok(Some(hashes_patch(&body.team, team.key_hashes.iter().chain([&hash]))))
         })
         .await?;
-    emit!(OperatorsEvent::KeyGranted, team = body.team, version = edited.version);
-    Ok(Json(operators.change_answer(edited.version, edited.unchanged, false).await))
+    emit!(OperatorsEvent::KeyGranted, team = body.team, version = outcome.version);
+    Ok(Json(operators.change_answer(outcome.version, outcome.unchanged, false).await))
 }
 
 /// Withdraws one key or all keys of a team.
 pub(crate) async fn withdraw<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     headers: HeaderMap,
     query: Result<Query<KeyQuery>, QueryRejection>,
 ) -> Result<Json<ChangeAnswer>, Problem> {
     let Query(query) = query.map_err(Problem::malformed)?;
     let hash = query.key_hash.as_deref().map(parse_hash).transpose()?;
-    let editor = operators.editor(&headers).await?;
+    let context = operators.edit_context(&headers).await?;
     let deadline = operators.limits.change_deadline();
-    let edited = operators
+    let outcome = operators
         .configs
-        .edit(&editor, deadline, |config| {
+        .edit(&context, deadline, |config| {
             let team = find_team(config, &query.team)?;
             let kept = team.key_hashes.iter().filter(|key| hash.is_some_and(|hash| hash != **key));
             let kept: Vec<&KeyHash> = kept.collect();
@@ -62,8 +62,8 @@
             Ok(Some(hashes_patch(&query.team, kept.into_iter())))
         })
         .await?;
-    emit!(OperatorsEvent::KeyWithdrawn, team = query.team, version = edited.version);
-    Ok(Json(operators.change_answer(edited.version, edited.unchanged, false).await))
+    emit!(OperatorsEvent::KeyWithdrawn, team = query.team, version = outcome.version);
+    Ok(Json(operators.change_answer(outcome.version, outcome.unchanged, false).await))
 }
 
 fn parse_hash(text: &str) -> Result<KeyHash, Problem> {
--- a/crates/operators/src/lib.rs
+++ b/crates/operators/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use code::OperatorsCode;
 pub use event::OperatorsEvent;
-pub use router::{Limits, Operators};
+pub use router::{Limits, OperatorApi};
 pub use serve::serve;
 pub use source::{FleetSource, Sources, StatusSource};
 pub use versions::{ConfigStore, PatchError, PatchOutcome, PatchRequest};
--- a/crates/operators/src/router.rs
+++ b/crates/operators/src/router.rs
@@ -20,7 +20,7 @@
 
 use crate::code::OperatorsCode;
 use crate::confirm;
-use crate::edit::Editor;
+use crate::edit::EditContext;
 use crate::event::OperatorsEvent;
 use crate::problem::{PROBLEM_JSON, Problem};
 use crate::source::Sources;
@@ -36,7 +36,7 @@
 
 /// The operators' interface of one entry instance.
 #[derive(Debug, Clone)]
-pub struct Operators<S: Sources> {
+pub struct OperatorApi<S: Sources> {
     pub(crate) sources: S,
     pub(crate) configs: ConfigStore<S::Store>,
     pub(crate) active: ActiveConfig,
@@ -66,7 +66,7 @@
     }
 }
 
-impl<S: Sources> Operators<S> {
+impl<S: Sources> OperatorApi<S> {
     /// The operators' interface over `sources`, open to who presents the credential.
     pub fn new(sources: S, active: ActiveConfig, credential: KeyHash, limits: Limits) -> Self {
         let configs = ConfigStore::new(sources.store().clone(), active.clone());
@@ -99,8 +99,8 @@
     }
 
     /// Who makes a change that begins now.
-    pub(crate) async fn editor(&self, headers: &HeaderMap) -> Result<Editor, Problem> {
-        Ok(Editor {
+    pub(crate) async fn edit_context(&self, headers: &HeaderMap) -> Result<EditContext, Problem> {
+        Ok(EditContext {
             operator: operator_name(headers)?,
             unix_s: unix_s_now(),
             known_version: confirm::known_version(self.sources.status()).await,
@@ -110,7 +110,7 @@
 
 /// Checks the credential and bounds the time of a request.
 async fn guard<S: Sources>(
-    State(operators): State<Operators<S>>,
+    State(operators): State<OperatorApi<S>>,
     request: Request,
     next: Next,
 ) -> Result<Response, Problem> {
--- a/crates/operators/src/versions.rs
+++ b/crates/operators/src/versions.rs
@@ -109,12 +109,14 @@
     #[error("outcome of the patch is unknown")]
     OutcomeUnknown,
     /// An entry instance has a higher version in force than the store and this one have.
-    #[error("version {known} is in force elsewhere, and only version {held} is known here")]
+    #[error(
+        "version {known_version} is in force elsewhere, and only version {newest_version} is known here"
+    )]
     Behind {
-        /// Version in force elsewhere.
-        known: Version,
-        /// Version known here.
-        held: Version,
+        /// Highest version that another entry instance has in force.
+        known_version: Version,
+        /// Newest version known to this entry instance.
+        newest_version: Version,
     },
     /// The stored configuration cannot be understood.
     #[error("stored configuration: {0}")]
@@ -197,22 +199,25 @@
             return Ok(Step::Done(PatchOutcome::Accepted { version, repeated }));
         }
         let compare = compare_of(stored.as_ref());
-        let held = newest.as_ref().map_or(0, |config| config.version);
+        let newest_version = newest.as_ref().map_or(0, |config| config.version);
         if let Some(earlier) = sent.as_ref() {
-            if earlier.write.compare != compare || held != request.base_version {
-                return self.settle_sent(request, earlier.config.version, held).await;
+            if earlier.write.compare != compare || newest_version != request.base_version {
+                return self.resolve_sent(request, earlier.config.version, newest_version).await;
             }
             let (write, config) = (earlier.write.clone(), earlier.config.clone());
             return Ok(self.send(write, config, sent).await);
         }
-        if request.known_version > held {
-            return Err(PatchError::Behind { known: request.known_version, held });
+        if request.known_version > newest_version {
+            return Err(PatchError::Behind {
+                known_version: request.known_version,
+                newest_version,
+            });
         }
-        if held != request.base_version {
-            return self.settle_stale(request, held).await;
+        if newest_version != request.base_version {
+            return self.resolve_stale(request, newest_version).await;
         }
         let stored_version = stored.as_ref().map_or(0, |stored| stored.config.version);
-        let origin = origin(request, next_version(held, stored_version));
+        let origin = origin(request, next_version(newest_version, stored_version));
         let config = match request.patch.next_config(newest.as_deref(), &origin) {
             Ok(config) => Arc::new(config),
             Err(faults) => return Ok(Step::Done(PatchOutcome::Invalid(faults))),
@@ -223,13 +228,17 @@
             return Ok(Step::Done(PatchOutcome::Invalid(Faults::one("", message))));
         }
         let replaced = [stored.map(|stored| stored.config), newest];
-        if let Err(error) = history::keep(&self.store, replaced.iter().flatten()).await {
+        if let Err(error) = history::save(&self.store, replaced.iter().flatten()).await {
             return Ok(Step::Retry(PatchError::Unavailable(error)));
         }
         let write = Write::put(CURRENT_KEY, compare, bytes);
         let step = self.send(write, config, sent).await;
-        if stored_version < held && matches!(step, Step::Done(_)) {
-            emit!(OperatorsEvent::StoreRolledBack, stored = stored_version, in_force = held);
+        if stored_version < newest_version && matches!(step, Step::Done(_)) {
+            emit!(
+                OperatorsEvent::StoreRolledBack,
+                stored = stored_version,
+                in_force = newest_version
+            );
         }
         Ok(step)
     }
@@ -265,10 +274,10 @@
     }
 
     /// Finds out whether a patch that names an older version is a repeat.
-    async fn settle_stale(
+    async fn resolve_stale(
         &self,
         request: &PatchRequest,
-        held: Version,
+        newest_version: Version,
     ) -> Result<Step, PatchError> {
         let base = request.base_version;
         for version in [base.saturating_add(1), base.saturating_add(ROLLBACK_GAP)] {
@@ -280,19 +289,19 @@
                 return Ok(Step::Done(PatchOutcome::Accepted { version, repeated: true }));
             }
         }
-        Ok(Step::Done(PatchOutcome::Stale { current: held }))
+        Ok(Step::Done(PatchOutcome::Stale { current: newest_version }))
     }
 
     /// Finds out whether a write whose answer was lost made `version`, now that the configuration
     /// has changed since.
-    async fn settle_sent(
+    async fn resolve_sent(
         &self,
         request: &PatchRequest,
         version: Version,
-        held: Version,
+        newest_version: Version,
     ) -> Result<Step, PatchError> {
-        if held == version {
-            return Ok(Step::Done(PatchOutcome::Stale { current: held }));
+        if newest_version == version {
+            return Ok(Step::Done(PatchOutcome::Stale { current: newest_version }));
         }
         let record = match history::get(&self.store, version).await {
             Ok(record) => record,
@@ -302,7 +311,7 @@
             Some(record) if record.write_id == request.write_id => {
                 Step::Done(PatchOutcome::Accepted { version, repeated: false })
             }
-            Some(_) => Step::Done(PatchOutcome::Stale { current: held }),
+            Some(_) => Step::Done(PatchOutcome::Stale { current: newest_version }),
             None => Step::Retry(PatchError::OutcomeUnknown),
         })
     }
@@ -321,10 +330,10 @@
     }
 }
 
-/// Version that follows `held`, the highest one known, when the store holds `stored`.
-pub fn next_version(held: Version, stored: Version) -> Version {
-    let step = if stored < held { ROLLBACK_GAP } else { 1 };
-    held.saturating_add(step)
+/// Version that follows `newest_version`, the highest one known, when the store holds `stored`.
+pub fn next_version(newest_version: Version, stored: Version) -> Version {
+    let step = if stored < newest_version { ROLLBACK_GAP } else { 1 };
+    newest_version.saturating_add(step)
 }
 
 fn newer(one: Option<Arc<Config>>, other: Option<Arc<Config>>) -> Option<Arc<Config>> {
--- a/crates/operators/src/versions/tests.rs
+++ b/crates/operators/src/versions/tests.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::{ConfigStore, PatchError, PatchOutcome, PatchRequest, ROLLBACK_GAP};
-use crate::edit::{EditError, Editor};
+use crate::edit::{EditContext, EditError};
 use crate::history;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -122,7 +122,10 @@
     let mut behind = request(2, json!({"teams": {"t": {"share": 9}}}));
     behind.known_version = 5;
     let answer = entry.patch(&behind).await;
-    assert!(matches!(answer, Err(PatchError::Behind { known: 5, held: 2 })), "{answer:?}");
+    assert!(
+        matches!(answer, Err(PatchError::Behind { known_version: 5, newest_version: 2 })),
+        "{answer:?}"
+    );
     assert_eq!(entry.configs.newest().await.unwrap().unwrap().version, 2);
 }
 
@@ -172,19 +175,19 @@
     let store = MemoryStore::default();
     entry(&store).seed(1).await;
     store.faults().set_delay(Duration::from_millis(20));
-    let editor = Editor { operator: "ana".into(), unix_s: 1, known_version: 0 };
+    let context = EditContext { operator: "ana".into(), unix_s: 1, known_version: 0 };
     let edits = (0..6).map(|number| {
-        let (configs, editor) = (entry(&store).configs, editor.clone());
+        let (configs, context) = (entry(&store).configs, context.clone());
         tokio::spawn(async move {
             let pool = format!("p{number}");
             let deadline = Instant::now() + TIMEOUT;
             configs
-                .edit(&editor, deadline, |config| {
+                .edit(&context, deadline, |config| {
                     let wanted = json!({"pools": {&pool: {}}});
                     Ok::<_, ()>((!config.pools.contains_key(pool.as_str())).then_some(wanted))
                 })
                 .await
-                .map(|edited| edited.version)
+                .map(|outcome| outcome.version)
         })
     });
     let mut versions = Vec::new();
@@ -200,14 +203,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_small_change_that_makes_no_sense_is_refused() {
     let entry = entry(&MemoryStore::default());
-    let editor = Editor { operator: "ana".into(), unix_s: 1, known_version: 0 };
+    let context = EditContext { operator: "ana".into(), unix_s: 1, known_version: 0 };
     let deadline = Instant::now() + TIMEOUT;
-    let answer = entry.configs.edit(&editor, deadline, |_| Err("no")).await;
+    let answer = entry.configs.edit(&context, deadline, |_| Err("no")).await;
     assert!(matches!(answer, Err(EditError::NoConfig)));
     entry.seed(1).await;
-    let answer = entry.configs.edit(&editor, deadline, |_| Err("no")).await;
+    let answer = entry.configs.edit(&context, deadline, |_| Err("no")).await;
     assert!(matches!(answer, Err(EditError::Refused("no"))));
-    let wanted = entry.configs.edit(&editor, deadline, |_| Ok::<_, ()>(None)).await.unwrap();
+    let wanted = entry.configs.edit(&context, deadline, |_| Ok::<_, ()>(None)).await.unwrap();
     assert!(wanted.unchanged);
     let _: Arc<Config> = entry.active.load().unwrap();
 }
--- a/crates/operators/tests/http/fake.rs
+++ b/crates/operators/tests/http/fake.rs
@@ -11,7 +11,7 @@
     Decision, EntryStatus, Explanation, Fact, MoveAnswer, MoveRefusal, MoveRequest, PoolStatus,
     Reason, Selection, Status, Subject, WaveStatus, WhyNot,
 };
-use cassiafold_operators::{FleetSource, Limits, Operators, Sources, StatusSource};
+use cassiafold_operators::{FleetSource, Limits, OperatorApi, Sources, StatusSource};
 use cassiafold_standin::MemoryStore;
 use http::{HeaderMap, Request};
 use http_body_util::BodyExt;
@@ -172,7 +172,7 @@
         let (store, active) = (MemoryStore::default(), ActiveConfig::default());
         let limits = Limits { confirm_wait: CONFIRM_WAIT, timeout: TIMEOUT };
         let fakes = Fakes { store: store.clone(), active: active.clone() };
-        let operators = Operators::new(fakes, active.clone(), KeyHash::of(CREDENTIAL), limits);
+        let operators = OperatorApi::new(fakes, active.clone(), KeyHash::of(CREDENTIAL), limits);
         Self { store, active, router: operators.router() }
     }
 
