--- a/crates/operators/src/fleet_wire/tests.rs
+++ b/crates/operators/src/fleet_wire/tests.rs
@@ -7,7 +7,7 @@
 use crate::source::Explanation;
 
 #[test]
-fn an_explanation_keeps_its_numbers_and_inputs() {
+fn explanation_keeps_code_numbers_and_inputs() {
     let budget = Inputs::Budget { available: 9, floor: 8, reserve: 1, domain: None };
     let refusal = Refusal { code: FleetCode::BudgetShort, inputs: budget };
     let explanation = cassiafold_fleet::Explanation {
@@ -22,7 +22,7 @@
             inputs: Inputs::None,
         }],
     };
-    let shown = serde_json::to_string_pretty(&Explanation::from(explanation)).unwrap();
+    let json = serde_json::to_string_pretty(&Explanation::from(explanation)).unwrap();
     expect_test::expect![[r#"
         {
           "facts": [
@@ -57,5 +57,5 @@
             }
           ]
         }"#]]
-    .assert_eq(&shown);
+    .assert_eq(&json);
 }
--- a/crates/operators/src/versions/tests.rs
+++ b/crates/operators/src/versions/tests.rs
@@ -41,25 +41,25 @@
         self.configs.patch(request, Instant::now() + TIMEOUT).await
     }
 
-    async fn share(&self, base: Version, share: u32) -> Result<PatchOutcome, PatchError> {
+    async fn set_share(&self, base: Version, share: u32) -> Result<PatchOutcome, PatchError> {
         self.patch(&request(base, json!({"teams": {"t": {"share": share}}}))).await
     }
 
     /// Makes versions 1 to `last`.
-    async fn seed(&self, last: Version) {
+    async fn seed_versions(&self, last: Version) {
         let first = json!({
             "zones": {}, "services": {}, "pools": {},
             "teams": {"t": {"share": 1, "upper_limit": 1}},
         });
         assert_eq!(accepted(self.patch(&request(0, first)).await), (1, false));
         for base in 1..last {
-            assert_eq!(accepted(self.share(base, 7).await), (base + 1, false));
+            assert_eq!(accepted(self.set_share(base, 7).await), (base + 1, false));
         }
     }
 }
 
-fn accepted(answer: Result<PatchOutcome, PatchError>) -> (Version, bool) {
-    match answer {
+fn accepted(response: Result<PatchOutcome, PatchError>) -> (Version, bool) {
+    match response {
         Ok(PatchOutcome::Accepted { version, repeated }) => (version, repeated),
         other => panic!("not accepted: {other:?}"),
     }
@@ -70,69 +70,69 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_patch_is_in_force_here_at_once_and_a_stale_one_is_refused_with_the_version() {
+async fn accepted_patch_is_in_force_immediately_and_stale_patch_returns_current_version() {
     let entry = entry(&MemoryStore::default());
-    entry.seed(2).await;
+    entry.seed_versions(2).await;
     assert_eq!(share_of(&entry.active.load().unwrap()), 7);
     let mut stale = request(1, json!({"pools": {"p": {}}}));
     stale.write_id = "other".into();
-    let answer = entry.patch(&stale).await;
-    assert!(matches!(answer, Ok(PatchOutcome::Stale { current: 2 })), "{answer:?}");
+    let response = entry.patch(&stale).await;
+    assert!(matches!(response, Ok(PatchOutcome::Stale { current: 2 })), "{response:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_repeat_with_the_same_write_id_finds_the_first_also_when_it_was_replaced() {
+async fn repeat_with_same_write_id_returns_first_version_even_after_it_was_replaced() {
     let first = entry(&MemoryStore::default());
-    first.seed(2).await;
-    assert_eq!(accepted(first.share(1, 7).await), (2, true));
-    first.share(2, 8).await.unwrap();
+    first.seed_versions(2).await;
+    assert_eq!(accepted(first.set_share(1, 7).await), (2, true));
+    first.set_share(2, 8).await.unwrap();
     let restarted = entry(&first.store);
-    assert_eq!(accepted(restarted.share(1, 7).await), (2, true));
+    assert_eq!(accepted(restarted.set_share(1, 7).await), (2, true));
     assert_eq!(restarted.configs.newest().await.unwrap().unwrap().version, 3);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_id_that_comes_back_with_another_version_is_no_repeat() {
+async fn write_id_reused_with_another_base_version_is_not_a_repeat() {
     let entry = entry(&MemoryStore::default());
-    entry.seed(2).await;
+    entry.seed_versions(2).await;
     let mut next = request(2, json!({"teams": {"t": {"share": 9}}}));
     next.write_id = "write-1".into();
     assert_eq!(accepted(entry.patch(&next).await), (3, false));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_restored_store_goes_on_from_the_version_in_force_with_new_numbers() {
+async fn patch_after_store_restore_continues_from_version_in_force_with_new_numbers() {
     let entry = entry(&MemoryStore::default());
-    entry.seed(2).await;
+    entry.seed_versions(2).await;
     let revision = entry.store.faults().revision();
-    entry.share(2, 8).await.unwrap();
-    entry.share(3, 9).await.unwrap();
+    entry.set_share(2, 8).await.unwrap();
+    entry.set_share(3, 9).await.unwrap();
     assert!(entry.store.faults().roll_back(revision));
-    let answer = entry.patch(&request(4, json!({"pools": {"p": {}}}))).await;
-    assert_eq!(accepted(answer), (4 + ROLLBACK_GAP, false));
+    let response = entry.patch(&request(4, json!({"pools": {"p": {}}}))).await;
+    assert_eq!(accepted(response), (4 + ROLLBACK_GAP, false));
     let config = entry.configs.newest().await.unwrap().unwrap();
     assert_eq!((share_of(&config), config.pools.len()), (9, 1));
-    assert_eq!(accepted(entry.share(4 + ROLLBACK_GAP, 1).await), (5 + ROLLBACK_GAP, false));
+    assert_eq!(accepted(entry.set_share(4 + ROLLBACK_GAP, 1).await), (5 + ROLLBACK_GAP, false));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_behind_another_refuses_and_changes_nothing() {
+async fn entry_with_lower_version_than_another_refuses_patch_without_change() {
     let entry = entry(&MemoryStore::default());
-    entry.seed(2).await;
+    entry.seed_versions(2).await;
     let mut behind = request(2, json!({"teams": {"t": {"share": 9}}}));
     behind.known_version = 5;
-    let answer = entry.patch(&behind).await;
+    let response = entry.patch(&behind).await;
     assert!(
-        matches!(answer, Err(PatchError::Behind { known_version: 5, newest_version: 2 })),
-        "{answer:?}"
+        matches!(response, Err(PatchError::Behind { known_version: 5, newest_version: 2 })),
+        "{response:?}"
     );
     assert_eq!(entry.configs.newest().await.unwrap().unwrap().version, 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_patch_with_faults_or_too_long_writes_nothing() {
+async fn invalid_or_oversized_patch_writes_nothing() {
     let entry = entry(&MemoryStore::default());
-    entry.seed(1).await;
+    entry.seed_versions(1).await;
     let revision = entry.store.faults().revision();
     let faulty = request(1, json!({"teams": {"t": {"share": 0, "limit": 1}, "u": {}}}));
     let Ok(PatchOutcome::Invalid(faults)) = entry.patch(&faulty).await else { panic!("accepted") };
@@ -145,22 +145,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_is_reported_as_no_change_before_the_deadline() {
+async fn store_outage_is_reported_as_unavailable_before_deadline() {
     let entry = entry(&MemoryStore::default());
-    entry.seed(1).await;
+    entry.seed_versions(1).await;
     entry.store.faults().set_outage(true);
     let start = Instant::now();
-    let answer = entry.share(1, 5).await;
-    assert!(matches!(answer, Err(PatchError::Unavailable(_))), "{answer:?}");
+    let response = entry.set_share(1, 5).await;
+    assert!(matches!(response, Err(PatchError::Unavailable(_))), "{response:?}");
     assert!(start.elapsed() <= TIMEOUT);
     entry.store.faults().set_outage(false);
-    assert_eq!(accepted(entry.share(1, 6).await), (2, false));
+    assert_eq!(accepted(entry.set_share(1, 6).await), (2, false));
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_history_names_each_version_and_is_bounded() {
+async fn history_lists_each_version_and_is_bounded() {
     let entry = entry(&MemoryStore::default());
-    entry.seed(240).await;
+    entry.seed_versions(240).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let records = history::list(&entry.store, usize::MAX).await.unwrap();
     let versions: Vec<Version> = records.iter().map(|record| record.version).collect();
@@ -171,9 +171,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn small_changes_of_racing_operators_all_take_effect() {
+async fn concurrent_edits_all_take_effect() {
     let store = MemoryStore::default();
-    entry(&store).seed(1).await;
+    entry(&store).seed_versions(1).await;
     store.faults().set_delay(Duration::from_millis(20));
     let context = EditContext { operator: "ana".into(), unix_s: 1, known_version: 0 };
     let edits = (0..6).map(|number| {
@@ -183,8 +183,8 @@
             let deadline = Instant::now() + TIMEOUT;
             configs
                 .edit(&context, deadline, |config| {
-                    let wanted = json!({"pools": {&pool: {}}});
-                    Ok::<_, ()>((!config.pools.contains_key(pool.as_str())).then_some(wanted))
+                    let patch = json!({"pools": {&pool: {}}});
+                    Ok::<_, ()>((!config.pools.contains_key(pool.as_str())).then_some(patch))
                 })
                 .await
                 .map(|outcome| outcome.version)
@@ -201,16 +201,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_small_change_that_makes_no_sense_is_refused() {
+async fn edit_without_config_or_with_refused_change_fails() {
     let entry = entry(&MemoryStore::default());
     let context = EditContext { operator: "ana".into(), unix_s: 1, known_version: 0 };
     let deadline = Instant::now() + TIMEOUT;
-    let answer = entry.configs.edit(&context, deadline, |_| Err("no")).await;
-    assert!(matches!(answer, Err(EditError::NoConfig)));
-    entry.seed(1).await;
-    let answer = entry.configs.edit(&context, deadline, |_| Err("no")).await;
-    assert!(matches!(answer, Err(EditError::Refused("no"))));
-    let wanted = entry.configs.edit(&context, deadline, |_| Ok::<_, ()>(None)).await.unwrap();
-    assert!(wanted.unchanged);
+    let response = entry.configs.edit(&context, deadline, |_| Err("no")).await;
+    assert!(matches!(response, Err(EditError::NoConfig)));
+    entry.seed_versions(1).await;
+    let response = entry.configs.edit(&context, deadline, |_| Err("no")).await;
+    assert!(matches!(response, Err(EditError::Refused("no"))));
+    let outcome = entry.configs.edit(&context, deadline, |_| Ok::<_, ()>(None)).await.unwrap();
+    assert!(outcome.unchanged);
     let _: Arc<Config> = entry.active.load().unwrap();
 }
--- a/crates/operators/tests/http/fake.rs
+++ b/crates/operators/tests/http/fake.rs
@@ -1,4 +1,4 @@
-//! An entry instance with fakes around its operators' interface.
+//! Entry instance under test: the operators' interface over fake sources.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,12 +23,12 @@
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Clone)]
-struct Fakes {
+struct FakeSources {
     store: MemoryStore,
     active: ActiveConfig,
 }
 
-impl Sources for Fakes {
+impl Sources for FakeSources {
     type Store = MemoryStore;
     type Status = Self;
     type Fleet = Self;
@@ -55,8 +55,8 @@
     EntryStatus { instance_id, zone, version, ready: None, heard_ms_ago: 0 }
 }
 
-impl StatusSource for Fakes {
-    /// This entry instance, and one in a zone that is cut off.
+impl StatusSource for FakeSources {
+    /// Returns this entry instance and one in an unreachable zone, which stays at version 1.
     async fn status(&self) -> Status {
         let version = self.active.version();
         let entries =
@@ -65,7 +65,7 @@
     }
 }
 
-impl FleetSource for Fakes {
+impl FleetSource for FakeSources {
     async fn pools(&self) -> Vec<PoolStatus> {
         vec![PoolStatus {
             pool: "portal".into(),
@@ -129,23 +129,24 @@
     }
 }
 
-/// An entry instance under test.
+/// Entry instance under test.
 pub struct Entry {
     pub store: MemoryStore,
     pub active: ActiveConfig,
     pub router: Router,
 }
 
-/// An answer of the interface.
+/// Response of the interface.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: HeaderMap,
     pub text: String,
     pub body: Value,
 }
 
-impl Answer {
+impl Response {
+    /// Returns the result code of a problem, or 0 when there is none.
     pub fn code(&self) -> u16 {
         self.body["code"].as_u64().map_or(0, |code| code as u16)
     }
@@ -167,30 +168,30 @@
 }
 
 impl Entry {
-    /// An entry instance that knows no configuration.
+    /// Creates an entry instance without a configuration.
     pub fn empty() -> Self {
         let (store, active) = (MemoryStore::default(), ActiveConfig::default());
         let limits = Limits { confirm_wait: CONFIRM_WAIT, timeout: TIMEOUT };
-        let fakes = Fakes { store: store.clone(), active: active.clone() };
-        let operators = OperatorApi::new(fakes, active.clone(), KeyHash::of(CREDENTIAL), limits);
+        let sources = FakeSources { store: store.clone(), active: active.clone() };
+        let operators = OperatorApi::new(sources, active.clone(), KeyHash::of(CREDENTIAL), limits);
         Self { store, active, router: operators.router() }
     }
 
-    /// An entry instance with version 1.
+    /// Creates an entry instance with version 1 of the configuration.
     pub async fn start() -> Self {
         let entry = Self::empty();
-        let answer = entry.patch(0, &first_config()).await;
-        assert_eq!(answer.status, 200, "{}", answer.text);
+        let response = entry.patch(0, &first_config()).await;
+        assert_eq!(response.status, 200, "{}", response.text);
         entry
     }
 
-    pub async fn send(&self, request: Request<Body>) -> Answer {
-        let response = self.router.clone().oneshot(request).await.expect("no failure");
+    pub async fn send(&self, request: Request<Body>) -> Response {
+        let response = self.router.clone().oneshot(request).await.expect("router is infallible");
         let (parts, body) = response.into_parts();
-        let bytes = body.collect().await.expect("a whole body").to_bytes();
+        let bytes = body.collect().await.expect("body is complete").to_bytes();
         let text = String::from_utf8_lossy(&bytes).into_owned();
         let body = serde_json::from_slice(&bytes).unwrap_or_default();
-        Answer { status: parts.status.as_u16(), headers: parts.headers, text, body }
+        Response { status: parts.status.as_u16(), headers: parts.headers, text, body }
     }
 
     async fn request(
@@ -199,7 +200,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: String,
-    ) -> Answer {
+    ) -> Response {
         let mut request = Request::builder()
             .method(method)
             .uri(path)
@@ -208,26 +209,26 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        self.send(request.body(Body::from(body)).expect("a request")).await
+        self.send(request.body(Body::from(body)).expect("valid request")).await
     }
 
-    pub async fn get(&self, path: &str) -> Answer {
+    pub async fn get(&self, path: &str) -> Response {
         self.request("GET", path, &[], String::new()).await
     }
 
-    pub async fn delete(&self, path: &str) -> Answer {
+    pub async fn delete(&self, path: &str) -> Response {
         self.request("DELETE", path, &[], String::new()).await
     }
 
-    pub async fn post(&self, path: &str, body: &Value) -> Answer {
+    pub async fn post(&self, path: &str, body: &Value) -> Response {
         self.request("POST", path, &[], body.to_string()).await
     }
 
-    pub async fn patch_with(&self, headers: &[(&str, &str)], body: &Value) -> Answer {
+    pub async fn patch_with(&self, headers: &[(&str, &str)], body: &Value) -> Response {
         self.request("PATCH", "/config", headers, body.to_string()).await
     }
 
-    pub async fn patch(&self, base: Version, body: &Value) -> Answer {
+    pub async fn patch(&self, base: Version, body: &Value) -> Response {
         let base = format!("\"{base}\"");
         let headers = [("if-match", base.as_str()), ("content-type", MERGE_PATCH)];
         self.patch_with(&headers, body).await
--- a/crates/operators/tests/http/main.rs
+++ b/crates/operators/tests/http/main.rs
@@ -1,4 +1,4 @@
-//! The operators' interface over HTTP.
+//! Tests of the operators' interface over HTTP.
 
 mod fake;
 
@@ -13,10 +13,10 @@
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 use serde_json::{Value, json};
 
-use crate::fake::{Answer, Entry, first_config};
+use crate::fake::{Entry, Response, first_config};
 
 #[tokio::test(start_paused = true)]
-async fn every_path_asks_for_the_credential() {
+async fn every_path_requires_the_credential() {
     let entry = Entry::start().await;
     for path in ["/config", "/config/history", "/status", "/pools", "/waves", "/metrics", "/x"] {
         let request = Request::get(path).body(Body::empty()).unwrap();
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_patch_names_its_version_and_media_type() {
+async fn patch_requires_base_version_and_media_type() {
     let entry = Entry::start().await;
     let patch = json!({"zones": {"a": {"out": true}}});
     let codes = [
@@ -48,10 +48,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refused_configuration_comes_with_all_its_faults() {
+async fn invalid_configuration_is_refused_with_all_faults() {
     let entry = Entry::start().await;
     let patch = json!({"teams": {"t": {"share": 0, "limit": 1}}, "pools": {"p": {"service": "x"}}});
-    let answer = entry.patch(1, &patch).await;
+    let response = entry.patch(1, &patch).await;
     expect![[r#"
         {
           "code": 507,
@@ -73,15 +73,15 @@
           "title": "the new configuration would have faults",
           "type": "urn:cassiafold:code:507"
         }"#]]
-    .assert_eq(&format!("{:#}", answer.body));
+    .assert_eq(&format!("{:#}", response.body));
     assert_eq!(entry.get("/config").await.body["version"], 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_accepted_patch_names_who_has_not_confirmed_after_a_bounded_wait() {
+async fn accepted_patch_lists_unconfirmed_entries_after_bounded_wait() {
     let entry = Entry::start().await;
     let start = tokio::time::Instant::now();
-    let answer = entry.patch(1, &json!({"zones": {"a": {"out": true}}})).await;
+    let response = entry.patch(1, &json!({"zones": {"a": {"out": true}}})).await;
     expect![[r#"
         {
           "repeated": false,
@@ -95,14 +95,14 @@
           ],
           "version": 2
         }"#]]
-    .assert_eq(&format!("{:#}", answer.body));
+    .assert_eq(&format!("{:#}", response.body));
     assert!(start.elapsed() <= fake::CONFIRM_WAIT);
     let status = entry.get("/status").await.body;
-    assert_eq!(status["unconfirmed"], answer.body["unconfirmed"]);
+    assert_eq!(status["unconfirmed"], response.body["unconfirmed"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_repeated_request_is_accepted_once() {
+async fn repeated_request_is_accepted_once() {
     let entry = Entry::start().await;
     let headers =
         [("if-match", "1"), ("content-type", MERGE_PATCH), ("idempotency-key", "write-1")];
@@ -113,19 +113,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn during_an_outage_the_configuration_can_be_read_and_not_changed() {
+async fn configuration_is_read_only_during_store_outage() {
     let entry = Entry::start().await;
     entry.store.faults().set_outage(true);
     let config = entry.get("/config").await;
     assert_eq!((config.status, config.header("cassiafold-source")), (200, "entry".to_owned()));
     assert_eq!(config.header("etag"), "\"1\"");
-    let answer = entry.patch(1, &json!({"zones": {"a": {"out": true}}})).await;
-    assert_eq!((answer.status, answer.code()), (503, 508));
+    let response = entry.patch(1, &json!({"zones": {"a": {"out": true}}})).await;
+    assert_eq!((response.status, response.code()), (503, 508));
     assert_eq!(entry.get("/config/history").await.code(), 508);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_key_works_from_its_grant_to_its_withdrawal() {
+async fn key_is_valid_from_grant_to_withdrawal() {
     let entry = Entry::start().await;
     let (first, second) = (KeyHash::of("first").to_hex(), KeyHash::of("second").to_hex());
     for hash in [&first, &second, &second] {
@@ -147,19 +147,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn zones_and_waves_are_changed_by_name() {
+async fn zones_and_waves_are_changed_by_id() {
     let entry = Entry::start().await;
-    let none = Value::Null;
-    assert_eq!(entry.post("/zones/a/out", &none).await.body["version"], 2);
+    let no_body = Value::Null;
+    assert_eq!(entry.post("/zones/a/out", &no_body).await.body["version"], 2);
     assert!(!entry.active.load().unwrap().zone_open(&"a".into()));
-    assert_eq!(entry.post("/zones/a/out", &none).await.body["unchanged"], true);
-    assert_eq!(entry.post("/zones/a/in", &none).await.body["version"], 3);
-    assert_eq!(entry.post("/zones/x/out", &none).await.code(), 514);
-    assert_eq!(entry.post("/waves/w/pause", &none).await.body["version"], 4);
-    assert_eq!(entry.post("/waves/w/resume", &none).await.body["version"], 5);
-    assert_eq!(entry.post("/waves/w/start", &none).await.body["version"], 6);
-    assert_eq!(entry.post("/waves/w/start", &none).await.body["unchanged"], true);
-    assert_eq!(entry.post("/waves/x/start", &none).await.code(), 516);
+    assert_eq!(entry.post("/zones/a/out", &no_body).await.body["unchanged"], true);
+    assert_eq!(entry.post("/zones/a/in", &no_body).await.body["version"], 3);
+    assert_eq!(entry.post("/zones/x/out", &no_body).await.code(), 514);
+    assert_eq!(entry.post("/waves/w/pause", &no_body).await.body["version"], 4);
+    assert_eq!(entry.post("/waves/w/resume", &no_body).await.body["version"], 5);
+    assert_eq!(entry.post("/waves/w/start", &no_body).await.body["version"], 6);
+    assert_eq!(entry.post("/waves/w/start", &no_body).await.body["unchanged"], true);
+    assert_eq!(entry.post("/waves/x/start", &no_body).await.code(), 516);
     let history = entry.get("/config/history?limit=3").await.body;
     let versions = history["versions"].as_array().unwrap().iter();
     let versions: Vec<_> = versions.map(|record| record["version"].as_u64().unwrap()).collect();
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_fleet_is_shown_moved_and_explained() {
+async fn fleet_routes_return_state_moves_and_explanations() {
     let entry = Entry::start().await;
     assert_eq!(entry.get("/pools").await.body["pools"][0]["pool"], "portal");
     assert_eq!(entry.get("/waves").await.body["waves"][0]["wave"], "w");
@@ -187,7 +187,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn long_bodies_and_unknown_paths_are_problems() {
+async fn oversized_bodies_and_unknown_paths_return_problems() {
     let entry = Entry::start().await;
     let long = json!({"zones": {"a": {"region": "x".repeat(2 << 20)}}});
     assert_eq!(entry.patch(1, &long).await.code(), 503);
@@ -197,17 +197,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_store_does_not_hold_an_operator_beyond_the_limit() {
+async fn slow_store_does_not_delay_response_beyond_timeout() {
     let entry = Entry::start().await;
     entry.store.faults().set_delay(Duration::from_secs(60));
     let start = tokio::time::Instant::now();
-    let answer = entry.patch(1, &json!({"zones": {"a": {"out": true}}})).await;
-    assert_eq!(answer.status, 503);
+    let response = entry.patch(1, &json!({"zones": {"a": {"out": true}}})).await;
+    assert_eq!(response.status, 503);
     assert!(start.elapsed() <= fake::TIMEOUT);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_first_configuration_is_made_by_a_patch_of_version_zero() {
+async fn first_configuration_is_made_by_patch_of_version_zero() {
     let entry = Entry::empty();
     assert_eq!(entry.get("/config").await.code(), 513);
     assert_eq!(entry.post("/zones/a/out", &Value::Null).await.code(), 513);
@@ -224,7 +224,7 @@
     })]
 
     #[test]
-    fn arbitrary_bodies_and_paths_get_an_answer_below_500(
+    fn arbitrary_bodies_and_paths_return_status_below_500(
         path in "/(config|keys|zones/[a-z%]{1,5}/out|pools/[ -~&&[^#? <>`{}\"\\\\^|\\[\\]%]]{1,5}/move)",
         method in prop::sample::select(vec!["GET", "POST", "PATCH", "DELETE"]),
         version in "[0-9\"]{0,22}",
@@ -244,7 +244,7 @@
         else {
             return Ok(());
         };
-        let answer: Answer = runtime.block_on(async { Entry::start().await.send(request).await });
-        prop_assert!(answer.status < 500, "{}", answer.text);
+        let response: Response = runtime.block_on(async { Entry::start().await.send(request).await });
+        prop_assert!(response.status < 500, "{}", response.text);
     }
 }
--- a/crates/operators/tests/interleaving/explorer.rs
+++ b/crates/operators/tests/interleaving/explorer.rs
@@ -1,14 +1,16 @@
-//! Depth-first enumeration of all choices of a run.
+//! Depth-first enumeration of all sequences of choices.
 
-/// Replays one sequence of choices and remembers which are left.
+/// Replays one sequence of choices and tracks which sequences remain.
 #[derive(Debug, Default)]
 pub struct Explorer {
+    /// Choice and number of options at each position of the current sequence.
     path: Vec<(usize, usize)>,
+    /// Number of choices already replayed.
     position: usize,
 }
 
 impl Explorer {
-    /// Picks one of `options`.
+    /// Returns the next choice, less than `options`.
     pub fn choose(&mut self, options: usize) -> usize {
         if self.position == self.path.len() {
             self.path.push((0, options));
@@ -18,7 +20,7 @@
         choice
     }
 
-    /// Moves on to the next sequence; false when all were seen.
+    /// Advances to the next sequence. Returns false when all sequences were enumerated.
     pub fn advance(&mut self) -> bool {
         self.position = 0;
         while let Some((choice, options)) = self.path.pop() {
--- a/crates/operators/tests/interleaving/store.rs
+++ b/crates/operators/tests/interleaving/store.rs
@@ -1,4 +1,4 @@
-//! A store in which each call waits until the test lets it through.
+//! Store in which each call waits until the test decides its outcome.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -11,19 +11,19 @@
 };
 use tokio::sync::oneshot;
 
-/// What happens to one call.
+/// Outcome of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It takes effect and is answered.
-    Answered,
-    /// It takes effect and its answer is lost.
-    AnswerLost,
-    /// It is lost; the caller cannot tell.
+pub enum CallOutcome {
+    /// The call takes effect and the caller receives the response.
+    Completed,
+    /// The call takes effect and its response is lost.
+    ResponseLost,
+    /// The request is lost, and the caller does not know whether the call took effect.
     RequestLost,
-    /// It is refused without effect, and the caller knows.
+    /// The call is refused without effect, and the caller receives the refusal.
     Refused,
-    /// Its answer is lost, and it takes effect at a later moment.
-    Late,
+    /// The response is lost, and the call takes effect later.
+    Delayed,
 }
 
 #[derive(Debug, Default)]
@@ -31,16 +31,16 @@
     revision: Revision,
     values: BTreeMap<Arc<str>, (Bytes, Revision)>,
     history: Vec<BTreeMap<Arc<str>, (Bytes, Revision)>>,
-    waiting: Vec<Waiting>,
+    waiting: Vec<WaitingCall>,
     writes: Vec<(Arc<str>, Bytes)>,
-    late: Vec<Write>,
+    delayed_writes: Vec<Write>,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct WaitingCall {
     client: usize,
     is_write: bool,
-    sender: oneshot::Sender<Fate>,
+    sender: oneshot::Sender<CallOutcome>,
 }
 
 /// A store under the control of a test, as seen by one client.
@@ -55,45 +55,46 @@
         self.state.lock().expect("no test thread panicked")
     }
 
-    /// The same store as seen by another client.
+    /// Returns a handle to the same store for another client.
     pub fn client(&self, client: usize) -> Self {
         Self { client, ..self.clone() }
     }
 
-    /// Number of calls that wait. They stand in order of client, whatever their order in time.
+    /// Returns the number of waiting calls. They are in order of client, regardless of when they were
+    /// made.
     pub fn waiting(&self) -> usize {
         self.lock().waiting.len()
     }
 
-    /// Whether the waiting call at `index` is a write.
+    /// Returns whether the waiting call at `index` is a write.
     pub fn is_write(&self, index: usize) -> bool {
         self.lock().waiting[index].is_write
     }
 
-    /// Lets one waiting call through.
-    pub fn release(&self, index: usize, fate: Fate) {
+    /// Ends the waiting call at `index` with the given outcome.
+    pub fn release(&self, index: usize, outcome: CallOutcome) {
         let waiting = self.lock().waiting.remove(index);
-        let _ = waiting.sender.send(fate);
+        let _ = waiting.sender.send(outcome);
     }
 
-    /// Number of late writes that have not arrived.
-    pub fn late(&self) -> usize {
-        self.lock().late.len()
+    /// Returns the number of delayed writes that are not yet applied.
+    pub fn delayed_writes(&self) -> usize {
+        self.lock().delayed_writes.len()
     }
 
-    /// Lets the oldest late write arrive.
-    pub fn arrive(&self) {
+    /// Applies the oldest delayed write.
+    pub fn apply_delayed_write(&self) {
         let mut state = self.lock();
-        let write = state.late.remove(0);
+        let write = state.delayed_writes.remove(0);
         state.apply(&write);
     }
 
-    /// Every value that was ever written, in order.
+    /// Returns every value written, with its key, in order.
     pub fn writes(&self) -> Vec<(Arc<str>, Bytes)> {
         self.lock().writes.clone()
     }
 
-    /// Restores the store as it was `writes` writes ago.
+    /// Restores the state before the last `writes` writes.
     pub fn roll_back(&self, writes: usize) {
         let mut state = self.lock();
         for _ in 0..writes {
@@ -101,26 +102,27 @@
         }
     }
 
-    /// Stores a value at once.
+    /// Stores a value without waiting for the test.
     pub fn put_now(&self, key: &str, value: Bytes) {
         let write = Write::put(key, Compare::Absent, value);
         self.lock().apply(&write);
     }
 
-    async fn wait(&self, is_write: bool) -> Fate {
+    /// Waits until the test releases this call.
+    async fn wait(&self, is_write: bool) -> CallOutcome {
         let (sender, receiver) = oneshot::channel();
-        let waiting = Waiting { client: self.client, is_write, sender };
+        let waiting = WaitingCall { client: self.client, is_write, sender };
         {
             let mut state = self.lock();
             state.waiting.push(waiting);
             state.waiting.sort_by_key(|waiting| waiting.client);
         }
-        receiver.await.unwrap_or(Fate::Refused)
+        receiver.await.unwrap_or(CallOutcome::Refused)
     }
 
     async fn read<T>(&self, read: impl FnOnce(&State) -> T) -> Result<T, StoreError> {
         match self.wait(false).await {
-            Fate::Answered => Ok(read(&self.lock())),
+            CallOutcome::Completed => Ok(read(&self.lock())),
             _ => Err(StoreError::Unavailable("refused".into())),
         }
     }
@@ -129,11 +131,11 @@
 impl State {
     fn apply(&mut self, write: &Write) -> WriteOutcome {
         let revision = self.values.get(&write.key).map(|(_, revision)| *revision);
-        let met = match write.compare {
+        let condition_holds = match write.compare {
             Compare::Absent => revision.is_none(),
             Compare::Revision(expected) => revision == Some(expected),
         };
-        if !met {
+        if !condition_holds {
             return WriteOutcome::Conflict;
         }
         self.history.push(self.values.clone());
@@ -173,22 +175,22 @@
     async fn write(&self, write: Write) -> Result<WriteOutcome, StoreError> {
         let unknown = Err(StoreError::OutcomeUnknown("lost".into()));
         match self.wait(true).await {
-            Fate::Answered => Ok(self.lock().apply(&write)),
-            Fate::AnswerLost => {
+            CallOutcome::Completed => Ok(self.lock().apply(&write)),
+            CallOutcome::ResponseLost => {
                 self.lock().apply(&write);
                 unknown
             }
-            Fate::RequestLost => unknown,
-            Fate::Late => {
-                self.lock().late.push(write);
+            CallOutcome::RequestLost => unknown,
+            CallOutcome::Delayed => {
+                self.lock().delayed_writes.push(write);
                 unknown
             }
-            Fate::Refused => Err(StoreError::Unavailable("refused".into())),
+            CallOutcome::Refused => Err(StoreError::Unavailable("refused".into())),
         }
     }
 
     async fn grant_lease(&self, _ttl: Duration) -> Result<LeaseId, StoreError> {
-        Err(StoreError::Unavailable("no leases here".into()))
+        Err(StoreError::Unavailable("leases are not supported".into()))
     }
 
     async fn keep_alive(&self, _lease: LeaseId) -> Result<Duration, StoreError> {
@@ -200,17 +202,17 @@
     }
 
     async fn watch(&self, _prefix: &str, _after: Revision) -> Result<NoWatch, StoreError> {
-        Err(StoreError::Unavailable("no watches here".into()))
+        Err(StoreError::Unavailable("watches are not supported".into()))
     }
 }
 
-/// A watch that never tells anything.
+/// Watch that only returns errors.
 #[derive(Debug)]
 pub struct NoWatch;
 
 impl Watch for NoWatch {
     async fn next(&mut self) -> Result<Vec<Change>, StoreError> {
-        Err(StoreError::Unavailable("no watches here".into()))
+        Err(StoreError::Unavailable("watches are not supported".into()))
     }
 
     fn close(self) {}
