--- a/crates/operators/src/config_routes.rs
+++ b/crates/operators/src/config_routes.rs
@@ -26,18 +26,18 @@
 use crate::versions::{PatchError, PatchOutcome, PatchRequest};
 use crate::wire::{ChangeAnswer, HistoryAnswer, SOURCE_HEADER, WRITE_ID_HEADER};
 
-/// Changes that `GET /config/history` returns when it is not told how many.
+/// Number of changes that `GET /config/history` returns by default.
 const HISTORY_LIMIT: usize = 20;
 
-/// The newest configuration known: the stored one, or the one in force here when the store cannot
-/// be reached.
+/// Returns the newest known configuration: the stored one, or the one in force at this entry
+/// instance when the store is unreachable.
 pub(crate) async fn get<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
 ) -> Result<Response, Problem> {
-    let deadline = operators.limits.change_deadline();
-    let (config, source) = match operators.configs.newest_before(deadline).await {
+    let deadline = api.limits.change_deadline();
+    let (config, source) = match api.configs.newest_before(deadline).await {
         Ok(config) => (config, "store"),
-        Err(PatchError::Unavailable(_)) => (operators.active.load(), "entry"),
+        Err(PatchError::Unavailable(_)) => (api.active.load(), "entry"),
         Err(error) => return Err(error.into()),
     };
     let config = config.ok_or(OperatorsCode::NotReady)?;
@@ -46,16 +46,16 @@
     Ok((headers, Json(RawConfig::from(&*config))).into_response())
 }
 
-/// Makes the next version by a patch.
+/// Creates the next version of the configuration from a patch.
 pub(crate) async fn patch<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<Json<ChangeAnswer>, Problem> {
     let base_version = base_version(&headers)?;
     let write_id = write_id(&headers)?;
     let patch = read_patch(&headers, body)?;
-    let context = operators.edit_context(&headers).await?;
+    let context = api.edit_context(&headers).await?;
     let request = PatchRequest {
         base_version,
         patch,
@@ -64,12 +64,12 @@
         unix_s: context.unix_s,
         known_version: context.known_version,
     };
-    let outcome = operators.configs.patch(&request, operators.limits.change_deadline()).await;
+    let outcome = api.configs.patch(&request, api.limits.change_deadline()).await;
     match outcome {
         Ok(PatchOutcome::Accepted { version, repeated }) => {
             let operator = &request.operator;
             emit!(OperatorsEvent::PatchAccepted, version = version, operator = operator);
-            Ok(Json(operators.change_answer(version, false, repeated).await))
+            Ok(Json(api.change_response(version, false, repeated).await))
         }
         Ok(PatchOutcome::Stale { current }) => {
             emit!(OperatorsEvent::PatchRefused, base = base_version, current = current);
@@ -79,11 +79,11 @@
             emit!(OperatorsEvent::PatchRefused, base = base_version, faults = faults.list.len());
             Err(Problem::invalid(faults))
         }
-        Err(error) => Err(failed(error, request)),
+        Err(error) => Err(patch_problem(error, request)),
     }
 }
 
-fn failed(error: PatchError, request: PatchRequest) -> Problem {
+fn patch_problem(error: PatchError, request: PatchRequest) -> Problem {
     if error == PatchError::OutcomeUnknown {
         emit!(OperatorsEvent::PatchUnsettled, write_id = request.write_id);
     }
@@ -91,8 +91,9 @@
 }
 
 impl<S: Sources> OperatorApi<S> {
-    /// Answer to a change that made `version`, once it is in force or the wait is over.
-    pub(crate) async fn change_answer(
+    /// Waits until `version` is in force at all entry instances, for a bounded time, and returns the
+    /// response to the change that made it.
+    pub(crate) async fn change_response(
         &self,
         version: Version,
         unchanged: bool,
@@ -129,24 +130,24 @@
     }
 }
 
-/// Query of `GET /config/history`.
+/// Query parameters of `GET /config/history`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct HistoryQuery {
     limit: Option<usize>,
 }
 
-/// Who made the last versions and how, newest first.
+/// Returns the changes that made the latest versions, newest first.
 pub(crate) async fn history<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     query: Result<Query<HistoryQuery>, QueryRejection>,
 ) -> Result<Json<HistoryAnswer>, Problem> {
     let limit = query.map_err(Problem::malformed)?.limit.unwrap_or(HISTORY_LIMIT);
-    let deadline = operators.limits.change_deadline();
-    let current = operators.configs.newest_before(deadline).await?;
+    let deadline = api.limits.change_deadline();
+    let current = api.configs.newest_before(deadline).await?;
     let mut versions: Vec<HistoryRecord> =
         current.iter().map(|config| HistoryRecord::from(&**config)).collect();
-    let older = history::list(operators.configs.store(), limit).await;
+    let older = history::list(api.configs.store(), limit).await;
     versions.extend(older.map_err(PatchError::Unavailable)?);
     versions.dedup_by_key(|record| record.version);
     versions.truncate(limit);
--- a/crates/operators/src/edit.rs
+++ b/crates/operators/src/edit.rs
@@ -1,4 +1,4 @@
-//! Small changes of the configuration that are made from whatever version is current.
+//! Edits: configuration changes that apply to whichever version is current.
 
 use std::sync::Arc;
 
@@ -11,36 +11,36 @@
 
 use crate::versions::{ConfigStore, PatchError, PatchOutcome, PatchRequest};
 
-/// Who makes a small change, and when.
+/// Operator and time of an edit, and the highest version known to be in force.
 #[derive(Debug, Clone)]
 pub struct EditContext {
-    /// Who asks for the change.
+    /// Operator who requests the change.
     pub operator: Arc<str>,
-    /// When the change is asked for, in seconds since the Unix epoch.
+    /// Time of the request, in seconds since the Unix epoch.
     pub unix_s: u64,
     /// Highest version that any entry instance is known to have in force.
     pub known_version: Version,
 }
 
-/// Result of a small change.
+/// Result of an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EditOutcome {
-    /// Version that holds the change.
+    /// Version that contains the change.
     pub version: Version,
-    /// Whether the configuration was as wanted before.
+    /// Whether the configuration already had the requested state, so that no version was made.
     pub unchanged: bool,
 }
 
-/// Failure of a small change.
+/// Failure of an edit.
 #[derive(Debug, thiserror::Error)]
 pub enum EditError<R> {
-    /// The change makes no sense for the current configuration.
+    /// The change cannot be applied to the current configuration.
     #[error("refused")]
     Refused(R),
     /// No configuration is known.
     #[error("no configuration is known yet")]
     NoConfig,
-    /// The new configuration would have faults; nothing was changed.
+    /// The new configuration would be invalid; nothing was changed.
     #[error("{0}")]
     Invalid(Faults),
     /// The patch failed.
@@ -49,10 +49,12 @@
 }
 
 impl<S: Store> ConfigStore<S> {
-    /// Makes a small change, again from the newest version after each lost race.
+    /// Applies an edit to the newest version, and retries from the then newest version when another
+    /// writer was first.
     ///
-    /// `merge_patch` returns the change that the configuration needs, or `None` when it needs
-    /// none. It must name the wanted state, so that a repeat after an unknown outcome is safe.
+    /// `merge_patch` returns the change that a configuration needs, or `None` when it needs none.
+    /// The change must state the requested values rather than a difference, so that a retry after
+    /// an unknown outcome is safe.
     pub async fn edit<R>(
         &self,
         context: &EditContext,
@@ -84,14 +86,14 @@
         Err(EditError::Patch(PatchError::Contended))
     }
 
-    /// The newest configuration known, or a failure at `deadline`.
+    /// Returns the newest known configuration, or [`PatchError::Unavailable`] at `deadline`.
     pub async fn newest_before(
         &self,
         deadline: Instant,
     ) -> Result<Option<Arc<Config>>, PatchError> {
-        let unanswered = StoreError::Unavailable("no answer before the deadline".into());
+        let no_response = StoreError::Unavailable("no answer before the deadline".into());
         tokio::time::timeout_at(deadline, self.newest())
             .await
-            .unwrap_or(Err(PatchError::Unavailable(unanswered)))
+            .unwrap_or(Err(PatchError::Unavailable(no_response)))
     }
 }
--- a/crates/operators/src/fleet_routes.rs
+++ b/crates/operators/src/fleet_routes.rs
@@ -20,88 +20,93 @@
     ChangeAnswer, MoveBody, PoolsAnswer, ReportAnswer, WRITE_ID_HEADER, WavesAnswer,
 };
 
-type Answer<T> = Result<Json<T>, Problem>;
+type JsonResult<T> = Result<Json<T>, Problem>;
 
-/// Writes a page of the fleet over time.
+/// Returns an HTML report of the fleet over time.
 pub(crate) async fn report<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
-) -> Answer<ReportAnswer> {
-    let page = operators.sources.fleet().report().await;
+    State(api): State<OperatorApi<S>>,
+) -> JsonResult<ReportAnswer> {
+    let page = api.sources.fleet().report().await;
     Ok(Json(ReportAnswer { page: page.ok_or(OperatorsCode::StoreUnavailable)? }))
 }
 
-/// Takes a zone out.
+/// Takes an availability zone out of service.
 pub(crate) async fn zone_out<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     Path(zone): Path<ZoneId>,
     headers: HeaderMap,
-) -> Answer<ChangeAnswer> {
-    operators.set_zone(zone, true, &headers).await
+) -> JsonResult<ChangeAnswer> {
+    api.set_zone(zone, true, &headers).await
 }
 
-/// Brings a zone back.
+/// Returns an availability zone to service.
 pub(crate) async fn zone_in<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     Path(zone): Path<ZoneId>,
     headers: HeaderMap,
-) -> Answer<ChangeAnswer> {
-    operators.set_zone(zone, false, &headers).await
+) -> JsonResult<ChangeAnswer> {
+    api.set_zone(zone, false, &headers).await
 }
 
-/// Lets a wave begin now.
+/// Starts a wave now instead of at its planned start, and resumes it if it is paused.
 pub(crate) async fn wave_start<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     Path(wave): Path<WaveId>,
     headers: HeaderMap,
-) -> Answer<ChangeAnswer> {
-    let context = operators.edit_context(&headers).await?;
+) -> JsonResult<ChangeAnswer> {
+    let context = api.edit_context(&headers).await?;
     let now_unix_s = context.unix_s;
-    let started = |config: &Config| start_patch(config, &wave, now_unix_s);
-    operators.change(&context, started).await
+    let merge_patch = |config: &Config| start_patch(config, &wave, now_unix_s);
+    api.change(&context, merge_patch).await
 }
 
-/// Pauses a wave: no step of it starts.
+/// Pauses a wave: no further step of it starts.
 pub(crate) async fn wave_pause<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     Path(wave): Path<WaveId>,
     headers: HeaderMap,
-) -> Answer<ChangeAnswer> {
-    let context = operators.edit_context(&headers).await?;
-    operators.change(&context, |config| pause_patch(config, &wave, true)).await
+) -> JsonResult<ChangeAnswer> {
+    let context = api.edit_context(&headers).await?;
+    api.change(&context, |config| pause_patch(config, &wave, true)).await
 }
 
-/// Lets a paused wave go on.
+/// Resumes a paused wave.
 pub(crate) async fn wave_resume<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     Path(wave): Path<WaveId>,
     headers: HeaderMap,
-) -> Answer<ChangeAnswer> {
-    let context = operators.edit_context(&headers).await?;
-    operators.change(&context, |config| pause_patch(config, &wave, false)).await
+) -> JsonResult<ChangeAnswer> {
+    let context = api.edit_context(&headers).await?;
+    api.change(&context, |config| pause_patch(config, &wave, false)).await
 }
 
 impl<S: Sources> OperatorApi<S> {
-    async fn set_zone(&self, zone: ZoneId, out: bool, headers: &HeaderMap) -> Answer<ChangeAnswer> {
+    async fn set_zone(
+        &self,
+        zone: ZoneId,
+        out: bool,
+        headers: &HeaderMap,
+    ) -> JsonResult<ChangeAnswer> {
         let context = self.edit_context(headers).await?;
-        let wanted = |config: &Config| {
+        let merge_patch = |config: &Config| {
             let current = config.zones.get(&zone).ok_or(OperatorsCode::ZoneUnknown)?;
             Ok((current.out != out).then(|| json!({"zones": {&*zone: {"out": out}}})))
         };
-        self.change(&context, wanted).await
+        self.change(&context, merge_patch).await
     }
 
     async fn change(
         &self,
         context: &EditContext,
         merge_patch: impl Fn(&Config) -> Result<Option<Value>, Problem>,
-    ) -> Answer<ChangeAnswer> {
+    ) -> JsonResult<ChangeAnswer> {
         let deadline = self.limits.change_deadline();
         let outcome = self.configs.edit(context, deadline, merge_patch).await?;
         let (version, operator) = (outcome.version, &context.operator);
         if !outcome.unchanged {
             emit!(OperatorsEvent::PatchAccepted, version = version, operator = operator);
         }
-        Ok(Json(self.change_answer(version, outcome.unchanged, false).await))
+        Ok(Json(self.change_response(version, outcome.unchanged, false).await))
     }
 }
 
@@ -123,50 +128,46 @@
     Ok((current.paused != paused).then(|| json!({"waves": {&**wave: {"paused": paused}}})))
 }
 
-/// Pools with their instances.
-pub(crate) async fn pools<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
-) -> Json<PoolsAnswer> {
-    Json(PoolsAnswer { pools: operators.sources.fleet().pools().await })
+/// Returns the pools with the counts of their instances.
+pub(crate) async fn pools<S: Sources>(State(api): State<OperatorApi<S>>) -> Json<PoolsAnswer> {
+    Json(PoolsAnswer { pools: api.sources.fleet().pools().await })
 }
 
-/// Maintenance waves with their progress.
-pub(crate) async fn waves<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
-) -> Json<WavesAnswer> {
-    Json(WavesAnswer { waves: operators.sources.fleet().waves().await })
+/// Returns the maintenance waves with their progress.
+pub(crate) async fn waves<S: Sources>(State(api): State<OperatorApi<S>>) -> Json<WavesAnswer> {
+    Json(WavesAnswer { waves: api.sources.fleet().waves().await })
 }
 
-/// Last decisions about an instance, a pool, a team or a wave.
+/// Returns the latest decisions about an instance, a pool, a team or a wave.
 pub(crate) async fn explain<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     Path((subject, id)): Path<(String, String)>,
-) -> Answer<Explanation> {
+) -> JsonResult<Explanation> {
     let subject = Subject::ALL.into_iter().find(|known| known.name() == subject);
     let subject = subject.ok_or(OperatorsCode::PathUnknown)?;
-    let explanation = operators.sources.fleet().explain(subject, &id).await;
+    let explanation = api.sources.fleet().explain(subject, &id).await;
     Ok(Json(explanation.ok_or(OperatorsCode::NotExplained)?))
 }
 
-/// Asks for a move of instances to another pool.
+/// Requests a move of instances to another pool.
 pub(crate) async fn move_instances<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     Path(from): Path<PoolId>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
-) -> Answer<MoveAnswer> {
+) -> JsonResult<MoveAnswer> {
     let MoveBody { to, selection } = read_json(body)?;
-    let config = operators.active.load().ok_or(OperatorsCode::NotReady)?;
+    let config = api.active.load().ok_or(OperatorsCode::NotReady)?;
     if let Some(pool) = [&from, &to].into_iter().find(|pool| !config.pools.contains_key(*pool)) {
         return Err(Problem::from(OperatorsCode::PoolUnknown).with_detail(pool));
     }
     if from == to {
         return Err(Problem::from(OperatorsCode::MoveRefused).with_detail("the pools are the same"));
     }
-    let operator = operators.edit_context(&headers).await?.operator;
+    let operator = api.edit_context(&headers).await?.operator;
     let request_id = headers.get(WRITE_ID_HEADER).and_then(|value| value.to_str().ok());
     let request_id = request_id.map_or_else(new_write_id, str::to_owned).into();
     emit!(OperatorsEvent::MoveRequested, from = from, to = to, operator = operator);
     let request = MoveRequest { request_id, operator, from, to, selection };
-    Ok(Json(operators.sources.fleet().move_instances(request).await?))
+    Ok(Json(api.sources.fleet().move_instances(request).await?))
 }
--- a/crates/operators/src/fleet_wire.rs
+++ b/crates/operators/src/fleet_wire.rs
@@ -1,4 +1,4 @@
-//! Conversion of what the fleet tells to what operators see.
+//! Conversion of the fleet's types to the types of the operators' interface.
 
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -58,8 +58,8 @@
 }
 
 impl WaveStatus {
-    /// What operators see of a wave at `now`, with the instances under maintenance and the zone
-    /// in which they stand.
+    /// Converts the status of a wave at `now`, and adds the instances under maintenance and their
+    /// availability zone.
     pub fn at(
         status: &cassiafold_fleet::WaveStatus,
         now: SystemTime,
@@ -90,19 +90,19 @@
     time.duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
 }
 
-/// Fields of the inputs by name, without the name of their kind.
+/// Returns the fields of the inputs by name, without the name of the enum variant.
 fn inputs(inputs: &cassiafold_fleet::decision::Inputs) -> Inputs {
-    let Ok(Value::Object(kinds)) = serde_json::to_value(inputs) else { return Inputs::new() };
-    let fields = kinds.into_iter().filter_map(|(_, fields)| match fields {
+    let Ok(Value::Object(variants)) = serde_json::to_value(inputs) else { return Inputs::new() };
+    let fields = variants.into_iter().filter_map(|(_, fields)| match fields {
         Value::Object(fields) => Some(fields),
         _ => None,
     });
-    let text = |value: Value| match value {
+    let to_text = |value: Value| match value {
         Value::String(text) => text,
         other => other.to_string(),
     };
     let present = fields.flatten().filter(|(_, value)| !value.is_null());
-    present.map(|(name, value)| (Arc::from(name), Arc::from(text(value)))).collect()
+    present.map(|(name, value)| (Arc::from(name), Arc::from(to_text(value)))).collect()
 }
 
 #[cfg(test)]
--- a/crates/operators/src/history.rs
+++ b/crates/operators/src/history.rs
@@ -1,7 +1,7 @@
 //! History of the configuration in the store.
 //!
-//! The change of each version is kept when that version is replaced; the change of the current
-//! version stands in the current document.
+//! The change that made a version is saved when that version is replaced; the change that made the
+//! current version is part of the current document.
 
 use std::sync::Arc;
 
@@ -14,10 +14,10 @@
 
 use crate::event::OperatorsEvent;
 
-/// Versions whose change is kept.
+/// Number of replaced versions whose change is kept.
 pub const VERSIONS_KEPT: Version = 200;
 
-/// Old versions are removed each time this many new ones were made.
+/// Number of new versions after which old history is removed again.
 const TRIM_INTERVAL: Version = 16;
 
 /// The change that made one version.
@@ -25,9 +25,9 @@
 pub struct HistoryRecord {
     /// Version that the change made.
     pub version: Version,
-    /// Write that stored it.
+    /// Id of the write that stored it.
     pub write_id: String,
-    /// Who made it and how; unknown for a version that was not made by a patch.
+    /// Operator, time and patch; `None` for a version that was not made by a patch.
     pub change: Option<RawChange>,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Keeps the changes that made `configs`, unless they are kept already.
+/// Saves the changes that made `configs`, except those that are already saved.
 pub async fn save<S: Store>(
     store: &S,
     configs: impl Iterator<Item = &Arc<Config>>,
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// The change that made a version that has been replaced.
+/// Returns the change that made a replaced version.
 pub async fn get<S: Store>(
     store: &S,
     version: Version,
@@ -67,13 +67,14 @@
     record.map(|record| decode(&record)).transpose()
 }
 
-/// The changes that made the last `limit` replaced versions, newest first.
+/// Returns the changes that made the latest `limit` replaced versions, newest first.
 pub async fn list<S: Store>(store: &S, limit: usize) -> Result<Vec<HistoryRecord>, StoreError> {
     let snapshot = store.list(HISTORY_PREFIX).await?;
     snapshot.records.iter().rev().take(limit).map(decode).collect()
 }
 
-/// Removes old history from time to time. A failure leaves it to the next time.
+/// Removes old history once every `TRIM_INTERVAL` versions. After a failure, the next run
+/// removes what is left.
 pub async fn trim<S: Store>(store: &S, version: Version) {
     if !version.is_multiple_of(TRIM_INTERVAL) {
         return;
--- a/crates/operators/src/key_routes.rs
+++ b/crates/operators/src/key_routes.rs
@@ -1,4 +1,4 @@
-//! `POST /keys` and `DELETE /keys`: grants and withdrawals of teams' keys.
+//! `POST /keys` and `DELETE /keys`: granting and withdrawing the keys of teams.
 
 use axum::Json;
 use axum::body::Bytes;
@@ -16,17 +16,17 @@
 use crate::source::Sources;
 use crate::wire::{ChangeAnswer, KeyBody, KeyQuery};
 
-/// Grants a key to a team. The body holds the hash only.
+/// Grants a key to a team. The body contains only the hash of the key.
 pub(crate) async fn grant<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<Json<ChangeAnswer>, Problem> {
     let body: KeyBody = read_json(body)?;
     let hash = parse_hash(&body.key_hash)?;
-    let context = operators.edit_context(&headers).await?;
-    let deadline = operators.limits.change_deadline();
-    let outcome = operators
+    let context = api.edit_context(&headers).await?;
+    let deadline = api.limits.change_deadline();
+    let outcome = api
         .configs
         .edit(&context, deadline, |config| {
             let team = find_team(config, &body.team)?;
@@ -37,20 +37,20 @@
         })
         .await?;
     emit!(OperatorsEvent::KeyGranted, team = body.team, version = outcome.version);
-    Ok(Json(operators.change_answer(outcome.version, outcome.unchanged, false).await))
+    Ok(Json(api.change_response(outcome.version, outcome.unchanged, false).await))
 }
 
-/// Withdraws one key or all keys of a team.
+/// Withdraws one key of a team, or all of them.
 pub(crate) async fn withdraw<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     headers: HeaderMap,
     query: Result<Query<KeyQuery>, QueryRejection>,
 ) -> Result<Json<ChangeAnswer>, Problem> {
     let Query(query) = query.map_err(Problem::malformed)?;
     let hash = query.key_hash.as_deref().map(parse_hash).transpose()?;
-    let context = operators.edit_context(&headers).await?;
-    let deadline = operators.limits.change_deadline();
-    let outcome = operators
+    let context = api.edit_context(&headers).await?;
+    let deadline = api.limits.change_deadline();
+    let outcome = api
         .configs
         .edit(&context, deadline, |config| {
             let team = find_team(config, &query.team)?;
@@ -63,7 +63,7 @@
         })
         .await?;
     emit!(OperatorsEvent::KeyWithdrawn, team = query.team, version = outcome.version);
-    Ok(Json(operators.change_answer(outcome.version, outcome.unchanged, false).await))
+    Ok(Json(api.change_response(outcome.version, outcome.unchanged, false).await))
 }
 
 fn parse_hash(text: &str) -> Result<KeyHash, Problem> {
--- a/crates/operators/src/lib.rs
+++ b/crates/operators/src/lib.rs
@@ -1,11 +1,11 @@
-//! Operators' interface of an entry instance: HTTP with a credential of its own.
+//! HTTP interface for operators of an entry instance, with its own credential.
 //!
 //! - [`router`]: the routes.
 //! - [`serve`](mod@serve): the server.
-//! - [`source`]: what the interface asks of the rest of the entry instance.
-//! - [`wire`]: bodies of requests and answers.
-//! - [`versions`]: patches of the numbered configuration in the store.
-//! - [`history`]: who made which version.
+//! - [`source`]: traits through which the interface reaches the rest of the entry instance.
+//! - [`wire`]: request and response bodies.
+//! - [`versions`]: patches of the versioned configuration in the store.
+//! - [`history`]: the change that made each version.
 
 pub mod code;
 mod config_routes;
--- a/crates/operators/src/problem.rs
+++ b/crates/operators/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals of the operators' interface as problem documents (RFC 9457).
+//! Errors of the operators' interface as problem documents (RFC 9457).
 
 use axum::response::{IntoResponse, Response};
 use cassiafold_config::{Faults, Version};
@@ -14,42 +14,42 @@
 /// Media type of a problem document.
 pub const PROBLEM_JSON: &str = "application/problem+json";
 
-/// A refusal.
+/// An error response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Numbered reason.
+    /// Result code.
     pub code: OperatorsCode,
-    /// What went wrong this time.
+    /// Details of this occurrence.
     pub detail: Option<String>,
-    /// Version of the configuration, where the request named another.
+    /// Current version of the configuration, when the request named another one.
     pub current_version: Option<Version>,
-    /// Write id with which the request can be repeated.
+    /// Write id to repeat the request with.
     pub write_id: Option<String>,
-    /// Faults of the new configuration or of the request.
+    /// Faults found in the new configuration or in the request.
     pub faults: Faults,
 }
 
-/// Wire form of [`Problem`].
+/// JSON form of [`Problem`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireProblem {
-    /// Identifies the kind of problem.
+    /// URN that identifies the kind of problem by its code.
     pub r#type: String,
     /// Meaning of the code.
     pub title: String,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Number of the code in `docs/CODES.md`.
     pub code: u16,
-    /// What went wrong this time.
+    /// Details of this occurrence.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// Version of the configuration, where the request named another.
+    /// Current version of the configuration, when the request named another one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current_version: Option<Version>,
-    /// Write id with which the request can be repeated.
+    /// Write id to repeat the request with.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub write_id: Option<String>,
-    /// Faults of the new configuration or of the request.
+    /// Faults found in the new configuration or in the request.
     #[serde(default, skip_serializing_if = "Faults::is_empty")]
     pub faults: Faults,
 }
@@ -62,23 +62,23 @@
 }
 
 impl Problem {
-    /// Adds what went wrong this time.
+    /// Adds details of this occurrence.
     pub fn with_detail(mut self, detail: impl ToString) -> Self {
         self.detail = Some(detail.to_string());
         self
     }
 
-    /// A refusal of a patch that was made from another version.
+    /// Returns the problem for a patch whose base is not the current version.
     pub fn stale(current: Version) -> Self {
         Self { current_version: Some(current), ..OperatorsCode::VersionStale.into() }
     }
 
-    /// A refusal of a configuration with faults.
+    /// Returns the problem for a patch that would make the configuration invalid.
     pub fn invalid(faults: Faults) -> Self {
         Self { faults, ..OperatorsCode::ConfigInvalid.into() }
     }
 
-    /// A request that cannot be understood.
+    /// Returns the problem for a request that cannot be parsed.
     pub fn malformed(detail: impl ToString) -> Self {
         Self::from(OperatorsCode::RequestMalformed).with_detail(detail)
     }
--- a/crates/operators/src/router.rs
+++ b/crates/operators/src/router.rs
@@ -28,10 +28,11 @@
 use crate::wire::OPERATOR_HEADER;
 use crate::{config_routes, fleet_routes, key_routes, status_routes};
 
-/// Name of an operator who gives none.
+/// Operator name recorded for requests without the operator header.
 const UNNAMED_OPERATOR: &str = "unnamed";
 
-/// Time beyond the limits of a request's own steps after which it is ended.
+/// Time added to the request timeout before the whole request is aborted, so that a handler which
+/// reaches its own deadline can still respond.
 const TIMEOUT_GRACE: Duration = Duration::from_millis(500);
 
 /// The operators' interface of one entry instance.
@@ -47,14 +48,15 @@
 /// Time limits of the operators' interface.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Longest wait for entry instances to confirm an accepted change.
+    /// Longest wait for all entry instances to confirm an accepted change.
     pub confirm_wait: Duration,
-    /// Longest time that one request may take.
+    /// Longest duration of one request.
     pub timeout: Duration,
 }
 
 impl Limits {
-    /// When a change of the configuration that begins now must be settled.
+    /// Returns the deadline for a configuration change that starts now: the request timeout without
+    /// the wait for confirmation.
     pub(crate) fn change_deadline(&self) -> Instant {
         Instant::now() + self.timeout.saturating_sub(self.confirm_wait)
     }
@@ -67,13 +69,13 @@
 }
 
 impl<S: Sources> OperatorApi<S> {
-    /// The operators' interface over `sources`, open to who presents the credential.
+    /// Creates the interface over `sources` for requests that present the credential.
     pub fn new(sources: S, active: ActiveConfig, credential: KeyHash, limits: Limits) -> Self {
         let configs = ConfigStore::new(sources.store().clone(), active.clone());
         Self { sources, configs, active, limits, credential }
     }
 
-    /// Routes of the interface. Each request must present the credential.
+    /// Returns the routes of the interface. Each request must present the credential.
     pub fn router(self) -> Router {
         Router::new()
             .route("/config", get(config_routes::get::<S>).patch(config_routes::patch::<S>))
@@ -98,7 +100,9 @@
             .with_state(self)
     }
 
-    /// Who makes a change that begins now.
+    /// Returns the context of a change that starts now.
+    ///
+    /// Fails when the operator header is not a valid id.
     pub(crate) async fn edit_context(&self, headers: &HeaderMap) -> Result<EditContext, Problem> {
         Ok(EditContext {
             operator: operator_name(headers)?,
@@ -108,17 +112,18 @@
     }
 }
 
-/// Checks the credential and bounds the time of a request.
+/// Checks the credential, applies the timeout and turns error responses of the HTTP library into
+/// problem documents.
 async fn guard<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
+    State(api): State<OperatorApi<S>>,
     request: Request,
     next: Next,
 ) -> Result<Response, Problem> {
-    if !is_authorized(request.headers(), operators.credential) {
+    if !is_authorized(request.headers(), api.credential) {
         emit!(OperatorsEvent::CredentialRefused, path = request.uri().path());
         return Err(OperatorsCode::CredentialInvalid.into());
     }
-    let limit = operators.limits.timeout + TIMEOUT_GRACE;
+    let limit = api.limits.timeout + TIMEOUT_GRACE;
     let response = timeout(limit, next.run(request)).await.map_err(|_| OperatorsCode::TimedOut)?;
     if response.status().is_client_error() && !is_problem(&response) {
         return Err(Problem::malformed(response.status()));
@@ -126,7 +131,8 @@
     Ok(response)
 }
 
-/// Whether a refusal is a problem document already, and not one of the library's own.
+/// Returns whether an error response is already a problem document, rather than one that the HTTP
+/// library produced.
 fn is_problem(response: &Response) -> bool {
     response.headers().get(CONTENT_TYPE).is_some_and(|value| value == PROBLEM_JSON)
 }
@@ -148,7 +154,7 @@
         .ok_or_else(|| Problem::malformed(format!("{OPERATOR_HEADER} must be an id")))
 }
 
-/// Reads a JSON body.
+/// Parses a JSON body.
 pub(crate) fn read_json<T: DeserializeOwned>(
     body: Result<axum::body::Bytes, BytesRejection>,
 ) -> Result<T, Problem> {
--- a/crates/operators/src/serve.rs
+++ b/crates/operators/src/serve.rs
@@ -16,16 +16,17 @@
 
 use crate::event::OperatorsEvent;
 
-/// Most connections at once.
+/// Highest number of concurrent connections.
 const CONNECTIONS_MAX: usize = 64;
-/// Longest time until the head of a request is complete.
+/// Longest time to receive the header section of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait for requests in flight at a stop.
+/// Longest wait for requests in flight at shutdown.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
-/// Wait after a connection could not be accepted.
+/// Delay before accepting again after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves `router` on `listener` until `stop`, then ends the requests in flight.
+/// Serves `router` on `listener` until `stop` completes, then waits up to `STOP_TIMEOUT` for the
+/// requests in flight.
 pub async fn serve(listener: TcpListener, router: Router, stop: impl Future<Output = ()>) {
     let slots = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     let graceful = GracefulShutdown::new();
--- a/crates/operators/src/source.rs
+++ b/crates/operators/src/source.rs
@@ -1,4 +1,5 @@
-//! What the operators' interface asks of the rest of an entry instance.
+//! Traits through which the operators' interface reaches the rest of an entry instance, and the
+//! types that they exchange.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -8,7 +9,7 @@
 use cassiafold_platform::Store;
 use serde::{Deserialize, Serialize};
 
-/// Everything that the operators' interface shows or changes.
+/// Access to everything that the operators' interface reads or changes.
 pub trait Sources: Clone + Send + Sync + 'static {
     /// Client of the key-value service.
     type Store: Store;
@@ -17,39 +18,39 @@
     /// Source of the state of the fleet.
     type Fleet: FleetSource;
 
-    /// Client of the key-value service.
+    /// Returns the client of the key-value service.
     fn store(&self) -> &Self::Store;
 
-    /// Source of the state of entry instances.
+    /// Returns the source of the state of entry instances.
     fn status(&self) -> &Self::Status;
 
-    /// Source of the state of the fleet.
+    /// Returns the source of the state of the fleet.
     fn fleet(&self) -> &Self::Fleet;
 
-    /// Metrics in the OpenMetrics text format.
+    /// Returns the metrics in the OpenMetrics text format.
     fn metrics(&self) -> String;
 }
 
-/// State of the entry instances as this one knows it.
+/// Source of the state of the entry instances.
 pub trait StatusSource: Clone + Send + Sync + 'static {
-    /// Reads the state. It must not wait for other entry instances.
+    /// Returns the state as known to this entry instance, without waiting for others.
     fn status(&self) -> impl Future<Output = Status> + Send;
 }
 
-/// State of the entry instances as one of them knows it.
+/// State of the entry instances as known to one of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Entry instance that answers.
+    /// Entry instance that responds.
     pub instance_id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub ready: bool,
-    /// Whether it reaches the key-value service.
+    /// Whether it can reach the key-value service.
     pub store_reachable: bool,
-    /// Live entry instances, this one included.
+    /// Live entry instances, including the one that responds.
     pub entries: Vec<EntryStatus>,
-    /// Upper limits and work of each team.
+    /// Upper limit and load of each team.
     pub teams: Vec<TeamStatus>,
 }
 
@@ -60,49 +61,49 @@
     pub instance_id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Version that it has in force; zero when it knows none.
+    /// Version that it has in force; zero when it has none.
     pub version: Version,
-    /// Whether it takes new requests; unknown where it was not heard lately.
+    /// Whether it accepts new requests; `None` when it has not reported recently.
     pub ready: Option<bool>,
-    /// Time since it was heard, in milliseconds.
+    /// Time since its last report, in milliseconds.
     pub heard_ms_ago: u64,
 }
 
-/// Upper limit and work of one team.
+/// Upper limit and load of one team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamStatus {
     /// The team.
     pub team: TeamId,
-    /// Most that may run at once across the fleet.
+    /// Highest number of requests and tasks that may run concurrently across the fleet.
     pub upper_limit: u32,
-    /// Part of the upper limit that this entry instance holds.
+    /// Part of the upper limit that is assigned to this entry instance.
     pub slice: u32,
-    /// Requests and tasks that run from this entry instance.
+    /// Requests and tasks that were started by this entry instance and are running.
     pub running: u32,
-    /// Requests that wait at this entry instance.
+    /// Requests that are queued at this entry instance.
     pub waiting: u32,
 }
 
-/// State of the fleet.
+/// Source of the state of the fleet.
 pub trait FleetSource: Clone + Send + Sync + 'static {
-    /// Pools with their instances.
+    /// Returns the pools with the counts of their instances.
     fn pools(&self) -> impl Future<Output = Vec<PoolStatus>> + Send;
 
-    /// Maintenance waves with their progress.
+    /// Returns the maintenance waves with their progress.
     fn waves(&self) -> impl Future<Output = Vec<WaveStatus>> + Send;
 
-    /// Last decisions about one thing; `None` when nothing is known of it.
+    /// Returns the latest decisions about one object, or `None` when nothing is known about it.
     fn explain(
         &self,
         subject: Subject,
         id: &str,
     ) -> impl Future<Output = Option<Explanation>> + Send;
 
-    /// Writes a page of the fleet over time; `None` while what it shows cannot be read.
+    /// Returns an HTML report of the fleet over time, or `None` while its data cannot be read.
     fn report(&self) -> impl Future<Output = Option<String>> + Send;
 
-    /// Asks for a move of instances to another pool. A repeat with the same request id finds the
-    /// first.
+    /// Requests a move of instances to another pool. Requests are idempotent by request id: a
+    /// repeat returns the result of the first.
     fn move_instances(
         &self,
         request: MoveRequest,
@@ -116,17 +117,17 @@
     pub pool: PoolId,
     /// Service that it serves; a spare pool serves none.
     pub service: Option<ServiceId>,
-    /// Instances of the pool.
+    /// Number of instances in the pool.
     pub instances: u32,
-    /// Instances that take new work.
+    /// Number of instances that accept new work.
     pub available: u32,
-    /// Instances that drain or reboot.
+    /// Number of instances that are draining or rebooting.
     pub in_maintenance: u32,
-    /// Instances that are ejected or failing.
+    /// Number of instances that are ejected or failing.
     pub failing: u32,
     /// Lowest number of available instances.
     pub floor: u32,
-    /// Instances on their way into the pool.
+    /// Number of instances that are moving into the pool.
     pub arriving: u32,
 }
 
@@ -135,38 +136,38 @@
 pub struct WaveStatus {
     /// The wave.
     pub wave: WaveId,
-    /// Instances that the wave covers.
+    /// Number of instances in the wave.
     pub total: u32,
-    /// Instances maintained in this wave.
+    /// Number of instances already maintained in this wave.
     pub done: u32,
     /// Instances under maintenance.
     pub in_progress: Vec<InstanceId>,
-    /// Availability zone in which it works now.
+    /// Availability zone whose instances are being maintained.
     pub zone: Option<ZoneId>,
-    /// Instances that wait for a second try, or are failing.
+    /// Number of instances that wait for a retry or are failing.
     pub set_back: u32,
-    /// Instances last maintained longer ago than the maintenance period.
+    /// Number of instances whose last maintenance is longer ago than the maintenance period.
     pub overdue: u32,
-    /// Why no step starts, when the wave as a whole is held back.
+    /// Why no step starts, when the whole wave is paused or blocked.
     pub held_back: Option<Reason>,
-    /// When the wave must end, in seconds since the Unix epoch.
+    /// Deadline of the wave, in seconds since the Unix epoch.
     pub deadline_unix_s: u64,
-    /// When it will end at the pace so far, in seconds since the Unix epoch.
+    /// Expected end at the average speed up to now, in seconds since the Unix epoch.
     pub expected_end_unix_s: Option<u64>,
-    /// Whether it has missed its deadline or is expected to.
+    /// Whether it has missed its deadline or is expected to miss it.
     pub late: bool,
 }
 
-/// A numbered reason.
+/// A result code with its meaning.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reason {
     /// Number of the code in `docs/CODES.md`.
     pub code: u16,
-    /// What the code means.
+    /// Meaning of the code.
     pub meaning: Arc<str>,
 }
 
-/// Kind of a thing whose decisions can be asked for.
+/// Kind of object whose decisions can be explained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
@@ -181,7 +182,7 @@
 }
 
 impl Subject {
-    /// Name of the kind in paths and on the command line.
+    /// Returns the name of the kind in paths and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Instance => "instance",
@@ -191,45 +192,45 @@
         }
     }
 
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Self; 4] = [Self::Instance, Self::Pool, Self::Team, Self::Wave];
 }
 
-/// What is known about one thing, what was decided and what is held back.
+/// Facts about one object, decisions about it and steps that are blocked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// What is known.
+    /// Known facts.
     pub facts: Vec<Fact>,
-    /// Steps that do not start now, with the rule that decided.
+    /// Steps that are blocked, with the rule that blocks each.
     pub why_not: Vec<WhyNot>,
     /// Decisions, newest first.
     pub decisions: Vec<Decision>,
 }
 
-/// One thing that is known.
+/// A named fact.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
-    /// What is known.
+    /// Name of the fact.
     pub name: Arc<str>,
     /// Its value.
     pub value: Arc<str>,
 }
 
-/// Why a step does not start now.
+/// Why a step is blocked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WhyNot {
     /// The step.
     pub step: Arc<str>,
-    /// The rule that decided.
+    /// The rule that blocks it.
     pub reason: Reason,
-    /// What it was decided on.
+    /// Inputs of the decision.
     pub inputs: Inputs,
 }
 
 /// One decision with its inputs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// When it was made, in milliseconds since the Unix epoch.
+    /// Time of the decision, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
     /// Number of its event in `docs/EVENTS.md`.
     pub event: u16,
@@ -241,46 +242,46 @@
     pub pool: Option<PoolId>,
     /// Maintenance wave that it concerns.
     pub wave: Option<WaveId>,
-    /// What it was decided on.
+    /// Inputs of the decision.
     pub inputs: Inputs,
 }
 
-/// Inputs of a decision by name.
+/// Inputs of a decision, by name.
 pub type Inputs = BTreeMap<Arc<str>, Arc<str>>;
 
 /// Request to move instances from one pool to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MoveRequest {
-    /// Identifies the request.
+    /// Idempotency key of the request.
     pub request_id: Arc<str>,
-    /// Who asks for the move.
+    /// Operator who requests the move.
     pub operator: Arc<str>,
-    /// Pool that gives.
+    /// Source pool.
     pub from: PoolId,
-    /// Pool that takes.
+    /// Destination pool.
     pub to: PoolId,
-    /// Which instances, or how many.
+    /// The instances to move, or their number.
     pub selection: Selection,
 }
 
-/// Instances that a move takes.
+/// Selection of the instances to move.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Selection {
     /// These instances.
     Instances(Vec<InstanceId>),
-    /// Any instances, this many.
+    /// This number of instances of the source pool.
     Count(u32),
 }
 
-/// Answer to an accepted move.
+/// Response to an accepted move.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveAnswer {
     /// Instances that will move.
     pub instances: Vec<InstanceId>,
 }
 
-/// Why a move did not begin.
+/// Failure of a move request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MoveRefusal {
     /// The move would break a rule; nothing was changed.
@@ -289,7 +290,7 @@
     /// The key-value service cannot be reached; nothing was changed.
     #[error("{0}")]
     Unavailable(Arc<str>),
-    /// The move may have begun.
+    /// The move may have started.
     #[error("{0}")]
     OutcomeUnknown(Arc<str>),
 }
--- a/crates/operators/src/status_routes.rs
+++ b/crates/operators/src/status_routes.rs
@@ -10,21 +10,19 @@
 use crate::source::{Sources, StatusSource};
 use crate::wire::StatusAnswer;
 
-/// Media type of metrics.
+/// Media type of the OpenMetrics text format.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// State of the entry instances as this one knows it.
-pub(crate) async fn status<S: Sources>(
-    State(operators): State<OperatorApi<S>>,
-) -> Json<StatusAnswer> {
-    let status = operators.sources.status().status().await;
-    let version = operators.active.version();
+/// Returns the state of the entry instances as known to this one.
+pub(crate) async fn status<S: Sources>(State(api): State<OperatorApi<S>>) -> Json<StatusAnswer> {
+    let status = api.sources.status().status().await;
+    let version = api.active.version();
     let newest_version = version.max(confirm::highest_version(&status));
     let unconfirmed = confirm::unconfirmed(&status, newest_version);
     Json(StatusAnswer { version, newest_version, unconfirmed, status })
 }
 
-/// Metrics of this entry instance.
-pub(crate) async fn metrics<S: Sources>(State(operators): State<OperatorApi<S>>) -> Response {
-    ([(CONTENT_TYPE, OPENMETRICS)], operators.sources.metrics()).into_response()
+/// Returns the metrics of this entry instance.
+pub(crate) async fn metrics<S: Sources>(State(api): State<OperatorApi<S>>) -> Response {
+    ([(CONTENT_TYPE, OPENMETRICS)], api.sources.metrics()).into_response()
 }
--- a/crates/operators/src/versions.rs
+++ b/crates/operators/src/versions.rs
@@ -1,27 +1,32 @@
 //! Versions of the configuration in the store: patches by compare-and-swap.
 //!
-//! The current version stands under one key, with its write id and the change that made it. A
-//! patch replaces it on two conditions: the document has the version that the patch names, and the
-//! store has not written the key since it was read. Before a version is replaced, its change is
+//! The current version is stored under one key, with its write id and the change that made it. A
+//! patch replaces it under two conditions: the document has the version that the patch names, and
+//! the key has not been written since it was read. Before a version is replaced, its change is
 //! copied to the history, so that the history tells which write made each version.
 //!
-//! A write whose answer was lost is settled by reading back. While the stored document is
-//! unchanged the same write is sent again, and its condition lets it take effect once.
+//! When the response to a write is lost, its outcome is resolved by reading the document. While the
+//! stored document is unchanged, the same write is sent again; its condition ensures that it takes
+//! effect at most once.
 //!
-//! A store that was restored from an older snapshot holds a lower version than is in force. Three
-//! ways were weighed:
+//! A store that was restored from an older snapshot contains a lower version than the one in force.
+//! Three ways to handle this were considered:
 //!
-//! - refuse patches until somebody repairs the store: safe, but a zone could not be taken out;
-//! - go on from the stored version: reverts what was accepted and gives numbers a second meaning;
-//! - go on from the version in force, which is chosen: nothing that any reachable entry instance
-//!   holds is lost, and the store is repaired by the next patch.
+//! - Refuse patches until the store is repaired: safe, but no availability zone could be taken out
+//!   of service meanwhile.
+//! - Continue from the stored version: this reverts accepted changes and reuses version numbers for
+//!   different content.
+//! - Continue from the version in force (implemented here): no version of any reachable entry
+//!   instance is lost, and the next patch repairs the store.
 //!
-//! The next number then skips [`ROLLBACK_GAP`], since an entry instance that cannot be reached may
-//! hold a later version that is lost everywhere else. An entry instance that hears of a higher
-//! version elsewhere than it holds refuses patches until it has it. What remains: when the store
-//! is restored and no entry instance holds or has heard of the later versions, their numbers are
-//! given again; and when the store is restored within the time that a version takes to spread, two
-//! entry instances may hold different content under one number until the next patch.
+//! The next version number then skips [`ROLLBACK_GAP`] numbers, since an unreachable entry instance
+//! may have a later version that is lost everywhere else. An entry instance that knows of a higher
+//! version elsewhere than its own refuses patches until it has received that version.
+//!
+//! Two limitations remain. When the store is restored and no entry instance has or knows of the
+//! later versions, their numbers are reused. When the store is restored while a version is still
+//! being distributed, two entry instances may have different content under one version number
+//! until the next patch.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,57 +44,58 @@
 use crate::event::OperatorsEvent;
 use crate::history;
 
-/// Numbers that are skipped when the store holds a lower version than is in force.
+/// Distance to the next version number when the store contains a lower version than the one in
+/// force.
 pub const ROLLBACK_GAP: Version = 1_000;
 
 const RETRY_DELAY_MIN: Duration = Duration::from_millis(10);
 const RETRY_DELAY_MAX: Duration = Duration::from_millis(500);
 
-/// The stored configuration, read and changed.
+/// Reads and changes the stored configuration.
 #[derive(Debug, Clone)]
 pub struct ConfigStore<S> {
     store: S,
     active: ActiveConfig,
 }
 
-/// A patch with what it was made from.
+/// A patch with its base version, write id and author.
 #[derive(Debug, Clone)]
 pub struct PatchRequest {
-    /// Version that the patch was made from; zero before the first version.
+    /// Version that the patch applies to; zero before the first version.
     pub base_version: Version,
     /// The change.
     pub patch: Patch,
-    /// Identifies this patch; a repeat with the same id finds the first.
+    /// Idempotency key: a repeat with the same id returns the outcome of the first request.
     pub write_id: String,
-    /// Who asks for the change.
+    /// Operator who requests the change.
     pub operator: Arc<str>,
-    /// When the change is asked for, in seconds since the Unix epoch.
+    /// Time of the request, in seconds since the Unix epoch.
     pub unix_s: u64,
     /// Highest version that any entry instance is known to have in force.
     pub known_version: Version,
 }
 
 impl PatchRequest {
-    /// Whether this request made `config`.
+    /// Returns whether this request made `config`.
     fn made(&self, config: &Config) -> bool {
         let base = config.change.as_ref().map(|change| change.base_version);
         config.write_id == self.write_id && base == Some(self.base_version)
     }
 }
 
-/// Answer to a patch.
+/// Outcome of a patch.
 #[derive(Debug, Clone)]
 pub enum PatchOutcome {
-    /// The patch made this version, exactly once.
+    /// The patch took effect exactly once and made this version.
     Accepted {
         /// Version that the patch made.
         version: Version,
-        /// Whether an earlier request with the same write id had made it.
+        /// Whether an earlier request with the same write id made it.
         repeated: bool,
     },
-    /// The patch was made from another version and changed nothing.
+    /// The base version is not the current one; nothing was changed.
     Stale {
-        /// Version of the configuration.
+        /// Current version of the configuration.
         current: Version,
     },
     /// The new configuration would have these faults; nothing was changed.
@@ -99,16 +105,17 @@
 /// Failure of a patch.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PatchError {
-    /// The store could not be reached; nothing was changed and nothing will be.
+    /// The store was unreachable; the patch has not taken effect and will not do so later.
     #[error("{0}")]
     Unavailable(StoreError),
-    /// Other writers won until the deadline; nothing was changed and nothing will be.
+    /// Other writers were first in each attempt until the deadline; the patch has not taken effect
+    /// and will not do so later.
     #[error("other operators won every race")]
     Contended,
-    /// The patch may have taken effect, once at most.
+    /// The patch may have taken effect, at most once.
     #[error("outcome of the patch is unknown")]
     OutcomeUnknown,
-    /// An entry instance has a higher version in force than the store and this one have.
+    /// Another entry instance has a higher version in force than the store and this one.
     #[error(
         "version {known_version} is in force elsewhere, and only version {newest_version} is known here"
     )]
@@ -118,35 +125,36 @@
         /// Newest version known to this entry instance.
         newest_version: Version,
     },
-    /// The stored configuration cannot be understood.
+    /// The stored configuration cannot be parsed or is invalid.
     #[error("stored configuration: {0}")]
     Malformed(Arc<str>),
 }
 
-/// The stored document with the revision that a write must name.
-struct Stored {
+/// The stored document, with the revision that a conditional write must specify.
+struct StoredConfig {
     config: Arc<Config>,
     revision: Revision,
 }
 
 /// A write that was sent and may have taken effect.
-struct Sent {
+struct SentWrite {
     write: Write,
     config: Arc<Config>,
 }
 
+/// Result of one attempt of a patch.
 enum Step {
     Done(PatchOutcome),
     Retry(PatchError),
 }
 
 impl<S: Store> ConfigStore<S> {
-    /// The configuration in `store`, with the one in force in this process.
+    /// Creates access to the configuration in `store`, given the one in force in this process.
     pub fn new(store: S, active: ActiveConfig) -> Self {
         Self { store, active }
     }
 
-    /// The newest configuration known: the stored one or the one in force here.
+    /// Returns the newest known configuration: the stored one or the one in force in this process.
     pub async fn newest(&self) -> Result<Option<Arc<Config>>, PatchError> {
         let stored = self.read().await?.map(|stored| stored.config);
         if let Some(config) = &stored {
@@ -155,7 +163,8 @@
         Ok(newer(stored, self.active.load()))
     }
 
-    /// Makes the next version by a patch. Retries and settles lost answers until `deadline`.
+    /// Creates the next version from a patch. Until `deadline`, retries failed attempts and resolves
+    /// the outcome of writes whose response was lost.
     pub async fn patch(
         &self,
         request: &PatchRequest,
@@ -170,7 +179,7 @@
                 Ok(Ok(Step::Retry(reason))) => reason,
                 Ok(Err(error)) if sent.is_none() => return Err(error),
                 Ok(Err(error)) => error,
-                Err(_) => PatchError::Unavailable(no_answer()),
+                Err(_) => PatchError::Unavailable(no_response()),
             };
             let wake = Instant::now() + backoff.next_delay();
             if wake >= deadline {
@@ -180,10 +189,12 @@
         }
     }
 
+    /// Makes one attempt: reads the stored configuration, then resolves the earlier write if there
+    /// is one, or checks and applies the patch.
     async fn step(
         &self,
         request: &PatchRequest,
-        sent: &mut Option<Sent>,
+        sent: &mut Option<SentWrite>,
     ) -> Result<Step, PatchError> {
         let stored = match self.read().await {
             Ok(stored) => stored,
@@ -243,11 +254,11 @@
         Ok(step)
     }
 
-    /// Sends a write and notes in `sent` when its outcome is unknown.
-    async fn send(&self, write: Write, config: Arc<Config>, sent: &mut Option<Sent>) -> Step {
+    /// Sends a write, and leaves it in `sent` when its outcome is unknown.
+    async fn send(&self, write: Write, config: Arc<Config>, sent: &mut Option<SentWrite>) -> Step {
         let repeated = sent.is_some();
         if !repeated {
-            *sent = Some(Sent { write: write.clone(), config: config.clone() });
+            *sent = Some(SentWrite { write: write.clone(), config: config.clone() });
         }
         match self.store.write(write).await {
             Ok(WriteOutcome::Written(_)) => {
@@ -273,7 +284,10 @@
         }
     }
 
-    /// Finds out whether a patch that names an older version is a repeat.
+    /// Returns the outcome of a patch whose base version is not the newest one: accepted when it is a
+    /// repeat of an earlier request, otherwise stale.
+    ///
+    /// A repeat made either the version after its base, or the one [`ROLLBACK_GAP`] later.
     async fn resolve_stale(
         &self,
         request: &PatchRequest,
@@ -292,8 +306,8 @@
         Ok(Step::Done(PatchOutcome::Stale { current: newest_version }))
     }
 
-    /// Finds out whether a write whose answer was lost made `version`, now that the configuration
-    /// has changed since.
+    /// Returns the outcome of an earlier write of `version` whose response was lost, after the
+    /// configuration has changed since. The history tells which write made `version`.
     async fn resolve_sent(
         &self,
         request: &PatchRequest,
@@ -316,32 +330,33 @@
         })
     }
 
-    async fn read(&self) -> Result<Option<Stored>, PatchError> {
+    async fn read(&self) -> Result<Option<StoredConfig>, PatchError> {
         let record = self.store.get(CURRENT_KEY).await.map_err(PatchError::Unavailable)?;
         let Some(record) = record else { return Ok(None) };
         let raw: RawConfig = serde_json::from_slice(&record.value).map_err(malformed)?;
         let config = Config::try_from(raw).map_err(malformed)?;
-        Ok(Some(Stored { config: Arc::new(config), revision: record.revision }))
+        Ok(Some(StoredConfig { config: Arc::new(config), revision: record.revision }))
     }
 
-    /// The store in which the configuration is kept.
+    /// Returns the store that contains the configuration.
     pub fn store(&self) -> &S {
         &self.store
     }
 }
 
-/// Version that follows `newest_version`, the highest one known, when the store holds `stored`.
+/// Returns the version number after `newest_version`, the highest one known, when the store
+/// contains version `stored`.
 pub fn next_version(newest_version: Version, stored: Version) -> Version {
     let step = if stored < newest_version { ROLLBACK_GAP } else { 1 };
     newest_version.saturating_add(step)
 }
 
-fn newer(one: Option<Arc<Config>>, other: Option<Arc<Config>>) -> Option<Arc<Config>> {
+fn newer(left: Option<Arc<Config>>, right: Option<Arc<Config>>) -> Option<Arc<Config>> {
     let version = |config: &Option<Arc<Config>>| config.as_ref().map_or(0, |config| config.version);
-    if version(&one) >= version(&other) { one } else { other }
+    if version(&left) >= version(&right) { left } else { right }
 }
 
-fn compare_of(stored: Option<&Stored>) -> Compare {
+fn compare_of(stored: Option<&StoredConfig>) -> Compare {
     stored.map_or(Compare::Absent, |stored| Compare::Revision(stored.revision))
 }
 
@@ -362,7 +377,7 @@
     PatchError::Malformed(error.to_string().into())
 }
 
-fn no_answer() -> StoreError {
+fn no_response() -> StoreError {
     StoreError::Unavailable("no answer before the deadline".into())
 }
 
--- a/crates/operators/src/wire.rs
+++ b/crates/operators/src/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers of the operators' interface.
+//! Request and response bodies of the operators' interface.
 
 use cassiafold_config::raw::RawConfig;
 use cassiafold_config::{InstanceId, PoolId, TeamId, Version, ZoneId};
@@ -7,11 +7,12 @@
 use crate::history::HistoryRecord;
 use crate::source::{EntryStatus, PoolStatus, Selection, Status, WaveStatus};
 
-/// Header that names the operator for the history.
+/// Header with the operator's name, which the history records.
 pub const OPERATOR_HEADER: &str = "cassiafold-operator";
 /// Header with the write id of a patch.
 pub const WRITE_ID_HEADER: &str = "idempotency-key";
-/// Header that says where a configuration was read.
+/// Header that tells whether a configuration was read from the store or is the one in force at the
+/// entry instance.
 pub const SOURCE_HEADER: &str = "cassiafold-source";
 
 /// An entry instance that has not confirmed a version.
@@ -21,7 +22,7 @@
     pub instance_id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Version that it was last known to have in force.
+    /// Latest version that it is known to have in force.
     pub version: Version,
 }
 
@@ -32,23 +33,23 @@
     }
 }
 
-/// Answer to an accepted change of the configuration.
+/// Response to an accepted configuration change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeAnswer {
-    /// Version that holds the change.
+    /// Version that contains the change.
     pub version: Version,
-    /// Whether the configuration was as wanted before.
+    /// Whether the configuration already had the requested state, so that no version was made.
     pub unchanged: bool,
-    /// Whether an earlier request with the same write id had made the change.
+    /// Whether an earlier request with the same write id made the change.
     pub repeated: bool,
     /// Entry instances that are not known to have this version in force.
     pub unconfirmed: Vec<Unconfirmed>,
 }
 
-/// Answer to `GET /status`.
+/// Response to `GET /status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusAnswer {
-    /// Version in force at the entry instance that answers.
+    /// Version in force at the entry instance that responds.
     pub version: Version,
     /// Highest version that any entry instance is known to have in force.
     pub newest_version: Version,
@@ -59,14 +60,14 @@
     pub status: Status,
 }
 
-/// Answer to `GET /config/history`.
+/// Response to `GET /config/history`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryAnswer {
     /// Changes, newest first.
     pub versions: Vec<HistoryRecord>,
 }
 
-/// Body of `POST /keys`. The key itself stays with the operator.
+/// Body of `POST /keys`. It contains only the hash of the key; the key itself is never sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyBody {
@@ -76,13 +77,13 @@
     pub key_hash: String,
 }
 
-/// Query of `DELETE /keys`.
+/// Query parameters of `DELETE /keys`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyQuery {
     /// Team of the keys.
     pub team: TeamId,
-    /// Hash of one key, in hexadecimal; all keys of the team when left out.
+    /// Hash of one key, in hexadecimal; all keys of the team when absent.
     pub key_hash: Option<String>,
 }
 
@@ -90,32 +91,32 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MoveBody {
-    /// Pool that takes the instances.
+    /// Destination pool.
     pub to: PoolId,
-    /// Which instances, or how many.
+    /// The instances to move, or their number.
     pub selection: Selection,
 }
 
-/// Answer to `GET /pools`.
+/// Response to `GET /pools`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolsAnswer {
     /// Pools in order of id.
     pub pools: Vec<PoolStatus>,
 }
 
-/// Answer to `GET /waves`.
+/// Response to `GET /waves`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WavesAnswer {
     /// Waves in order of id.
     pub waves: Vec<WaveStatus>,
 }
 
-/// Answer to `GET /report`.
+/// Response to `GET /report`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportAnswer {
-    /// The page, in HTML.
+    /// The report as an HTML page.
     pub page: String,
 }
 
-/// Answer to `GET /config`.
+/// Response to `GET /config`.
 pub type ConfigAnswer = RawConfig;
