--- a/crates/operators/src/source.rs
+++ b/crates/operators/src/source.rs
@@ -152,7 +152,8 @@
     pub held_back: Option<Reason>,
     /// Deadline of the wave, in seconds since the Unix epoch.
     pub deadline_unix_s: u64,
-    /// Expected end at the average speed up to now, in seconds since the Unix epoch.
+    /// Expected end at the average speed up to now, in seconds since the Unix epoch; `None` before
+    /// the first instance is done.
     pub expected_end_unix_s: Option<u64>,
     /// Whether it has missed its deadline or is expected to miss it.
     pub late: bool,
--- a/crates/operators/src/versions.rs
+++ b/crates/operators/src/versions.rs
@@ -19,9 +19,10 @@
 //! - Continue from the version in force (implemented here): no version of any reachable entry
 //!   instance is lost, and the next patch repairs the store.
 //!
-//! The next version number then skips [`ROLLBACK_GAP`] numbers, since an unreachable entry instance
-//! may have a later version that is lost everywhere else. An entry instance that knows of a higher
-//! version elsewhere than its own refuses patches until it has received that version.
+//! The next version number is then [`ROLLBACK_GAP`] higher than the version in force, since an
+//! unreachable entry instance may have a later version that is lost everywhere else. An entry
+//! instance that knows of a higher version elsewhere than its own refuses patches until it has
+//! received that version.
 //!
 //! Two limitations remain. When the store is restored and no entry instance has or knows of the
 //! later versions, their numbers are reused. When the store is restored while a version is still
@@ -65,7 +66,8 @@
     pub base_version: Version,
     /// The change.
     pub patch: Patch,
-    /// Idempotency key: a repeat with the same id returns the outcome of the first request.
+    /// Idempotency key: a repeat with the same id and base version returns the version that the
+    /// first request made.
     pub write_id: String,
     /// Operator who requests the change.
     pub operator: Arc<str>,
@@ -143,8 +145,10 @@
 }
 
 /// Result of one attempt of a patch.
-enum Step {
+enum Attempt {
+    /// The outcome of the patch is known.
     Done(PatchOutcome),
+    /// The attempt failed with this error and can be repeated.
     Retry(PatchError),
 }
 
@@ -173,10 +177,10 @@
         let mut sent = None;
         let mut backoff = Backoff::new(RETRY_DELAY_MIN, RETRY_DELAY_MAX);
         loop {
-            let step = timeout_at(deadline, self.step(request, &mut sent)).await;
-            let reason = match step {
-                Ok(Ok(Step::Done(outcome))) => return Ok(outcome),
-                Ok(Ok(Step::Retry(reason))) => reason,
+            let attempt = timeout_at(deadline, self.attempt(request, &mut sent)).await;
+            let reason = match attempt {
+                Ok(Ok(Attempt::Done(outcome))) => return Ok(outcome),
+                Ok(Ok(Attempt::Retry(reason))) => reason,
                 Ok(Err(error)) if sent.is_none() => return Err(error),
                 Ok(Err(error)) => error,
                 Err(_) => PatchError::Unavailable(no_response()),
@@ -191,14 +195,14 @@
 
     /// Makes one attempt: reads the stored configuration, then resolves the earlier write if there
     /// is one, or checks and applies the patch.
-    async fn step(
+    async fn attempt(
         &self,
         request: &PatchRequest,
         sent: &mut Option<SentWrite>,
-    ) -> Result<Step, PatchError> {
+    ) -> Result<Attempt, PatchError> {
         let stored = match self.read().await {
             Ok(stored) => stored,
-            Err(reason @ PatchError::Unavailable(_)) => return Ok(Step::Retry(reason)),
+            Err(reason @ PatchError::Unavailable(_)) => return Ok(Attempt::Retry(reason)),
             Err(error) => return Err(error),
         };
         let active = self.active.load();
@@ -207,7 +211,7 @@
         if let Some(made) = known.into_iter().flatten().find(|config| request.made(config)) {
             self.active.offer(made.clone());
             let (version, repeated) = (made.version, sent.is_none());
-            return Ok(Step::Done(PatchOutcome::Accepted { version, repeated }));
+            return Ok(Attempt::Done(PatchOutcome::Accepted { version, repeated }));
         }
         let compare = compare_of(stored.as_ref());
         let newest_version = newest.as_ref().map_or(0, |config| config.version);
@@ -231,31 +235,36 @@
         let origin = origin(request, next_version(newest_version, stored_version));
         let config = match request.patch.next_config(newest.as_deref(), &origin) {
             Ok(config) => Arc::new(config),
-            Err(faults) => return Ok(Step::Done(PatchOutcome::Invalid(faults))),
+            Err(faults) => return Ok(Attempt::Done(PatchOutcome::Invalid(faults))),
         };
         let bytes = encode(&config)?;
         if bytes.len() > VALUE_BYTES_MAX {
             let message = format!("has {} bytes; at most {VALUE_BYTES_MAX} fit", bytes.len());
-            return Ok(Step::Done(PatchOutcome::Invalid(Faults::one("", message))));
+            return Ok(Attempt::Done(PatchOutcome::Invalid(Faults::one("", message))));
         }
         let replaced = [stored.map(|stored| stored.config), newest];
         if let Err(error) = history::save(&self.store, replaced.iter().flatten()).await {
-            return Ok(Step::Retry(PatchError::Unavailable(error)));
+            return Ok(Attempt::Retry(PatchError::Unavailable(error)));
         }
         let write = Write::put(CURRENT_KEY, compare, bytes);
-        let step = self.send(write, config, sent).await;
-        if stored_version < newest_version && matches!(step, Step::Done(_)) {
+        let attempt = self.send(write, config, sent).await;
+        if stored_version < newest_version && matches!(attempt, Attempt::Done(_)) {
             emit!(
                 OperatorsEvent::StoreRolledBack,
                 stored = stored_version,
                 in_force = newest_version
             );
         }
-        Ok(step)
+        Ok(attempt)
     }
 
     /// Sends a write, and leaves it in `sent` when its outcome is unknown.
-    async fn send(&self, write: Write, config: Arc<Config>, sent: &mut Option<SentWrite>) -> Step {
+    async fn send(
+        &self,
+        write: Write,
+        config: Arc<Config>,
+        sent: &mut Option<SentWrite>,
+    ) -> Attempt {
         let repeated = sent.is_some();
         if !repeated {
             *sent = Some(SentWrite { write: write.clone(), config: config.clone() });
@@ -266,21 +275,21 @@
                 self.active.offer(config);
                 let store = self.store.clone();
                 tokio::spawn(async move { history::trim(&store, version).await });
-                Step::Done(PatchOutcome::Accepted { version, repeated: false })
+                Attempt::Done(PatchOutcome::Accepted { version, repeated: false })
             }
             Ok(WriteOutcome::Conflict) => {
                 if !repeated {
                     *sent = None;
                 }
-                Step::Retry(PatchError::Contended)
+                Attempt::Retry(PatchError::Contended)
             }
             Err(error @ (StoreError::Unavailable(_) | StoreError::LeaseExpired)) => {
                 if !repeated {
                     *sent = None;
                 }
-                Step::Retry(PatchError::Unavailable(error))
+                Attempt::Retry(PatchError::Unavailable(error))
             }
-            Err(error) => Step::Retry(PatchError::Unavailable(error)),
+            Err(error) => Attempt::Retry(PatchError::Unavailable(error)),
         }
     }
 
@@ -292,18 +301,18 @@
         &self,
         request: &PatchRequest,
         newest_version: Version,
-    ) -> Result<Step, PatchError> {
+    ) -> Result<Attempt, PatchError> {
         let base = request.base_version;
         for version in [base.saturating_add(1), base.saturating_add(ROLLBACK_GAP)] {
             let record = match history::get(&self.store, version).await {
                 Ok(record) => record,
-                Err(error) => return Ok(Step::Retry(PatchError::Unavailable(error))),
+                Err(error) => return Ok(Attempt::Retry(PatchError::Unavailable(error))),
             };
             if record.is_some_and(|record| record.write_id == request.write_id) {
-                return Ok(Step::Done(PatchOutcome::Accepted { version, repeated: true }));
+                return Ok(Attempt::Done(PatchOutcome::Accepted { version, repeated: true }));
             }
         }
-        Ok(Step::Done(PatchOutcome::Stale { current: newest_version }))
+        Ok(Attempt::Done(PatchOutcome::Stale { current: newest_version }))
     }
 
     /// Returns the outcome of an earlier write of `version` whose response was lost, after the
@@ -313,20 +322,20 @@
         request: &PatchRequest,
         version: Version,
         newest_version: Version,
-    ) -> Result<Step, PatchError> {
+    ) -> Result<Attempt, PatchError> {
         if newest_version == version {
-            return Ok(Step::Done(PatchOutcome::Stale { current: newest_version }));
+            return Ok(Attempt::Done(PatchOutcome::Stale { current: newest_version }));
         }
         let record = match history::get(&self.store, version).await {
             Ok(record) => record,
-            Err(error) => return Ok(Step::Retry(PatchError::Unavailable(error))),
+            Err(error) => return Ok(Attempt::Retry(PatchError::Unavailable(error))),
         };
         Ok(match record {
             Some(record) if record.write_id == request.write_id => {
-                Step::Done(PatchOutcome::Accepted { version, repeated: false })
+                Attempt::Done(PatchOutcome::Accepted { version, repeated: false })
             }
-            Some(_) => Step::Done(PatchOutcome::Stale { current: newest_version }),
-            None => Step::Retry(PatchError::OutcomeUnknown),
+            Some(_) => Attempt::Done(PatchOutcome::Stale { current: newest_version }),
+            None => Attempt::Retry(PatchError::OutcomeUnknown),
         })
     }
 
@@ -347,8 +356,8 @@
 /// Returns the version number after `newest_version`, the highest one known, when the store
 /// contains version `stored`.
 pub fn next_version(newest_version: Version, stored: Version) -> Version {
-    let step = if stored < newest_version { ROLLBACK_GAP } else { 1 };
-    newest_version.saturating_add(step)
+    let increment = if stored < newest_version { ROLLBACK_GAP } else { 1 };
+    newest_version.saturating_add(increment)
 }
 
 fn newer(left: Option<Arc<Config>>, right: Option<Arc<Config>>) -> Option<Arc<Config>> {
