--- a/crates/operators/src/config_routes.rs
+++ b/crates/operators/src/config_routes.rs
@@ -91,7 +91,7 @@
 }
 
 impl<S: Sources> OperatorApi<S> {
-    /// Waits until `version` is in force at all entry instances, for a bounded time, and returns the
+    /// Waits a bounded time until `version` is in force at all entry instances, and returns the
     /// response to the change that made it.
     pub(crate) async fn change_response(
         &self,
--- a/crates/operators/src/versions.rs
+++ b/crates/operators/src/versions.rs
@@ -167,8 +167,8 @@
         Ok(newer(stored, self.active.load()))
     }
 
-    /// Creates the next version from a patch. Until `deadline`, retries failed attempts and resolves
-    /// the outcome of writes whose response was lost.
+    /// Creates the next version from a patch. Until `deadline`, retries failed attempts and
+    /// resolves the outcome of writes whose response was lost.
     pub async fn patch(
         &self,
         request: &PatchRequest,
@@ -293,8 +293,8 @@
         }
     }
 
-    /// Returns the outcome of a patch whose base version is not the newest one: accepted when it is a
-    /// repeat of an earlier request, otherwise stale.
+    /// Returns the outcome of a patch whose base version is not the newest one: accepted when it is
+    /// a repeat of an earlier request, otherwise stale.
     ///
     /// A repeat made either the version after its base, or the one [`ROLLBACK_GAP`] later.
     async fn resolve_stale(
--- a/crates/operators/tests/interleaving/main.rs
+++ b/crates/operators/tests/interleaving/main.rs
@@ -158,8 +158,8 @@
 
     /// Restores the initial state of the store.
     ///
-    /// A restore takes longer than the timeout of a call and the distribution of a configuration, so
-    /// pending calls are lost and the entry instances have the same version before it.
+    /// A restore takes longer than the timeout of a call and the distribution of a configuration,
+    /// so pending calls are lost and the entry instances have the same version before it.
     fn roll_back(&mut self) {
         self.rolled_back = true;
         while self.store.waiting() > 0 {
--- a/crates/operators/tests/interleaving/store.rs
+++ b/crates/operators/tests/interleaving/store.rs
@@ -60,8 +60,8 @@
         Self { client, ..self.clone() }
     }
 
-    /// Returns the number of waiting calls. They are in order of client, regardless of when they were
-    /// made.
+    /// Returns the number of waiting calls. They are in order of client, regardless of when they
+    /// were made.
     pub fn waiting(&self) -> usize {
         self.lock().waiting.len()
     }
