--- a/crates/operators/src/source.rs
+++ b/crates/operators/src/source.rs
@@ -125,7 +125,7 @@
     pub in_maintenance: u32,
     /// Number of instances that are ejected or failing.
     pub failing: u32,
-    /// Lowest number of available instances.
+    /// Lowest number of available instances that the pool must keep.
     pub floor: u32,
     /// Number of instances that are moving into the pool.
     pub arriving: u32,
