--- a/crates/cassiafold/src/client.rs
+++ b/crates/cassiafold/src/client.rs
@@ -1,4 +1,4 @@
-//! Client of the operators' interface.
+//! HTTP client of the operators' interface.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -23,10 +23,10 @@
 
 use crate::error::{Error, Result};
 
-/// Variable that holds the operators' credential.
+/// Environment variable that holds the operators' credential.
 const CREDENTIAL_VARIABLE: &str = "CASSIAFOLD_CREDENTIAL";
 
-/// Sends requests to the first entry instance that answers.
+/// Sends each request to the configured entry instances in turn until one responds.
 #[derive(Debug)]
 pub struct Client {
     addresses: Vec<SocketAddr>,
@@ -35,9 +35,11 @@
     timeout: Duration,
 }
 
-/// One request. A repeat at another entry instance finds the first by the write id.
+/// A request to the operators' interface.
+///
+/// The write id identifies a retry of the same write at another entry instance.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct ApiRequest {
     method: Method,
     path: String,
     write_id: String,
@@ -46,8 +48,8 @@
     body: Bytes,
 }
 
-impl Call {
-    /// A request without a body.
+impl ApiRequest {
+    /// Creates a request without a body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -59,30 +61,30 @@
         }
     }
 
-    /// A request that reads.
+    /// Creates a GET request.
     pub fn get(path: impl Into<String>) -> Self {
         Self::new(Method::GET, path)
     }
 
-    /// A request that changes something.
+    /// Creates a POST request.
     pub fn post(path: impl Into<String>) -> Self {
         Self::new(Method::POST, path)
     }
 
-    /// Adds a JSON body.
+    /// Sets the JSON body.
     pub fn with_body(mut self, body: &impl Serialize) -> Result<Self> {
         self.body = serde_json::to_vec(body)?.into();
         Ok(self)
     }
 
-    /// Makes the request a patch of `base_version`.
+    /// Makes the request a patch of configuration version `base_version`.
     pub fn with_patch(mut self, base_version: u64, media_type: &'static str) -> Self {
         self.base_version = Some(base_version);
         self.media_type = media_type;
         self
     }
 
-    /// Repeats an earlier request.
+    /// Replaces the write id, if one is given, to retry an earlier request.
     pub fn with_write_id(mut self, write_id: Option<&str>) -> Self {
         if let Some(write_id) = write_id {
             self.write_id = write_id.to_owned();
@@ -91,103 +93,108 @@
     }
 }
 
-/// How one try of a request failed.
-enum Failure {
-    /// Nothing was sent.
+/// Failure of one attempt to send a request.
+enum AttemptError {
+    /// The request was not sent.
     NotSent(String),
-    /// The answer was lost.
-    AnswerLost(String),
-    /// The entry instance refused.
+    /// The request was sent, but no usable response was received.
+    ResponseLost(String),
+    /// The entry instance refused the request.
     Refused(Box<WireProblem>),
 }
 
 impl Client {
-    /// Sends a request and reads its answer.
-    pub async fn call<T: DeserializeOwned>(&self, call: &Call) -> Result<T> {
-        let bytes = self.send(call).await?;
+    /// Sends a request and decodes its JSON response.
+    ///
+    /// Returns `Error::OutcomeUnknown` if a write may have taken effect.
+    pub async fn send<T: DeserializeOwned>(&self, api_request: &ApiRequest) -> Result<T> {
+        let bytes = self.send_in_turn(api_request).await?;
         Ok(serde_json::from_slice(&bytes)?)
     }
 
-    async fn send(&self, call: &Call) -> Result<Bytes> {
+    async fn send_in_turn(&self, api_request: &ApiRequest) -> Result<Bytes> {
         let credential = self.credential()?;
-        let mut lost = false;
-        let mut last = Error::Unreachable("no address of an entry instance is given".into());
+        let mut response_lost = false;
+        let mut last_error = Error::Unreachable("no address of an entry instance is given".into());
         for address in &self.addresses {
-            let attempt = timeout(self.timeout, self.attempt(*address, &credential, call)).await;
-            let late = || Err(Failure::AnswerLost("no answer in time".into()));
-            match attempt.unwrap_or_else(|_| late()) {
+            let attempt =
+                timeout(self.timeout, self.attempt(*address, &credential, api_request)).await;
+            let timed_out =
+                || Err(AttemptError::ResponseLost("no response before the timeout".into()));
+            match attempt.unwrap_or_else(|_| timed_out()) {
                 Ok(bytes) => return Ok(bytes),
-                Err(Failure::NotSent(reason)) => {
-                    last = Error::Unreachable(format!("{address}: {reason}"));
+                Err(AttemptError::NotSent(reason)) => {
+                    last_error = Error::Unreachable(format!("{address}: {reason}"));
                 }
-                Err(Failure::AnswerLost(reason)) => {
-                    lost = true;
-                    last = Error::Unreachable(format!("{address}: {reason}"));
+                Err(AttemptError::ResponseLost(reason)) => {
+                    response_lost = true;
+                    last_error = Error::Unreachable(format!("{address}: {reason}"));
                 }
-                Err(Failure::Refused(problem)) if is_final(&problem, lost) => {
+                Err(AttemptError::Refused(problem)) if is_conclusive(&problem, response_lost) => {
                     return Err(Error::Refused(problem));
                 }
-                Err(Failure::Refused(problem)) => {
-                    lost |= problem.status == StatusCode::GATEWAY_TIMEOUT;
-                    last = Error::Refused(problem);
+                Err(AttemptError::Refused(problem)) => {
+                    response_lost |= problem.status == StatusCode::GATEWAY_TIMEOUT;
+                    last_error = Error::Refused(problem);
                 }
             }
         }
-        if lost && call.method != Method::GET {
-            let (write_id, reason) = (call.write_id.clone(), last.to_string());
+        if response_lost && api_request.method != Method::GET {
+            let (write_id, reason) = (api_request.write_id.clone(), last_error.to_string());
             return Err(Error::OutcomeUnknown { write_id, reason });
         }
-        Err(last)
+        Err(last_error)
     }
 
     async fn attempt(
         &self,
         address: SocketAddr,
         credential: &str,
-        call: &Call,
-    ) -> std::result::Result<Bytes, Failure> {
-        let request = self.request(address, credential, call);
-        let request = request.map_err(|error| Failure::NotSent(error.to_string()))?;
+        api_request: &ApiRequest,
+    ) -> std::result::Result<Bytes, AttemptError> {
+        let request = self.request(address, credential, api_request);
+        let request = request.map_err(|error| AttemptError::NotSent(error.to_string()))?;
         let stream = TcpStream::connect(address).await;
-        let stream = stream.map_err(|error| Failure::NotSent(error.to_string()))?;
+        let stream = stream.map_err(|error| AttemptError::NotSent(error.to_string()))?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Failure::NotSent(error.to_string()))?;
+            .map_err(|error| AttemptError::NotSent(error.to_string()))?;
         tokio::spawn(connection);
-        let lost = |error: hyper::Error| Failure::AnswerLost(error.to_string());
-        let (parts, body) = sender.send_request(request).await.map_err(lost)?.into_parts();
-        let bytes = body.collect().await.map_err(lost)?.to_bytes();
+        let response_lost = |error: hyper::Error| AttemptError::ResponseLost(error.to_string());
+        let (parts, body) = sender.send_request(request).await.map_err(response_lost)?.into_parts();
+        let bytes = body.collect().await.map_err(response_lost)?.to_bytes();
         if parts.status.is_success() {
             return Ok(bytes);
         }
         let is_problem = parts.headers.get(CONTENT_TYPE).is_some_and(|kind| kind == PROBLEM_JSON);
         let problem = serde_json::from_slice(&bytes).ok().filter(|_| is_problem);
-        let problem = problem.map(Failure::Refused);
-        Err(problem.unwrap_or_else(|| Failure::AnswerLost(format!("status {}", parts.status))))
+        let problem = problem.map(AttemptError::Refused);
+        Err(problem
+            .unwrap_or_else(|| AttemptError::ResponseLost(format!("status {}", parts.status))))
     }
 
     fn request(
         &self,
         address: SocketAddr,
         credential: &str,
-        call: &Call,
+        api_request: &ApiRequest,
     ) -> http::Result<Request<Full<Bytes>>> {
         let mut request = Request::builder()
-            .method(call.method.clone())
-            .uri(&call.path)
+            .method(api_request.method.clone())
+            .uri(&api_request.path)
             .header(HOST, address.to_string())
             .header(AUTHORIZATION, format!("Bearer {credential}"))
-            .header(WRITE_ID_HEADER, &call.write_id);
+            .header(WRITE_ID_HEADER, &api_request.write_id);
         if let Some(operator) = self.operator.as_deref().filter(|name| is_valid_id(name)) {
             request = request.header(OPERATOR_HEADER, operator);
         }
-        if let Some(version) = call.base_version {
+        if let Some(version) = api_request.base_version {
             request = request.header(IF_MATCH, format!("\"{version}\""));
         }
-        if !call.body.is_empty() {
-            request = request.header(CONTENT_TYPE, call.media_type);
+        if !api_request.body.is_empty() {
+            request = request.header(CONTENT_TYPE, api_request.media_type);
         }
-        request.body(Full::new(call.body.clone()))
+        request.body(Full::new(api_request.body.clone()))
     }
 
     fn credential(&self) -> Result<String> {
@@ -199,14 +206,16 @@
     }
 }
 
-/// Whether a refusal settles the request. Once an answer was lost, only the one does that finds
-/// the version replaced by another write.
-fn is_final(problem: &WireProblem, lost: bool) -> bool {
+/// Returns whether a refusal ends the request without a further attempt.
+///
+/// After a lost response, an earlier attempt may have taken effect. Then only a stale base version
+/// is conclusive, because another write has replaced that version.
+fn is_conclusive(problem: &WireProblem, response_lost: bool) -> bool {
     let stale = OperatorsCode::VersionStale.row().number;
-    problem.status < 500 && (!lost || problem.code == stale)
+    problem.status < 500 && (!response_lost || problem.code == stale)
 }
 
-/// Reads a secret from a file, without the line end.
+/// Reads a secret from a file, without trailing whitespace.
 pub fn read_secret(path: &Path) -> Result<String> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| Error::ReadFile { path: path.to_owned(), source })?;
--- a/crates/cassiafold/src/command.rs
+++ b/crates/cassiafold/src/command.rs
@@ -1,4 +1,4 @@
-//! Turns the matches of the command line into one checked value and runs it.
+//! Parses the command-line matches into a validated command and runs it.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,24 +10,24 @@
 
 use crate::error::{Error, Result};
 use crate::load::LoadOptions;
+use crate::operator_command::OperatorCommand;
 use crate::output::Output;
-use crate::verb::Verb;
 use crate::{check, completions, credential, demo, entry, load, serve, standin};
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text for each event.
+    /// One line of text per event.
     Text,
-    /// One JSON object for each event.
+    /// One JSON object per event.
     Json,
 }
 
-/// A checked command.
+/// A validated command.
 #[derive(Debug)]
 pub struct Command {
-    /// How log lines are written.
-    pub logs: LogFormat,
+    /// Format of log lines.
+    pub log_format: LogFormat,
     action: Action,
 }
 
@@ -41,15 +41,15 @@
     Check(CheckOptions),
     Credential(Output),
     Completions(Shell),
-    Verb(Box<Verb>),
+    OperatorCommand(Box<OperatorCommand>),
 }
 
 /// Options of `demo`.
 #[derive(Debug)]
 pub struct DemoOptions {
-    /// Sends one request and stops.
+    /// Whether the demo stops after one request.
     pub once: bool,
-    /// Configuration file to serve.
+    /// Configuration file that replaces the built-in one.
     pub config: Option<PathBuf>,
 }
 
@@ -58,7 +58,7 @@
 pub struct CheckOptions {
     /// Files to check.
     pub files: Vec<PathBuf>,
-    /// How results are written.
+    /// Format of the results.
     pub output: Output,
 }
 
@@ -83,7 +83,7 @@
 
     fn try_from(matches: ArgMatches) -> Result<Self> {
         let json = matches.get_one::<String>("log-format").is_some_and(|name| name == "json");
-        let logs = if json { LogFormat::Json } else { LogFormat::Text };
+        let log_format = if json { LogFormat::Json } else { LogFormat::Text };
         let action = match matches.subcommand() {
             Some(("demo", matches)) => Action::Demo(matches.into()),
             Some(("entry", matches)) => Action::Entry(Box::new(entry_settings(matches)?)),
@@ -93,15 +93,18 @@
             Some(("check", matches)) => Action::Check(matches.into()),
             Some(("credential", matches)) => Action::Credential(Output::from(matches)),
             Some(("completions", matches)) => Action::Completions(shell(matches)?),
-            Some((name, matches)) => Action::Verb(Box::new(Verb::read(name, matches)?)),
+            Some((name, matches)) => {
+                Action::OperatorCommand(Box::new(OperatorCommand::from_matches(name, matches)?))
+            }
             None => return Err(Error::Usage("no command given".into())),
         };
-        Ok(Self { logs, action })
+        Ok(Self { log_format, action })
     }
 }
 
 impl Command {
-    /// Where log lines go. An instance writes them to standard output, which the platform keeps.
+    /// Returns the destination of log lines. `serve` writes them to standard output, which the
+    /// platform collects; all other commands use standard error.
     pub fn log_target(&self) -> Target {
         match self.action {
             Action::Serve => Target::Stdout,
@@ -120,7 +123,7 @@
             Action::Check(options) => check::run(options),
             Action::Credential(output) => credential::run(*output),
             Action::Completions(shell) => completions::run(*shell),
-            Action::Verb(verb) => verb.run(),
+            Action::OperatorCommand(operator_command) => operator_command.run(),
         }
     }
 }
--- a/crates/cassiafold/src/parts.rs
+++ b/crates/cassiafold/src/components.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one entry instance share, and how they are joined.
+//! Components shared by the tasks of an entry instance.
 
 use std::sync::Arc;
 
@@ -10,7 +10,9 @@
 use prometheus_client::registry::Registry;
 use tokio::task::JoinSet;
 
-use crate::dependencies::{Domains, EntryDependencies, Limits, Load, Weights};
+use crate::dependencies::{
+    EntryDependencies, EscrowLimits, FailureDomains, ReportedLoad, ShareWeights,
+};
 use crate::entry::Platform;
 use crate::environment::EntryEnvironment;
 use crate::fleet_source::EntryFleetSource;
@@ -22,11 +24,11 @@
 use crate::symptoms::Symptoms;
 use crate::usage::LocalUsage;
 
-/// What the tasks of one entry instance share. Clones share one state.
+/// Components shared by the tasks of an entry instance. Clones share one state.
 #[derive(Clone)]
-pub struct Parts {
-    me: InstanceId,
-    home: ZoneId,
+pub struct EntryComponents {
+    instance_id: InstanceId,
+    zone: ZoneId,
     config: ActiveConfig,
     usage: LocalUsage,
     roster: Roster,
@@ -41,8 +43,8 @@
     observer: Observer,
 }
 
-impl Parts {
-    /// The parts around `membership`.
+impl EntryComponents {
+    /// Creates the components from the settings and the handles of `membership`.
     pub fn new(
         settings: &Settings,
         membership: &Membership,
@@ -51,8 +53,8 @@
     ) -> Self {
         let (roster, instances) = (membership.roster(), InstanceView::default());
         Self {
-            me: settings.instance_id.clone(),
-            home: settings.zone.clone(),
+            instance_id: settings.instance_id.clone(),
+            zone: settings.zone.clone(),
             config,
             usage,
             contact: membership.store_contact(),
@@ -68,53 +70,53 @@
         }
     }
 
-    /// Starts the request path and the tasks that keep its sources up to date.
+    /// Starts the request path and the tasks that update its sources.
     pub fn start_caller_api(
         &self,
         metrics: Metrics,
-        following: &mut JoinSet<()>,
+        background_tasks: &mut JoinSet<()>,
     ) -> CallerApi<EntryDependencies> {
-        let (weights, load) = (Weights::default(), Load::default());
-        let limits = Limits::new(self.escrow.clone(), self.isolation.clone());
+        let (weights, load) = (ShareWeights::default(), ReportedLoad::default());
+        let limits = EscrowLimits::new(self.escrow.clone(), self.isolation.clone());
         let dependencies = EntryDependencies {
             limits: limits.clone(),
             shares: weights.clone(),
             peers: load.clone(),
-            domains: Domains::new(self.fleet.clone()),
+            domains: FailureDomains::new(self.fleet.clone()),
         };
-        following.spawn(limits.follow());
-        following.spawn(weights.follow(
+        background_tasks.spawn(limits.run_updates());
+        background_tasks.spawn(weights.run_updates(
             self.shares.clone(),
             self.config.clone(),
             self.instances.clone(),
             self.usage.clone(),
         ));
-        following.spawn(load.follow(self.roster.clone()));
+        background_tasks.spawn(load.run_updates(self.roster.clone()));
         let instances = self.instances.subscribe();
-        CallerApi::start(dependencies, self.config.clone(), instances, self.home.clone(), metrics)
+        CallerApi::start(dependencies, self.config.clone(), instances, self.zone.clone(), metrics)
     }
 
-    /// Starts the tasks that follow the platform and the request path.
-    pub fn follow<S, I, K>(
+    /// Starts the tasks that track the platform's state and the load of the request path.
+    pub fn spawn_background_tasks<S, I, K>(
         &self,
         platform: &Platform<S, I, K>,
         caller_api: &CallerApi<EntryDependencies>,
-        following: &mut JoinSet<()>,
+        background_tasks: &mut JoinSet<()>,
     ) where
         S: Store,
         I: InstanceList,
     {
         let (view, list, fleet) =
             (self.instances.clone(), platform.list.clone(), self.fleet.clone());
-        following.spawn(async move { view.follow(list, fleet).await });
+        background_tasks.spawn(async move { view.run_updates(list, fleet).await });
         let (fleet, store) = (self.fleet.clone(), platform.store.clone());
-        following.spawn(async move { fleet.watch_store(store).await });
+        background_tasks.spawn(async move { fleet.watch_store(store).await });
         let isolation = self.isolation.clone();
         let (contact, roster) = (self.contact.clone(), self.roster.clone());
-        following.spawn(isolation.follow(contact, roster, self.config.clone()));
+        background_tasks.spawn(isolation.run_updates(contact, roster, self.config.clone()));
         let dispatcher = caller_api.dispatcher().clone();
-        following.spawn(self.symptoms.clone().follow(dispatcher.observe()));
-        following.spawn(self.usage.clone().follow(
+        background_tasks.spawn(self.symptoms.clone().run_updates(dispatcher.observe()));
+        background_tasks.spawn(self.usage.clone().run_updates(
             dispatcher,
             self.instances.clone(),
             self.symptoms.clone(),
@@ -122,7 +124,7 @@
         ));
     }
 
-    /// The control loop of the fleet.
+    /// Creates the control loop of the fleet.
     pub fn controller<S, I, K>(
         &self,
         platform: &Platform<S, I, K>,
@@ -140,10 +142,15 @@
             observer: self.observer.clone(),
             lease: self.control.clone(),
         };
-        Controller::new(environment, Policy::default(), self.me.clone(), self.fleet.clone())
+        Controller::new(
+            environment,
+            Policy::default(),
+            self.instance_id.clone(),
+            self.fleet.clone(),
+        )
     }
 
-    /// What the operators' interface shows and changes.
+    /// Creates the sources of the operators' interface.
     pub fn sources<S: Store>(
         &self,
         store: S,
@@ -165,7 +172,7 @@
             instances: self.instances.clone(),
             observer: self.observer.clone(),
             policy: Policy::default(),
-            me: self.me.clone(),
+            instance_id: self.instance_id.clone(),
         };
         EntrySources { store, status, fleet, registry: Arc::new(registry) }
     }
--- a/crates/cassiafold/src/explain.rs
+++ b/crates/cassiafold/src/explain.rs
@@ -1,26 +1,26 @@
-//! `explain`: the last decisions about one thing.
+//! The `explain` command, which shows recent decisions about an instance, pool, team or wave.
 
 use cassiafold_operators::source::{Decision, Explanation, Fact, Inputs, WhyNot};
 use clap::ArgMatches;
 
-use crate::client::{Call, Client};
+use crate::client::{ApiRequest, Client};
 use crate::error::{Error, Result};
+use crate::operator_command::required;
 use crate::output::{Output, or_dash, print_json, print_table, utc_time};
-use crate::verb::required;
 
-/// `explain`.
+/// The `explain` command.
 #[derive(Debug)]
-pub struct ExplainVerb {
+pub struct ExplainCommand {
     subject: String,
     id: String,
 }
 
-impl TryFrom<&ArgMatches> for ExplainVerb {
+impl TryFrom<&ArgMatches> for ExplainCommand {
     type Error = Error;
 
     fn try_from(matches: &ArgMatches) -> Result<Self> {
         let (subject, id) = (required(matches, "subject")?, required(matches, "id")?);
-        // Ids of instances are the platform's, which may use other characters than ours.
+        // The platform assigns instance ids and may use characters that `is_valid_id` rejects.
         let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
         if !id.bytes().all(allowed) {
             return Err(Error::Usage(format!("{id} is no id of an instance")));
@@ -29,15 +29,15 @@
     }
 }
 
-impl ExplainVerb {
-    /// Prints the last decisions, newest first.
+impl ExplainCommand {
+    /// Prints recent decisions, newest first.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let call = Call::get(format!("/explain/{}/{}", self.subject, self.id));
-        let answer: Explanation = client.call(&call).await?;
+        let request = ApiRequest::get(format!("/explain/{}/{}", self.subject, self.id));
+        let response: Explanation = client.send(&request).await?;
         if output == Output::Json {
-            return print_json(&answer);
+            return print_json(&response);
         }
-        print_explanation(&answer);
+        print_explanation(&response);
         Ok(())
     }
 }
--- a/crates/cassiafold/src/load.rs
+++ b/crates/cassiafold/src/load.rs
@@ -1,13 +1,13 @@
-//! Small load tool: sends requests at a fixed rate to entry instances on loopback.
+//! The `load` command, which sends requests at a fixed rate to entry instances on loopback.
 //!
-//! Each request has a time at which it is due, and its latency counts from that time, so that a
-//! slow answer shows in the latency of the requests that wait behind it. Requests that are still
-//! unsent one timeout after the planned end of the run are given up.
+//! Latency is measured from the scheduled send time of a request, so that a slow response also
+//! counts towards the latency of the requests queued behind it. Requests that are still unsent one
+//! timeout after the planned end of the run are abandoned.
 
 pub mod options;
 mod report;
 mod sender;
-mod tally;
+mod stats;
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -20,18 +20,18 @@
 pub use self::options::LoadOptions;
 use self::report::Report;
 use self::sender::Sender;
-use self::tally::Tally;
+use self::stats::RunStats;
 use crate::error::Result;
 
-/// Sends the requests and prints what became of them.
+/// Sends the requests and prints a report of their outcomes.
 pub fn run(options: &LoadOptions) -> Result<ExitCode> {
     let runtime = tokio::runtime::Runtime::new()?;
-    let report = runtime.block_on(send_all(options))?;
+    let report = runtime.block_on(run_load(options))?;
     report.print(options.output)?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// When each request is due.
+/// Send times of the requests of a run.
 struct Schedule {
     start: Instant,
     interval: Duration,
@@ -41,8 +41,9 @@
 }
 
 impl Schedule {
-    /// Waits until the next request is due; `None` once all are taken or the run has ended.
-    async fn take(&self) -> Option<Instant> {
+    /// Waits for the send time of the next request and returns it, or `None` if no requests remain
+    /// or the run has ended.
+    async fn next_due(&self) -> Option<Instant> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         if number >= self.requests {
             return None;
@@ -53,7 +54,7 @@
     }
 }
 
-async fn send_all(options: &LoadOptions) -> Result<Report> {
+async fn run_load(options: &LoadOptions) -> Result<Report> {
     let start = Instant::now();
     let schedule = Arc::new(Schedule {
         start,
@@ -68,20 +69,20 @@
         let sender = Sender::new(address, options.request.clone(), options.timeout);
         senders.spawn(send_due(sender, schedule.clone()));
     }
-    let mut total = Tally::default();
-    while let Some(tally) = senders.join_next().await {
-        total.add(&tally.map_err(std::io::Error::other)?);
+    let mut total = RunStats::default();
+    while let Some(stats) = senders.join_next().await {
+        total.merge(&stats.map_err(std::io::Error::other)?);
     }
     Ok(Report::new(&total, options.requests, start.elapsed()))
 }
 
-/// Sends requests, one at a time, as they fall due.
-async fn send_due(mut sender: Sender, schedule: Arc<Schedule>) -> Tally {
-    let mut tally = Tally::default();
-    while let Some(due) = schedule.take().await {
+/// Sends scheduled requests one at a time on one connection and returns their statistics.
+async fn send_due(mut sender: Sender, schedule: Arc<Schedule>) -> RunStats {
+    let mut stats = RunStats::default();
+    while let Some(due) = schedule.next_due().await {
         let outcome = sender.send().await;
-        tally.record(outcome, due.elapsed());
+        stats.record(outcome, due.elapsed());
     }
     sender.close();
-    tally
+    stats
 }
--- a/crates/cassiafold/src/load/sender.rs
+++ b/crates/cassiafold/src/load/sender.rs
@@ -1,4 +1,4 @@
-//! Sends requests one after the other on a connection of its own.
+//! Sends the requests of the load tool sequentially over one connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-use super::tally::{Outcome, RunState};
+use super::stats::{Outcome, RunState};
 use crate::error::{Error, Result};
 
-/// Size of the largest answer that is read, in bytes.
-const ANSWER_BYTES_MAX: usize = 1024 * 1024;
-/// Media type of a refusal (RFC 9457).
+/// Maximum size of a response body, in bytes.
+const RESPONSE_BYTES_MAX: usize = 1024 * 1024;
+/// Media type of a problem document (RFC 9457).
 const PROBLEM_JSON: &str = "application/problem+json";
 
-/// What each request holds.
+/// Content shared by all requests of a run.
 #[derive(Debug, Clone)]
 pub struct RequestTemplate {
     method: Method,
@@ -30,19 +30,21 @@
 }
 
 impl RequestTemplate {
-    /// A request to a queue with the key of a team.
+    /// Creates a template for requests to a queue, with the key of a team if one is given.
+    ///
+    /// Returns `Error::Usage` if the queue or the key cannot be used in an HTTP request.
     pub fn new(method: Method, queue: &str, key: Option<&str>) -> Result<Self> {
         let uri = format!("/queues/{queue}/").parse();
-        let uri = uri.map_err(|_| Error::Usage("the queue cannot stand in a path".into()))?;
+        let uri = uri.map_err(|_| Error::Usage("the queue is not valid in a URL path".into()))?;
         let header = |key: &str| HeaderValue::try_from(format!("Bearer {key}"));
         let authorization = key.map(header).transpose();
-        let authorization =
-            authorization.map_err(|_| Error::Usage("the key cannot stand in a header".into()))?;
+        let authorization = authorization
+            .map_err(|_| Error::Usage("the key is not valid in an HTTP header".into()))?;
         Ok(Self { method, uri, authorization })
     }
 }
 
-/// The part of a refusal that is counted.
+/// Fields of a problem document that are counted.
 #[derive(Deserialize)]
 struct Problem {
     code: u16,
@@ -68,7 +70,7 @@
 
 type Connection = SendRequest<Empty<Bytes>>;
 
-/// Sends requests to one entry instance.
+/// Sends requests to one entry instance and reconnects when needed.
 pub struct Sender {
     address: SocketAddr,
     template: RequestTemplate,
@@ -77,12 +79,12 @@
 }
 
 impl Sender {
-    /// A sender that connects when it is first used.
+    /// Creates a sender that connects on first use.
     pub fn new(address: SocketAddr, template: RequestTemplate, timeout: Duration) -> Self {
         Self { address, template, timeout, connection: None }
     }
 
-    /// Sends one request and reads its whole answer.
+    /// Sends one request and reads the whole response.
     pub async fn send(&mut self) -> Outcome {
         let deadline = Instant::now() + self.timeout;
         let mut connection = match timeout_at(deadline, self.connection()).await {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The open connection, or a new one.
+    /// Returns the open connection, or opens a new one.
     async fn connection(&mut self) -> Result<Connection> {
         if let Some(mut connection) = self.connection.take()
             && connection.ready().await.is_ok()
@@ -137,14 +139,16 @@
     connection: &mut Connection,
     request: Request<Empty<Bytes>>,
 ) -> std::result::Result<Outcome, ExchangeError> {
-    let answer = connection.send_request(request).await?;
-    let status = answer.status();
+    let response = connection.send_request(request).await?;
+    let status = response.status();
     let is_problem =
-        answer.headers().get(CONTENT_TYPE).is_some_and(|media_type| media_type == PROBLEM_JSON);
-    let body = Limited::new(answer.into_body(), ANSWER_BYTES_MAX).collect().await?.to_bytes();
+        response.headers().get(CONTENT_TYPE).is_some_and(|media_type| media_type == PROBLEM_JSON);
+    let body = Limited::new(response.into_body(), RESPONSE_BYTES_MAX).collect().await?.to_bytes();
     Ok(match is_problem {
         true => refusal(status, &body),
-        false => Outcome::Answered { status: status.as_u16(), code: None, run: RunState::Unsaid },
+        false => {
+            Outcome::Answered { status: status.as_u16(), code: None, run: RunState::Unspecified }
+        }
     })
 }
 
@@ -152,7 +156,7 @@
     let problem = serde_json::from_slice::<Problem>(body).ok();
     let (code, run) = match problem {
         Some(problem) => (Some(problem.code), problem.run_state.into()),
-        None => (None, RunState::Unsaid),
+        None => (None, RunState::Unspecified),
     };
     Outcome::Answered { status: status.as_u16(), code, run }
 }
--- a/crates/cassiafold/src/observer.rs
+++ b/crates/cassiafold/src/observer.rs
@@ -1,4 +1,4 @@
-//! Reports of all entry instances, merged for the planner.
+//! Merges the usage reports of all entry instances for the planner.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,30 +6,30 @@
 
 use cassiafold_config::{InstanceId, ServiceId, ZoneId};
 use cassiafold_fleet::{Demand, Observations, Symptom};
-use cassiafold_membership::usage::Symptom as Seen;
+use cassiafold_membership::usage::Symptom as ReportedSymptom;
 use cassiafold_membership::{LiveEntry, Roster, Usage};
 use tokio::time::Instant;
 
 use crate::instances::InstanceView;
 
-/// How long a zone without a live entry instance counts as silent after one was heard there.
-const SILENT_MAX: Duration = Duration::from_secs(3_600);
+/// Time for which a zone without a live entry instance counts as unconfirmed after its last report.
+const SILENT_ZONE_MAX: Duration = Duration::from_secs(3_600);
 
-/// Merges reports. Clones share what they remember.
+/// Merges reports of the entry instances. Clones share one state.
 #[derive(Debug, Clone)]
 pub struct Observer {
     roster: Roster,
     instances: InstanceView,
-    zones_heard: Arc<Mutex<HashMap<ZoneId, Instant>>>,
+    zones_last_live: Arc<Mutex<HashMap<ZoneId, Instant>>>,
 }
 
 impl Observer {
-    /// An observer over the entry instances of `roster`.
+    /// Creates an observer of the entry instances in `roster`.
     pub fn new(roster: Roster, instances: InstanceView) -> Self {
-        Self { roster, instances, zones_heard: Arc::default() }
+        Self { roster, instances, zones_last_live: Arc::default() }
     }
 
-    /// What all live entry instances report now.
+    /// Returns the merged reports of all live entry instances.
     pub fn observe(&self) -> Observations {
         let usages = self.roster.usages();
         let live = self.roster.live(None);
@@ -42,9 +42,11 @@
         }
     }
 
-    /// Symptoms that an entry instance in the zone of the failing instance sees; where its zone
-    /// has none, those that more than half of all live ones see. So a partition between zones
-    /// does not look like a failure of instances.
+    /// Returns the symptoms of failing instances.
+    ///
+    /// A report counts if it comes from the zone of the failing instance. If that zone has no live
+    /// entry instance, a symptom counts only when more than half of all live entry instances report
+    /// one. Otherwise a partition between zones would look like failing instances.
     fn symptoms(
         &self,
         usages: &[(InstanceId, Arc<Usage>)],
@@ -57,42 +59,46 @@
             let reports = |(id, usage): &(InstanceId, Arc<Usage>)| {
                 Some((zone_of.get(id)?.clone(), *usage.symptoms.get(&instance.id)?))
             };
-            let reports: Vec<(ZoneId, Seen)> = usages.iter().filter_map(reports).collect();
-            let local = reports.iter().find(|(zone, _)| *zone == instance.zone);
+            let reports: Vec<(ZoneId, ReportedSymptom)> =
+                usages.iter().filter_map(reports).collect();
+            let same_zone = reports.iter().find(|(zone, _)| *zone == instance.zone);
             let zone_watched = live.iter().any(|entry| entry.zone == instance.zone);
-            let remote =
+            let other_zones =
                 reports.first().filter(|_| !zone_watched && 2 * reports.len() > live.len());
-            if let Some((_, seen)) = local.or(remote) {
-                symptoms.insert(instance.id.clone(), symptom(*seen));
+            if let Some((_, reported)) = same_zone.or(other_zones) {
+                symptoms.insert(instance.id.clone(), symptom(*reported));
             }
         }
         symptoms
     }
 
-    /// Zones whose entry instances may be at work without being heard.
+    /// Returns the zones whose entry instances may still send requests without reporting here.
     fn unconfirmed_zones(&self, live: &[LiveEntry]) -> BTreeSet<ZoneId> {
         let now = Instant::now();
-        let mut heard = self.zones_heard.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut last_live = self.zones_last_live.lock().unwrap_or_else(PoisonError::into_inner);
         for entry in live {
-            heard.insert(entry.zone.clone(), now);
+            last_live.insert(entry.zone.clone(), now);
         }
-        heard.retain(|_, last| now.duration_since(*last) < SILENT_MAX);
-        let lost = heard.iter().filter(|(_, last)| **last < now).map(|(zone, _)| zone.clone());
+        last_live.retain(|_, last| now.duration_since(*last) < SILENT_ZONE_MAX);
+        let silent_zones =
+            last_live.iter().filter(|(_, last)| **last < now).map(|(zone, _)| zone.clone());
         let confirmations = self.roster.confirmations();
-        let unheard = confirmations.list.into_iter().filter(|entry| entry.ready.is_none());
-        lost.chain(unheard.map(|entry| entry.zone)).collect()
+        let unconfirmed_entries =
+            confirmations.list.into_iter().filter(|entry| entry.ready.is_none());
+        silent_zones.chain(unconfirmed_entries.map(|entry| entry.zone)).collect()
     }
 }
 
-fn symptom(seen: Seen) -> Symptom {
-    match seen {
-        Seen::Unreachable => Symptom::Unreachable,
-        Seen::Hanging => Symptom::Hanging,
-        Seen::FailingAll => Symptom::FailingAll,
+fn symptom(reported: ReportedSymptom) -> Symptom {
+    match reported {
+        ReportedSymptom::Unreachable => Symptom::Unreachable,
+        ReportedSymptom::Hanging => Symptom::Hanging,
+        ReportedSymptom::FailingAll => Symptom::FailingAll,
     }
 }
 
-/// Requests on each instance. Reports across zones hold those on draining instances only.
+/// Returns the running requests of each instance. Reports from other zones contain only those on
+/// draining instances.
 fn running(usages: &[(InstanceId, Arc<Usage>)]) -> BTreeMap<InstanceId, u32> {
     let mut running = BTreeMap::new();
     for (_, usage) in usages {
--- a/crates/cassiafold/src/observer/tests.rs
+++ b/crates/cassiafold/src/observer/tests.rs
@@ -3,7 +3,7 @@
 
 use cassiafold_fleet::{FleetHandle, Symptom};
 use cassiafold_membership::roster::{HEARD_MAX, Heard, Route};
-use cassiafold_membership::usage::Symptom as Seen;
+use cassiafold_membership::usage::Symptom as ReportedSymptom;
 use cassiafold_membership::{Identity, QueueId, Roster, TeamUsage, Usage};
 use cassiafold_platform::ListedInstance;
 use cassiafold_standin::MemoryInstances;
@@ -21,8 +21,8 @@
     })
 }
 
-fn hear(roster: &Roster, id: &str, zone: &str, usage: Usage) {
-    let heard = Heard {
+fn receive_usage(roster: &Roster, id: &str, zone: &str, usage: Usage) {
+    let heard_peer = Heard {
         id: id.into(),
         zone: zone.into(),
         incarnation: 1,
@@ -31,14 +31,14 @@
         ready: true,
         usage: Arc::new(usage),
     };
-    roster.hear(heard, Route::OtherZone);
+    roster.hear(heard_peer, Route::OtherZone);
 }
 
 fn usage(fleet_number: u64) -> Usage {
     Usage { fleet_number, ..Usage::default() }
 }
 
-fn seeing(symptom: Seen) -> Usage {
+fn usage_with_symptom(symptom: ReportedSymptom) -> Usage {
     Usage { symptoms: [("portal-1".into(), symptom)].into(), ..Usage::default() }
 }
 
@@ -51,17 +51,17 @@
         rack: "b-1".into(),
         state: cassiafold_config::InstanceState::Live,
     });
-    let followed = view.clone();
-    tokio::spawn(async move { followed.follow(list, FleetHandle::default()).await });
+    let updated_view = view.clone();
+    tokio::spawn(async move { updated_view.run_updates(list, FleetHandle::default()).await });
     tokio::time::sleep(Duration::from_millis(1)).await;
     Observer::new(roster.clone(), view)
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_document_counts_as_confirmed_only_when_all_have_it() {
+async fn the_lowest_reported_document_number_is_confirmed() {
     let roster = roster();
     roster.beat(Arc::new(usage(7)), 1, true);
-    hear(&roster, "b1", "b", usage(5));
+    receive_usage(&roster, "b1", "b", usage(5));
     assert_eq!(observer(&roster).await.observe().confirmed, 5);
 }
 
@@ -74,7 +74,7 @@
         ..Usage::default()
     };
     roster.beat(Arc::new(draining(2)), 1, true);
-    hear(&roster, "b1", "b", draining(3));
+    receive_usage(&roster, "b1", "b", draining(3));
     assert_eq!(observer(&roster).await.observe().running(&"portal-1".into()), 5);
 }
 
@@ -82,36 +82,36 @@
 async fn demand_is_summed_by_service() {
     let roster = roster();
     let queue = QueueId { service: "portal".into(), team: "parishes".into() };
-    let asking = |running, waiting| Usage {
+    let usage_with_demand = |running, waiting| Usage {
         queues: [(queue.clone(), TeamUsage { running, waiting })].into(),
         ..Usage::default()
     };
-    roster.beat(Arc::new(asking(1, 10)), 1, true);
-    hear(&roster, "b1", "b", asking(2, 20));
+    roster.beat(Arc::new(usage_with_demand(1, 10)), 1, true);
+    receive_usage(&roster, "b1", "b", usage_with_demand(2, 20));
     let demand = observer(&roster).await.observe().demand["portal"];
     assert_eq!((demand.running, demand.waiting), (3, 30));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_partition_between_zones_is_no_symptom() {
+async fn a_partition_between_zones_causes_no_symptom() {
     let roster = roster();
-    roster.beat(Arc::new(seeing(Seen::Unreachable)), 1, true);
-    hear(&roster, "b1", "b", Usage::default());
+    roster.beat(Arc::new(usage_with_symptom(ReportedSymptom::Unreachable)), 1, true);
+    receive_usage(&roster, "b1", "b", Usage::default());
     assert!(observer(&roster).await.observe().symptoms.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_symptom_seen_in_the_own_zone_counts() {
+async fn a_symptom_reported_from_the_same_zone_counts() {
     let roster = roster();
-    hear(&roster, "b1", "b", seeing(Seen::Hanging));
+    receive_usage(&roster, "b1", "b", usage_with_symptom(ReportedSymptom::Hanging));
     let symptoms = observer(&roster).await.observe().symptoms;
     assert_eq!(symptoms.get("portal-1"), Some(&Symptom::Hanging));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_zone_whose_entry_instances_fall_silent_is_silent() {
+async fn a_zone_without_recent_reports_is_unconfirmed() {
     let roster = roster();
-    hear(&roster, "b1", "b", Usage::default());
+    receive_usage(&roster, "b1", "b", Usage::default());
     let observer = observer(&roster).await;
     assert!(observer.observe().unconfirmed_zones.is_empty());
     tokio::time::sleep(HEARD_MAX).await;
