--- a/crates/cassiafold/src/change.rs
+++ b/crates/cassiafold/src/change.rs
@@ -1,12 +1,12 @@
 //! Prints accepted configuration changes.
 
-use cassiafold_operators::wire::ChangeAnswer;
+use cassiafold_operators::wire::ChangeResponse;
 
 use crate::error::Result;
 use crate::output::{Output, print_json, print_table};
 
 /// Prints the response to a change.
-pub fn print_change(response: &ChangeAnswer, output: Output) -> Result<()> {
+pub fn print_change(response: &ChangeResponse, output: Output) -> Result<()> {
     if output == Output::Json {
         return print_json(response);
     }
--- a/crates/cassiafold/src/config.rs
+++ b/crates/cassiafold/src/config.rs
@@ -6,7 +6,7 @@
 use cassiafold_config::patch::{JSON_PATCH, MERGE_PATCH};
 use cassiafold_config::raw::RawConfig;
 use cassiafold_operators::history::HistoryRecord;
-use cassiafold_operators::wire::HistoryAnswer;
+use cassiafold_operators::wire::HistoryResponse;
 use clap::ArgMatches;
 use http::Method;
 use serde_json::Value;
@@ -105,7 +105,7 @@
 }
 
 async fn history(client: &Client, limit: u16, output: Output) -> Result<()> {
-    let response: HistoryAnswer =
+    let response: HistoryResponse =
         client.send(&ApiRequest::get(format!("/config/history?limit={limit}"))).await?;
     if output == Output::Json {
         return print_json(&response);
--- a/crates/cassiafold/src/fleet_source.rs
+++ b/crates/cassiafold/src/fleet_source.rs
@@ -13,7 +13,7 @@
 };
 use cassiafold_operators::FleetSource;
 use cassiafold_operators::source::{
-    Explanation, MoveAnswer, MoveRefusal, MoveRequest, PoolStatus, Selection, Subject, WaveStatus,
+    Explanation, MoveRefusal, MoveRequest, MoveResponse, PoolStatus, Selection, Subject, WaveStatus,
 };
 use cassiafold_platform::{Envelope, NotApplied, Store, UpdateOutcome, Writer, update};
 use tokio::time::Instant;
@@ -132,7 +132,7 @@
         report(&timeline, &self.fleet.load().domains, &history).ok()
     }
 
-    async fn move_instances(&self, request: MoveRequest) -> Result<MoveAnswer, MoveRefusal> {
+    async fn move_instances(&self, request: MoveRequest) -> Result<MoveResponse, MoveRefusal> {
         let snapshot =
             self.snapshot().ok_or(MoveRefusal::Unavailable("no configuration yet".into()))?;
         let writer = Writer::new(self.instance_id.clone());
@@ -147,7 +147,7 @@
         match update(&self.store, &writer, DOCUMENT_KEY, deadline, change).await {
             UpdateOutcome::Applied { value, .. } => {
                 self.fleet.update_if_newer(Arc::new(value));
-                Ok(MoveAnswer { instances: moved_instances })
+                Ok(MoveResponse { instances: moved_instances })
             }
             UpdateOutcome::NotApplied(NotApplied::Refused(refusal)) => {
                 Err(MoveRefusal::Refused(refusal_text(&refusal).into()))
--- a/crates/cassiafold/src/key.rs
+++ b/crates/cassiafold/src/key.rs
@@ -4,7 +4,7 @@
 
 use cassiafold_config::KeyHash;
 use cassiafold_config::key::new_key;
-use cassiafold_operators::wire::{ChangeAnswer, KeyBody};
+use cassiafold_operators::wire::{ChangeResponse, KeyBody};
 use clap::ArgMatches;
 use http::Method;
 use serde::Serialize;
@@ -49,7 +49,7 @@
     key: &'a str,
     key_hash: &'a str,
     #[serde(flatten)]
-    change: &'a ChangeAnswer,
+    change: &'a ChangeResponse,
 }
 
 impl TryFrom<&ArgMatches> for KeyCommand {
@@ -93,7 +93,7 @@
     let key = new_key();
     let key_hash = KeyHash::of(&key).to_hex();
     let body = KeyBody { team: team.into(), key_hash: key_hash.clone() };
-    let response: Result<ChangeAnswer> =
+    let response: Result<ChangeResponse> =
         client.send(&ApiRequest::post("/keys").with_body(&body)?).await;
     if let Err(Error::OutcomeUnknown { .. }) = &response {
         eprintln!("the key with hash {key_hash} may have been granted; withdraw it by its hash");
--- a/crates/cassiafold/src/pool.rs
+++ b/crates/cassiafold/src/pool.rs
@@ -1,7 +1,7 @@
 //! The `pool list` and `pool move` commands.
 
-use cassiafold_operators::source::{MoveAnswer, PoolStatus, Selection};
-use cassiafold_operators::wire::{MoveBody, PoolsAnswer};
+use cassiafold_operators::source::{MoveResponse, PoolStatus, Selection};
+use cassiafold_operators::wire::{MoveBody, PoolsResponse};
 use clap::ArgMatches;
 
 use crate::client::{ApiRequest, Client};
@@ -58,7 +58,7 @@
 }
 
 async fn list(client: &Client, output: Output) -> Result<()> {
-    let response: PoolsAnswer = client.send(&ApiRequest::get("/pools")).await?;
+    let response: PoolsResponse = client.send(&ApiRequest::get("/pools")).await?;
     if output == Output::Json {
         return print_json(&response);
     }
@@ -96,7 +96,7 @@
     output: Output,
 ) -> Result<()> {
     let request = ApiRequest::post(format!("/pools/{from}/move")).with_body(body)?;
-    let response: MoveAnswer = client.send(&request).await?;
+    let response: MoveResponse = client.send(&request).await?;
     if output == Output::Json {
         return print_json(&response);
     }
--- a/crates/cassiafold/src/report.rs
+++ b/crates/cassiafold/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use cassiafold_operators::wire::ReportAnswer;
+use cassiafold_operators::wire::ReportResponse;
 use clap::ArgMatches;
 use serde_json::json;
 
@@ -29,7 +29,7 @@
 impl ReportCommand {
     /// Writes the page and prints its path.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let response: ReportAnswer = client.send(&ApiRequest::get("/report")).await?;
+        let response: ReportResponse = client.send(&ApiRequest::get("/report")).await?;
         std::fs::write(&self.file, &response.page)?;
         if output == Output::Json {
             return print_json(&json!({ "file": self.file, "bytes": response.page.len() }));
--- a/crates/cassiafold/src/status.rs
+++ b/crates/cassiafold/src/status.rs
@@ -1,7 +1,7 @@
 //! The `status` command, which shows configuration versions, readiness and upper limits.
 
 use cassiafold_operators::source::{EntryStatus, TeamStatus};
-use cassiafold_operators::wire::StatusAnswer;
+use cassiafold_operators::wire::StatusResponse;
 
 use crate::client::{ApiRequest, Client};
 use crate::error::Result;
@@ -14,7 +14,7 @@
 impl StatusCommand {
     /// Prints the state of the entry instances and the teams.
     pub async fn run(&self, client: &Client, output: Output) -> Result<()> {
-        let response: StatusAnswer = client.send(&ApiRequest::get("/status")).await?;
+        let response: StatusResponse = client.send(&ApiRequest::get("/status")).await?;
         if output == Output::Json {
             return print_json(&response);
         }
@@ -23,7 +23,7 @@
     }
 }
 
-fn print_status(response: &StatusAnswer) {
+fn print_status(response: &StatusResponse) {
     let status = &response.status;
     println!("answered by {} in zone {}", status.instance_id, status.zone);
     println!("version {} in force, {}", response.version, readiness(Some(status.ready)));
--- a/crates/cassiafold/src/wave.rs
+++ b/crates/cassiafold/src/wave.rs
@@ -1,7 +1,7 @@
 //! The `wave start`, `wave pause`, `wave resume` and `wave status` commands.
 
 use cassiafold_operators::source::WaveStatus;
-use cassiafold_operators::wire::WavesAnswer;
+use cassiafold_operators::wire::WavesResponse;
 use clap::ArgMatches;
 
 use crate::change::print_change;
@@ -52,7 +52,7 @@
 }
 
 async fn status(client: &Client, output: Output) -> Result<()> {
-    let response: WavesAnswer = client.send(&ApiRequest::get("/waves")).await?;
+    let response: WavesResponse = client.send(&ApiRequest::get("/waves")).await?;
     if output == Output::Json {
         return print_json(&response);
     }
--- a/crates/operators/src/config_routes.rs
+++ b/crates/operators/src/config_routes.rs
@@ -24,7 +24,7 @@
 use crate::router::{OperatorApi, read_json};
 use crate::source::Sources;
 use crate::versions::{PatchError, PatchOutcome, PatchRequest};
-use crate::wire::{ChangeAnswer, HistoryAnswer, SOURCE_HEADER, WRITE_ID_HEADER};
+use crate::wire::{ChangeResponse, HistoryResponse, SOURCE_HEADER, WRITE_ID_HEADER};
 
 /// Number of changes that `GET /config/history` returns by default.
 const HISTORY_LIMIT: usize = 20;
@@ -51,7 +51,7 @@
     State(api): State<OperatorApi<S>>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
-) -> Result<Json<ChangeAnswer>, Problem> {
+) -> Result<Json<ChangeResponse>, Problem> {
     let base_version = base_version(&headers)?;
     let write_id = write_id(&headers)?;
     let patch = read_patch(&headers, body)?;
@@ -98,10 +98,10 @@
         version: Version,
         unchanged: bool,
         repeated: bool,
-    ) -> ChangeAnswer {
+    ) -> ChangeResponse {
         let limit = self.limits.confirm_wait;
         let unconfirmed = confirm::wait(self.sources.status(), version, limit).await;
-        ChangeAnswer { version, unchanged, repeated, unconfirmed }
+        ChangeResponse { version, unchanged, repeated, unconfirmed }
     }
 }
 
@@ -141,7 +141,7 @@
 pub(crate) async fn history<S: Sources>(
     State(api): State<OperatorApi<S>>,
     query: Result<Query<HistoryQuery>, QueryRejection>,
-) -> Result<Json<HistoryAnswer>, Problem> {
+) -> Result<Json<HistoryResponse>, Problem> {
     let limit = query.map_err(Problem::malformed)?.limit.unwrap_or(HISTORY_LIMIT);
     let deadline = api.limits.change_deadline();
     let current = api.configs.newest_before(deadline).await?;
@@ -151,5 +151,5 @@
     versions.extend(older.map_err(PatchError::Unavailable)?);
     versions.dedup_by_key(|record| record.version);
     versions.truncate(limit);
-    Ok(Json(HistoryAnswer { versions }))
+    Ok(Json(HistoryResponse { versions }))
 }
--- a/crates/operators/src/fleet_routes.rs
+++ b/crates/operators/src/fleet_routes.rs
@@ -15,9 +15,9 @@
 use crate::event::OperatorsEvent;
 use crate::problem::Problem;
 use crate::router::{OperatorApi, read_json};
-use crate::source::{Explanation, FleetSource, MoveAnswer, MoveRequest, Sources, Subject};
+use crate::source::{Explanation, FleetSource, MoveRequest, MoveResponse, Sources, Subject};
 use crate::wire::{
-    ChangeAnswer, MoveBody, PoolsAnswer, ReportAnswer, WRITE_ID_HEADER, WavesAnswer,
+    ChangeResponse, MoveBody, PoolsResponse, ReportResponse, WRITE_ID_HEADER, WavesResponse,
 };
 
 type JsonResult<T> = Result<Json<T>, Problem>;
@@ -25,9 +25,9 @@
 /// Returns an HTML report of the fleet over time.
 pub(crate) async fn report<S: Sources>(
     State(api): State<OperatorApi<S>>,
-) -> JsonResult<ReportAnswer> {
+) -> JsonResult<ReportResponse> {
     let page = api.sources.fleet().report().await;
-    Ok(Json(ReportAnswer { page: page.ok_or(OperatorsCode::StoreUnavailable)? }))
+    Ok(Json(ReportResponse { page: page.ok_or(OperatorsCode::StoreUnavailable)? }))
 }
 
 /// Takes an availability zone out of service.
@@ -35,7 +35,7 @@
     State(api): State<OperatorApi<S>>,
     Path(zone): Path<ZoneId>,
     headers: HeaderMap,
-) -> JsonResult<ChangeAnswer> {
+) -> JsonResult<ChangeResponse> {
     api.set_zone(zone, true, &headers).await
 }
 
@@ -44,7 +44,7 @@
     State(api): State<OperatorApi<S>>,
     Path(zone): Path<ZoneId>,
     headers: HeaderMap,
-) -> JsonResult<ChangeAnswer> {
+) -> JsonResult<ChangeResponse> {
     api.set_zone(zone, false, &headers).await
 }
 
@@ -53,7 +53,7 @@
     State(api): State<OperatorApi<S>>,
     Path(wave): Path<WaveId>,
     headers: HeaderMap,
-) -> JsonResult<ChangeAnswer> {
+) -> JsonResult<ChangeResponse> {
     let context = api.edit_context(&headers).await?;
     let now_unix_s = context.unix_s;
     let merge_patch = |config: &Config| start_patch(config, &wave, now_unix_s);
@@ -65,7 +65,7 @@
     State(api): State<OperatorApi<S>>,
     Path(wave): Path<WaveId>,
     headers: HeaderMap,
-) -> JsonResult<ChangeAnswer> {
+) -> JsonResult<ChangeResponse> {
     let context = api.edit_context(&headers).await?;
     api.change(&context, |config| pause_patch(config, &wave, true)).await
 }
@@ -75,7 +75,7 @@
     State(api): State<OperatorApi<S>>,
     Path(wave): Path<WaveId>,
     headers: HeaderMap,
-) -> JsonResult<ChangeAnswer> {
+) -> JsonResult<ChangeResponse> {
     let context = api.edit_context(&headers).await?;
     api.change(&context, |config| pause_patch(config, &wave, false)).await
 }
@@ -86,7 +86,7 @@
         zone: ZoneId,
         out: bool,
         headers: &HeaderMap,
-    ) -> JsonResult<ChangeAnswer> {
+    ) -> JsonResult<ChangeResponse> {
         let context = self.edit_context(headers).await?;
         let merge_patch = |config: &Config| {
             let current = config.zones.get(&zone).ok_or(OperatorsCode::ZoneUnknown)?;
@@ -99,7 +99,7 @@
         &self,
         context: &EditContext,
         merge_patch: impl Fn(&Config) -> Result<Option<Value>, Problem>,
-    ) -> JsonResult<ChangeAnswer> {
+    ) -> JsonResult<ChangeResponse> {
         let deadline = self.limits.change_deadline();
         let outcome = self.configs.edit(context, deadline, merge_patch).await?;
         let (version, operator) = (outcome.version, &context.operator);
@@ -129,13 +129,13 @@
 }
 
 /// Returns the pools with the counts of their instances.
-pub(crate) async fn pools<S: Sources>(State(api): State<OperatorApi<S>>) -> Json<PoolsAnswer> {
-    Json(PoolsAnswer { pools: api.sources.fleet().pools().await })
+pub(crate) async fn pools<S: Sources>(State(api): State<OperatorApi<S>>) -> Json<PoolsResponse> {
+    Json(PoolsResponse { pools: api.sources.fleet().pools().await })
 }
 
 /// Returns the maintenance waves with their progress.
-pub(crate) async fn waves<S: Sources>(State(api): State<OperatorApi<S>>) -> Json<WavesAnswer> {
-    Json(WavesAnswer { waves: api.sources.fleet().waves().await })
+pub(crate) async fn waves<S: Sources>(State(api): State<OperatorApi<S>>) -> Json<WavesResponse> {
+    Json(WavesResponse { waves: api.sources.fleet().waves().await })
 }
 
 /// Returns the latest decisions about an instance, a pool, a team or a wave.
@@ -155,7 +155,7 @@
     Path(from): Path<PoolId>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
-) -> JsonResult<MoveAnswer> {
+) -> JsonResult<MoveResponse> {
     let MoveBody { to, selection } = read_json(body)?;
     let config = api.active.load().ok_or(OperatorsCode::NotReady)?;
     if let Some(pool) = [&from, &to].into_iter().find(|pool| !config.pools.contains_key(*pool)) {
--- a/crates/operators/src/key_routes.rs
+++ b/crates/operators/src/key_routes.rs
@@ -14,14 +14,14 @@
 use crate::problem::Problem;
 use crate::router::{OperatorApi, read_json};
 use crate::source::Sources;
-use crate::wire::{ChangeAnswer, KeyBody, KeyQuery};
+use crate::wire::{ChangeResponse, KeyBody, KeyQuery};
 
 /// Grants a key to a team. The body contains only the hash of the key.
 pub(crate) async fn grant<S: Sources>(
     State(api): State<OperatorApi<S>>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
-) -> Result<Json<ChangeAnswer>, Problem> {
+) -> Result<Json<ChangeResponse>, Problem> {
     let body: KeyBody = read_json(body)?;
     let hash = parse_hash(&body.key_hash)?;
     let context = api.edit_context(&headers).await?;
@@ -45,7 +45,7 @@
     State(api): State<OperatorApi<S>>,
     headers: HeaderMap,
     query: Result<Query<KeyQuery>, QueryRejection>,
-) -> Result<Json<ChangeAnswer>, Problem> {
+) -> Result<Json<ChangeResponse>, Problem> {
     let Query(query) = query.map_err(Problem::malformed)?;
     let hash = query.key_hash.as_deref().map(parse_hash).transpose()?;
     let context = api.edit_context(&headers).await?;
--- a/crates/operators/src/source.rs
+++ b/crates/operators/src/source.rs
@@ -107,7 +107,7 @@
     fn move_instances(
         &self,
         request: MoveRequest,
-    ) -> impl Future<Output = Result<MoveAnswer, MoveRefusal>> + Send;
+    ) -> impl Future<Output = Result<MoveResponse, MoveRefusal>> + Send;
 }
 
 /// State of one pool.
@@ -277,7 +277,7 @@
 
 /// Response to an accepted move.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MoveAnswer {
+pub struct MoveResponse {
     /// Instances that will move.
     pub instances: Vec<InstanceId>,
 }
--- a/crates/operators/src/wire.rs
+++ b/crates/operators/src/wire.rs
@@ -35,7 +35,7 @@
 
 /// Response to an accepted configuration change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChangeAnswer {
+pub struct ChangeResponse {
     /// Version that contains the change.
     pub version: Version,
     /// Whether the configuration already had the requested state, so that no version was made.
@@ -48,7 +48,7 @@
 
 /// Response to `GET /status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StatusAnswer {
+pub struct StatusResponse {
     /// Version in force at the entry instance that responds.
     pub version: Version,
     /// Highest version that any entry instance is known to have in force.
@@ -62,7 +62,7 @@
 
 /// Response to `GET /config/history`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HistoryAnswer {
+pub struct HistoryResponse {
     /// Changes, newest first.
     pub versions: Vec<HistoryRecord>,
 }
@@ -99,24 +99,24 @@
 
 /// Response to `GET /pools`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PoolsAnswer {
+pub struct PoolsResponse {
     /// Pools in order of id.
     pub pools: Vec<PoolStatus>,
 }
 
 /// Response to `GET /waves`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WavesAnswer {
+pub struct WavesResponse {
     /// Waves in order of id.
     pub waves: Vec<WaveStatus>,
 }
 
 /// Response to `GET /report`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct ReportResponse {
     /// The report as an HTML page.
     pub page: String,
 }
 
 /// Response to `GET /config`.
-pub type ConfigAnswer = RawConfig;
+pub type ConfigResponse = RawConfig;
--- a/crates/operators/tests/http/fake.rs
+++ b/crates/operators/tests/http/fake.rs
@@ -8,7 +8,7 @@
 use cassiafold_config::patch::MERGE_PATCH;
 use cassiafold_config::{ActiveConfig, KeyHash, Version};
 use cassiafold_operators::source::{
-    Decision, EntryStatus, Explanation, Fact, MoveAnswer, MoveRefusal, MoveRequest, PoolStatus,
+    Decision, EntryStatus, Explanation, Fact, MoveRefusal, MoveRequest, MoveResponse, PoolStatus,
     Reason, Selection, Status, Subject, WaveStatus, WhyNot,
 };
 use cassiafold_operators::{FleetSource, Limits, OperatorApi, Sources, StatusSource};
@@ -119,12 +119,12 @@
         })
     }
 
-    async fn move_instances(&self, request: MoveRequest) -> Result<MoveAnswer, MoveRefusal> {
+    async fn move_instances(&self, request: MoveRequest) -> Result<MoveResponse, MoveRefusal> {
         match request.selection {
             Selection::Count(count) if count > 2 => {
                 Err(MoveRefusal::Refused("below the floor".into()))
             }
-            _ => Ok(MoveAnswer { instances: vec!["i1".into()] }),
+            _ => Ok(MoveResponse { instances: vec!["i1".into()] }),
         }
     }
 }
