--- a/crates/config/src/patch/tests.rs
+++ b/crates/config/src/patch/tests.rs
@@ -126,7 +126,7 @@
     })]
 
     #[test]
-    fn a_merge_agrees_with_the_reference_implementation(target in json_value(), patch in json_value()) {
+    fn a_merge_agrees_with_the_reference(target in json_value(), patch in json_value()) {
         let mut merged = target.clone();
         Patch::Merge(patch.clone()).apply(&mut merged).unwrap();
         prop_assert_eq!(merged, reference_merge(&target, &patch));
@@ -141,7 +141,7 @@
     }
 
     #[test]
-    fn a_configuration_round_trips_through_its_serialized_form(share in 1..9_u32, floor in 0.0..1.0_f64) {
+    fn a_configuration_round_trips(share in 1..9_u32, floor in 0.0..1.0_f64) {
         let patch = Patch::Merge(json!({
             "teams": {"t": {"share": share, "upper_limit": 1, "key_hashes": ["0".repeat(64)]}},
             "services": {"portal": {"floor_share": floor}},
--- a/crates/standin/src/faults/tests.rs
+++ b/crates/standin/src/faults/tests.rs
@@ -8,8 +8,8 @@
 use super::{Partition, WriteFault};
 use crate::MemoryStore;
 
-const LONG_WAIT: Duration = Duration::from_secs(3600);
-const WRITE_DELAY: Duration = Duration::from_secs(5);
+const WAIT: Duration = Duration::from_secs(3600);
+const DELAY: Duration = Duration::from_secs(5);
 
 async fn put(store: &MemoryStore, key: &str, compare: Compare) -> Result<WriteOutcome, StoreError> {
     store.write(Write::put(key, compare, "value")).await
@@ -36,10 +36,10 @@
 }
 
 write_faults! {
-    a_write_with_a_lost_response_takes_effect: WriteFault::LostAnswer, after Duration::ZERO => applied: true;
-    a_write_with_a_lost_request_has_no_effect: WriteFault::LostRequest, after LONG_WAIT => applied: false;
-    a_late_write_has_no_effect_yet: WriteFault::Late(WRITE_DELAY), after WRITE_DELAY / 2 => applied: false;
-    a_late_write_takes_effect_later: WriteFault::Late(WRITE_DELAY), after WRITE_DELAY * 2 => applied: true;
+    a_lost_response_takes_effect: WriteFault::LostAnswer, after Duration::ZERO => applied: true;
+    a_lost_request_has_no_effect: WriteFault::LostRequest, after WAIT => applied: false;
+    a_late_write_has_no_effect_yet: WriteFault::Late(DELAY), after DELAY / 2 => applied: false;
+    a_late_write_takes_effect_later: WriteFault::Late(DELAY), after DELAY * 2 => applied: true;
 }
 
 #[tokio::test(start_paused = true)]
@@ -106,7 +106,7 @@
     let mut watch = store.watch("", 0).await.unwrap();
     store.faults().set_silent_watches(true);
     put(&store, "a", Compare::Absent).await.unwrap();
-    assert!(timeout(LONG_WAIT, watch.next()).await.is_err());
+    assert!(timeout(WAIT, watch.next()).await.is_err());
     store.faults().set_silent_watches(false);
     assert_eq!(watch.next().await.unwrap().len(), 1);
 }
@@ -117,7 +117,7 @@
     let mut silent = store.watch("", 0).await.unwrap();
     store.faults().silence_open_watches();
     put(&store, "a", Compare::Absent).await.unwrap();
-    assert!(timeout(LONG_WAIT, silent.next()).await.is_err());
+    assert!(timeout(WAIT, silent.next()).await.is_err());
     assert_eq!(store.watch("", 0).await.unwrap().next().await.unwrap().len(), 1);
 }
 
@@ -173,7 +173,7 @@
             assert!(matches!(far.get("a").await, Err(StoreError::Unavailable(_))));
             assert_eq!(exists(&near, "a").await, $applied);
             put(&near, "b", Compare::Absent).await.unwrap();
-            assert!(timeout(LONG_WAIT, watch.next()).await.is_err());
+            assert!(timeout(WAIT, watch.next()).await.is_err());
             store.faults().reconnect("far");
             assert_eq!(watch.next().await.unwrap().len(), 1 + usize::from($applied));
         }
