--- a/crates/cassiafold/src/isolation/tests.rs
+++ b/crates/cassiafold/src/isolation/tests.rs
@@ -40,8 +40,10 @@
         let heartbeats = time.as_secs() / HEARTBEAT_TIMEOUT.as_secs() * 2;
         for heartbeat in 0..heartbeats {
             for zone in zones {
-                self.roster
-                    .record_heartbeat(heard_peer(zone, heartbeat + 1, store_reachable), Route::OtherZone);
+                self.roster.record_heartbeat(
+                    heard_peer(zone, heartbeat + 1, store_reachable),
+                    Route::OtherZone,
+                );
             }
             tokio::time::sleep(HEARTBEAT_TIMEOUT / 2).await;
         }
