--- a/crates/cassiafold/src/change.rs
+++ b/crates/cassiafold/src/change.rs
@@ -11,7 +11,7 @@
         return print_json(response);
     }
     let suffix = match (response.unchanged, response.repeated) {
-        (true, _) => ", unchanged",
+        (true, _) => ", which was so before",
         (_, true) => ", by an earlier request",
         _ => "",
     };
--- a/crates/fleet/src/domain/raw.rs
+++ b/crates/fleet/src/domain/raw.rs
@@ -58,10 +58,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DomainsError {
     /// The format version is not supported.
-    #[error("unsupported failure domains format {0}")]
+    #[error("unknown format {0} of the failure domains")]
     UnknownFormat(u32),
     /// There are more groups or members than allowed.
-    #[error("failure domains exceed the maximum number of groups or members")]
+    #[error("failure domains exceed their bounds")]
     TooLarge,
 }
 
--- a/crates/fleet/src/raw.rs
+++ b/crates/fleet/src/raw.rs
@@ -106,16 +106,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FleetDocumentError {
     /// The format version is not supported.
-    #[error("unsupported fleet document format {0}")]
+    #[error("unknown format {0} of the fleet document")]
     UnknownFormat(u32),
     /// An instance is listed in two pools.
-    #[error("instance {0} is listed in two pools")]
+    #[error("instance {0} stands in two pools")]
     DuplicateInstance(InstanceId),
     /// The lists of a pool differ in length.
-    #[error("pool {0} has a different number of instance ids and maintenance times")]
+    #[error("pool {0} has lists of different lengths")]
     LengthMismatch(PoolId),
     /// An entry names an instance that is in no pool.
-    #[error("instance {0} is in no pool")]
+    #[error("instance {0} stands in no pool")]
     UnplacedInstance(InstanceId),
 }
 
--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -214,7 +214,7 @@
 fn read_error(failure: Failure) -> StoreError {
     match failure {
         Failure::Call(CallError::TooLarge { .. }) => {
-            StoreError::Malformed("response is too large".into())
+            StoreError::Malformed("answer is too large".into())
         }
         Failure::Call(error) => StoreError::Unavailable(error.to_string().into()),
         Failure::Malformed(reason) => StoreError::Malformed(reason),
@@ -287,7 +287,7 @@
         let mut records = Vec::<Record>::try_from(response)?;
         let record = records.pop();
         if !records.is_empty() || record.as_ref().is_some_and(|record| &*record.key != key) {
-            return Err(malformed("response contains a different key"));
+            return Err(malformed("answer holds another key"));
         }
         Ok(record)
     }
@@ -309,7 +309,7 @@
                 let last = snapshot.records.last();
                 let ordered = last.is_none_or(|last| last.key < record.key);
                 if !ordered || !record.key.starts_with(prefix) {
-                    return Err(malformed("response contains unexpected keys"));
+                    return Err(malformed("answer holds unexpected keys"));
                 }
                 snapshot.records.push(record);
             }
@@ -324,9 +324,7 @@
         if let Operation::Put { value, .. } = &write.operation
             && value.len() > VALUE_BYTES_MAX
         {
-            return Err(StoreError::Unavailable(
-                "value exceeds the size limit of one megabyte".into(),
-            ));
+            return Err(StoreError::Unavailable("value exceeds one megabyte".into()));
         }
         let request = TxnRequest::from(&write);
         let result = self.attempt(StoreCall::Write, TXN_PATH, &request, self.deadline()).await;
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -40,7 +40,7 @@
     #[error("request not sent: {0}")]
     NotSent(Arc<str>),
     /// The service may have received the request, but no response arrived.
-    #[error("no response: {reason}")]
+    #[error("no answer: {reason}")]
     Unanswered {
         /// Description of the failure.
         reason: Arc<str>,
@@ -48,7 +48,7 @@
         stale_connection: bool,
     },
     /// The response body exceeds the limit of the caller.
-    #[error("response exceeds {max_bytes} bytes")]
+    #[error("answer exceeds {max_bytes} bytes")]
     TooLarge {
         /// Limit of the caller, in bytes.
         max_bytes: usize,
@@ -212,7 +212,7 @@
             return Ok(connection);
         }
         let candidates = self.candidates();
-        let mut reason: Arc<str> = "all addresses are in backoff after failed connects".into();
+        let mut reason: Arc<str> = "waiting after failed connections".into();
         for (remaining, endpoint) in candidates.iter().rev().enumerate().rev() {
             match self.connect(*endpoint, remaining, deadline).await {
                 Ok(connection) => return Ok(connection),
--- a/crates/platform/src/store.rs
+++ b/crates/platform/src/store.rs
@@ -110,10 +110,10 @@
     LeaseExpired,
     /// The service cannot start a watch at this revision, because it has compacted that part of its
     /// history or was restored to an older state. Restart from a snapshot.
-    #[error("revision of the watch was compacted")]
+    #[error("watch position was compacted")]
     Compacted,
     /// The response of the service cannot be decoded.
-    #[error("malformed response of the key-value service: {0}")]
+    #[error("malformed answer of the key-value service: {0}")]
     Malformed(Arc<str>),
 }
 
--- a/crates/platform/src/update.rs
+++ b/crates/platform/src/update.rs
@@ -57,13 +57,13 @@
     #[error("{0}")]
     Unavailable(StoreError),
     /// Every attempt until the deadline conflicted with another writer.
-    #[error("all attempts until the deadline conflicted with other writers")]
+    #[error("other writers won until the deadline")]
     Contended,
     /// The stored value cannot be decoded, or the new one cannot be encoded.
     #[error("{0}")]
     Malformed(Arc<str>),
     /// The new value exceeds [`VALUE_BYTES_MAX`].
-    #[error("new value of {size_bytes} bytes exceeds the value size limit of the store")]
+    #[error("new value of {size_bytes} bytes exceeds the largest value of the store")]
     TooLarge {
         /// Size of the new value, in bytes.
         size_bytes: usize,
@@ -194,12 +194,12 @@
     }
 
     async fn read(&self) -> Result<Option<Record>, StoreError> {
-        let timeout_error = StoreError::Unavailable("no response before the deadline".into());
+        let timeout_error = StoreError::Unavailable("no answer before the deadline".into());
         self.until_deadline(self.store.get(self.key), timeout_error).await
     }
 
     async fn write(&self, write: Write) -> Result<WriteOutcome, StoreError> {
-        let timeout_error = StoreError::OutcomeUnknown("no response before the deadline".into());
+        let timeout_error = StoreError::OutcomeUnknown("no answer before the deadline".into());
         self.until_deadline(self.store.write(write), timeout_error).await
     }
 
--- a/crates/platform/tests/etcd.rs
+++ b/crates/platform/tests/etcd.rs
@@ -265,7 +265,7 @@
     let settings = EtcdSettings { timeout: TIMEOUT, ..EtcdSettings::new(vec![address], "entry") };
     let metrics = StoreMetrics::default();
     let store = EtcdStore::new(settings, metrics.clone());
-    let refused = Err(StoreError::Malformed("response is too large".into()));
+    let refused = Err(StoreError::Malformed("answer is too large".into()));
     assert_eq!(store.get("key").await, refused);
     assert_eq!(metrics.count(StoreCall::Get, CallOutcome::Answered), 1);
 }
